--- a/pacing/fuzz_test.go
+++ b/pacing/fuzz_test.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	slots = 8                     // boxes that may exist
-	steps = 150                   // actions in one run
-	tick  = 10 * time.Millisecond // between two rounds of asking
-	lag   = 500 * time.Millisecond
-	delay = 90 // ms that a written send takes at most, within the slack of the window
-	dial  = 25 // ticks that a send waits at most until it is written
+	maxBoxes      = 8
+	steps         = 150                   // per run
+	tick          = 10 * time.Millisecond // between two rounds of attempts
+	discoveryLag  = 500 * time.Millisecond
+	maxDelayMs    = 90 // of a written send, within the slack of the window
+	maxWriteTicks = 25 // between Take and the write of a send
 )
 
-// unwritten is a send that waits for its connection.
-type unwritten struct {
-	taken time.Duration
-	at    time.Duration // when it is written
-	cold  bool          // the replica was when it was taken
+// pendingSend is an allowed send that waits for its connection.
+type pendingSend struct {
+	taken   time.Duration
+	writeAt time.Duration
+	cold    bool // whether the replica was cold at Take
 }
 
-// send is one send as the replica sees it.
+// send is one request as the replica receives it.
 type send struct {
-	box     int
-	taken   time.Duration // and written, late after that
-	arrived time.Duration
-	cold    bool
-	late    time.Duration
+	box        int
+	written    time.Duration
+	arrived    time.Duration
+	cold       bool
+	writeDelay time.Duration
 }
 
-// chosen returns when the box decided on the send.
-func (s send) chosen() time.Duration { return s.taken - s.late }
+// takenAt returns the time of the send's Take.
+func (s send) takenAt() time.Duration { return s.written - s.writeDelay }
 
-// busiest returns the most sends in any second; sends are in the order taken. Of each box with a send while
-// the replica was cold, all sends until its last such send count, so those just
-// before the replica turned cold are in.
-func busiest(sends []send) int {
+// maxSendsPerSecond returns the maximum number of sends in any second; sends are in the order
+// of their writes. Of each box with a send while the replica was cold, all sends up to
+// its last such send count, including those just before the replica turned cold.
+func maxSendsPerSecond(sends []send) int {
 	most := 0
 	from := 0
 	for _, first := range sends {
-		var last [slots]time.Duration
+		var last [maxBoxes]time.Duration
 		var within []send
-		for sends[from].taken < first.taken-delay*time.Millisecond {
-			from++ // has arrived before first was taken
+		for sends[from].written < first.written-maxDelayMs*time.Millisecond {
+			from++ // arrived before first was written
 		}
 		for _, s := range sends[from:] {
-			if s.taken > first.arrived+time.Second {
+			if s.written > first.arrived+time.Second {
 				break
 			}
 			if s.arrived < first.arrived || s.arrived > first.arrived+time.Second {
@@ -61,12 +61,12 @@
 			}
 			within = append(within, s)
 			if s.cold {
-				last[s.box] = max(last[s.box], s.chosen())
+				last[s.box] = max(last[s.box], s.takenAt())
 			}
 		}
 		n := 0
 		for _, s := range within {
-			if s.chosen() <= last[s.box] {
+			if s.takenAt() <= last[s.box] {
 				n++
 			}
 		}
@@ -75,25 +75,25 @@
 	return most
 }
 
-// box is one place in the region and the process in it, if any.
+// box is a box name and the process that runs under it, if any.
 type box struct {
-	name  string
-	alive bool
-	born  time.Duration
-	pacer *Pacer
-	waits []unwritten
-	// listed holds from when until when each other box has this one on its list.
-	listed [slots]struct{ from, until time.Duration }
+	name      string
+	alive     bool
+	startedAt time.Duration
+	pacer     *Pacer
+	pending   []pendingSend
+	// listed holds the interval in which each other box lists this one.
+	listed [maxBoxes]struct{ from, until time.Duration }
 }
 
-// region is all boxes and one replica in one time line.
+// region simulates all boxes and one replica on one clock.
 type region struct {
 	t     *rapid.T
 	now   time.Duration
-	boxes [slots]box
+	boxes [maxBoxes]box
 	cold  bool
 	sends []send
-	taken int // sends, also those that are not written yet
+	taken int // sends, including pending ones
 }
 
 func newRegion(t *rapid.T) *region {
@@ -104,43 +104,43 @@
 	for i := range r.boxes {
 		r.boxes[i].name = fmt.Sprintf("box-%d", i)
 	}
-	for i := range rapid.IntRange(1, slots).Draw(t, "boxes") {
-		r.join(i)
+	for i := range rapid.IntRange(1, maxBoxes).Draw(t, "boxes") {
+		r.startBox(i)
 	}
 	return r
 }
 
-// join starts a process, which the others list after up to lag.
-func (r *region) join(i int) {
+// startBox starts a process, which the others list after up to discoveryLag.
+func (r *region) startBox(i int) {
 	b := &r.boxes[i]
 	b.alive = true
-	b.born = r.now
+	b.startedAt = r.now
 	for j := range b.listed {
 		l := &b.listed[j]
 		if r.now >= l.until {
-			l.from = r.now + rapid.SampledFrom([]time.Duration{0, lag / 2, lag}).Draw(r.t, "known")
+			l.from = r.now + rapid.SampledFrom([]time.Duration{0, discoveryLag / 2, discoveryLag}).Draw(r.t, "known")
 		}
 		l.until = 1 << 62
 	}
-	b.waits = nil
-	b.pacer = New(b.name, usual, WithStart(lag))
+	b.pending = nil
+	b.pacer = New(b.name, testTerms, WithStart(discoveryLag))
 	if r.cold {
-		b.pacer.Cold(replica, rate, late)
+		b.pacer.Cold(replica, rate, farFuture)
 	}
 }
 
-// lose ends a process; the others keep it on their lists for a window or more.
-func (r *region) lose(i int) {
+// stopBox stops a process, which the others list for a window or more.
+func (r *region) stopBox(i int) {
 	b := &r.boxes[i]
 	b.alive = false
 	for j := range b.listed {
-		more := rapid.SampledFrom([]time.Duration{0, lag / 2, 4 * lag}).Draw(r.t, "kept")
+		more := rapid.SampledFrom([]time.Duration{0, discoveryLag / 2, 4 * discoveryLag}).Draw(r.t, "kept")
 		b.listed[j].until = r.now + window + more
 	}
 }
 
-// list returns the boxes that box i knows of.
-func (r *region) list(i int) []string {
+// listedBoxes returns the boxes on the list of box i.
+func (r *region) listedBoxes(i int) []string {
 	var out []string
 	for j := range r.boxes {
 		b := &r.boxes[j]
@@ -152,88 +152,88 @@
 	return out
 }
 
-func (r *region) toggle() {
-	i := rapid.IntRange(0, slots-1).Draw(r.t, "box")
+func (r *region) toggleBox() {
+	i := rapid.IntRange(0, maxBoxes-1).Draw(r.t, "box")
 	if r.boxes[i].alive {
-		r.lose(i)
+		r.stopBox(i)
 		return
 	}
-	r.join(i)
+	r.startBox(i)
 }
 
-func (r *region) restart() {
-	i := rapid.IntRange(0, slots-1).Draw(r.t, "box")
+func (r *region) restartBox() {
+	i := rapid.IntRange(0, maxBoxes-1).Draw(r.t, "box")
 	if r.boxes[i].alive {
-		r.lose(i)
-		r.join(i)
+		r.stopBox(i)
+		r.startBox(i)
 	}
 }
 
-func (r *region) turn() {
+func (r *region) toggleCold() {
 	r.cold = !r.cold
 	for i := range r.boxes {
 		b := &r.boxes[i]
 		switch {
 		case !b.alive:
 		case r.cold:
-			b.pacer.Cold(replica, rate, late)
+			b.pacer.Cold(replica, rate, farFuture)
 		default:
 			b.pacer.Warm(replica)
 		}
 	}
 }
 
-// ask lets the boxes send as they like for a while.
-func (r *region) ask() {
+// sendForAWhile lets the boxes attempt sends for a random number of ticks.
+func (r *region) sendForAWhile() {
 	longest := rapid.SampledFrom([]int{1, 30, 150}).Draw(r.t, "longest")
 	ticks := rapid.IntRange((longest+1)/2, longest).Draw(r.t, "ticks")
 	every := rapid.SampledFrom([]int{1, 1, 7, 40}).Draw(r.t, "every")
 	if !r.cold {
-		every = max(every, 40) // warm sends have no limit: keep the record short
+		every = max(every, 40) // warm sends are not limited: keep the log short
 	}
 	for n := range ticks {
 		for i := range r.boxes {
 			if !r.boxes[i].alive {
 				continue
 			}
-			r.write(i)
+			r.writePending(i)
 			if (n+i)%every == 0 {
-				r.try(i)
+				r.attempt(i)
 			}
 		}
 		r.now += tick
 	}
 }
 
-func (r *region) try(i int) {
+func (r *region) attempt(i int) {
 	b := &r.boxes[i]
-	if !b.pacer.Take(replica, r.list(i), r.now-b.born) {
+	if !b.pacer.Take(replica, r.listedBoxes(i), r.now-b.startedAt) {
 		return
 	}
 	r.taken++
-	b.waits = append(b.waits, unwritten{
-		taken: r.now,
-		at:    r.now + time.Duration(r.taken*r.taken%dial)*tick*time.Duration(r.taken%2),
-		cold:  r.cold,
+	b.pending = append(b.pending, pendingSend{
+		taken:   r.now,
+		writeAt: r.now + time.Duration(r.taken*r.taken%maxWriteTicks)*tick*time.Duration(r.taken%2),
+		cold:    r.cold,
 	})
-	r.write(i)
+	r.writePending(i)
 }
 
-// write writes the sends of a box that have their connection.
-func (r *region) write(i int) {
+// writePending writes the pending sends of a box whose connection is open.
+func (r *region) writePending(i int) {
 	b := &r.boxes[i]
-	b.waits = slices.DeleteFunc(b.waits, func(u unwritten) bool {
-		if u.at > r.now {
+	b.pending = slices.DeleteFunc(b.pending, func(u pendingSend) bool {
+		if u.writeAt > r.now {
 			return false
 		}
-		b.pacer.Sent(replica, u.taken-b.born, r.now-b.born)
-		took := time.Duration(len(r.sends)*37%(delay+1)) * time.Millisecond
+		b.pacer.Sent(replica, u.taken-b.startedAt, r.now-b.startedAt)
+		took := time.Duration(len(r.sends)*37%(maxDelayMs+1)) * time.Millisecond
 		r.sends = append(r.sends, send{
-			box:     i,
-			taken:   r.now,
-			arrived: r.now + took,
-			cold:    u.cold,
-			late:    r.now - u.taken,
+			box:        i,
+			written:    r.now,
+			arrived:    r.now + took,
+			cold:       u.cold,
+			writeDelay: r.now - u.taken,
 		})
 		return true
 	})
@@ -243,18 +243,18 @@
 	seen := 0
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t)
-		actions := []func(){r.ask, r.ask, r.ask, r.toggle, r.restart, r.turn}
+		actions := []func(){r.sendForAWhile, r.sendForAWhile, r.sendForAWhile, r.toggleBox, r.restartBox, r.toggleCold}
 		for range steps {
 			rapid.SampledFrom(actions).Draw(t, "action")()
 		}
-		most := busiest(r.sends)
+		most := maxSendsPerSecond(r.sends)
 		seen = max(seen, most)
 		if most > 6 { // the bound is 6.3
 			t.Fatalf("%d sends in a second", most)
 		}
 	})
 	t.Logf("most sends in a second: %d", seen)
-	is.New(t).True(seen >= 5) // the runs come near the bound
+	is.New(t).True(seen >= 5) // otherwise the runs don't test the bound
 }
 
 func TestTheOracleCountsSendsBeforeTheReplicaTurnedCold(t *testing.T) {
@@ -262,12 +262,12 @@
 	at := func(box int, ms time.Duration, cold bool) send {
 		return send{
 			box:     box,
-			taken:   ms * time.Millisecond,
+			written: ms * time.Millisecond,
 			arrived: ms * time.Millisecond,
 			cold:    cold,
 		}
 	}
-	is.Equal(busiest([]send{at(0, 1, false), at(1, 2, false), at(0, 900, true)}), 2)
-	is.Equal(busiest([]send{at(0, 1, true), at(1, 1001, true), at(0, 1002, true)}), 2)
-	is.Equal(busiest([]send{at(0, 1, true), at(0, 2, false)}), 1)
+	is.Equal(maxSendsPerSecond([]send{at(0, 1, false), at(1, 2, false), at(0, 900, true)}), 2)
+	is.Equal(maxSendsPerSecond([]send{at(0, 1, true), at(1, 1001, true), at(0, 1002, true)}), 2)
+	is.Equal(maxSendsPerSecond([]send{at(0, 1, true), at(0, 2, false)}), 1)
 }
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -1,28 +1,25 @@
-// Package pacing bounds what all boxes of a region together send to a replica
-// that is cold: in every sliding second
+// Package pacing limits the rate at which all boxes of a region together send
+// requests to a cold replica. In every sliding second
 //
 //	sends <= perSecond x Overage + Slack
 //
-// without messages between the boxes. A box derives its share from the replica's
-// name and the names of the boxes. With bound the right side above and n boxes,
-// the k = min(n, floor(bound)) boxes that rank highest for the replica send at
-// most floor(bound/k) each in a window of 1.1 s, and the others nothing.
+// holds without coordination between the boxes. A box derives its share from the
+// names of the replica and of the boxes: with n boxes and bound as the right side
+// above, the k = min(n, floor(bound)) boxes that rank highest for the replica send
+// at most floor(bound/k) requests each in a window of 1.1 s; the others send none.
 //
-// # Why the sum holds
+// # Why the bound holds
 //
-// The shares under one list of boxes add up to at most bound. A longer list
-// never gives a box more: it ranks no higher, and either k = floor(bound) and
-// the share is 1, or k = n and floor(bound/n) falls with n. A lower perSecond
-// never gives a box more either. So the bound holds in a window when the list
-// behind each send contains all boxes that send in that window. A box that has
-// just started sends nothing until it knows all the others and they know it, which
-// is not found out here, and waits for one window from then on: what they sent
-// before they knew it, and what a process of the same name before it sent, is out
-// of the window. A lost box has to stay listed for a window after its last send.
-// A send counts from its write, where that is told to be later than Take (see Sent).
+// The shares under one list of boxes add up to at most bound, and neither a longer
+// list nor a lower perSecond raises the share of a box. So the bound holds in a
+// window if the list behind each send contains all boxes that send in that window.
+// The caller ensures this: it keeps a lost box listed for a window after the box's
+// last send, and it sets the start of a Pacer to the time from which its box and
+// all others list each other. The Pacer then waits for one window, after which
+// earlier sends, also those of a previous process of the same name, no longer count.
 //
-// Time is the monotonic clock since the start of the process. A Pacer belongs to
-// one actor: it is not safe for concurrent use.
+// Times are read from the monotonic clock since the start of the process. A Pacer is
+// not safe for concurrent use.
 package pacing
 
 import (
@@ -36,48 +33,46 @@
 )
 
 const (
-	// window is the second of the bound and a tenth for the delay between the write
-	// of a send, or Take where it is written soon after, and its arrival.
+	// window adds a tenth to the second of the bound for the delay between the write
+	// of a send and its arrival.
 	window = 1100 * time.Millisecond
-	// spread is how many sends of one box would fit into a window at the least
-	// gap, as a multiple of its share: 2 leaves room to catch up after a pause.
-	spread = 2
-	// maxWarm is the number of warm replicas whose last sends are remembered: more
-	// than a box sends to within a second.
+	// gapDivisor sets the minimum gap between sends: window / (gapDivisor x share).
+	gapDivisor = 2
+	// maxWarm is the number of warm replicas whose recent sends are kept.
 	maxWarm = 512
 )
 
-// Terms says how far the sends to a cold replica may exceed its known rate.
+// Terms limits how far the sends to a cold replica may exceed its rate.
 type Terms struct {
-	// Overage is a factor on the replica's rate.
+	// Overage is a factor applied to the replica's rate.
 	Overage float64
-	// Slack is a number of sends in each second beyond that.
+	// Slack is the number of additional sends in each second.
 	Slack float64
 }
 
-// cold is a replica known to be cold.
-type cold struct {
+// coldReplica is the record of a cold replica.
+type coldReplica struct {
 	perSecond float64
 	until     time.Duration
 	sends     *history
 }
 
-// Pacer decides which sends to cold replicas this box may make.
+// Pacer is the rate limiter of one box for sends to cold replicas.
 type Pacer struct {
 	self   string
 	terms  Terms
 	start  time.Duration
 	latest time.Duration
-	cold   map[string]*cold
+	cold   map[string]*coldReplica
 	warm   *simplelru.LRU[string, *history]
 }
 
-// Option changes a Pacer under construction.
+// Option configures a Pacer.
 type Option func(*Pacer)
 
-// WithStart sets the time from which the box counts as alive; without it, it is
-// the start of the process. Nothing goes to cold replicas for one window after
-// it, so it must not be before the other boxes know this one.
+// WithStart sets the time from which this box and all others list each other. It
+// defaults to the start of the process. The Pacer allows no sends to cold replicas
+// for one window after it.
 func WithStart(now time.Duration) Option {
 	return func(p *Pacer) {
 		p.start = now
@@ -93,7 +88,7 @@
 	p := &Pacer{
 		self:  self,
 		terms: terms,
-		cold:  make(map[string]*cold),
+		cold:  make(map[string]*coldReplica),
 		warm:  warm,
 	}
 	for _, opt := range opts {
@@ -102,24 +97,24 @@
 	return p
 }
 
-// SetTerms replaces the terms. Sends made before still count.
+// SetTerms replaces the terms. Earlier sends still count.
 func (p *Pacer) SetTerms(terms Terms) {
 	p.terms = terms
 }
 
-// SetStart sets from when on the box knows the others that may send, in place of its
-// start. Nothing goes to cold replicas for one window after it.
+// SetStart replaces the start time, as WithStart sets it.
 func (p *Pacer) SetStart(now time.Duration) {
 	p.start = now
 }
 
-// Cold notes that replica is cold until then and serves perSecond meanwhile. Of
-// several calls the latest until stays, and the rate of the last call.
+// Cold records that replica is cold until the given time and serves perSecond
+// requests meanwhile. Later calls may extend until but not shorten it, and they
+// replace the rate.
 func (p *Pacer) Cold(replica string, perSecond float64, until time.Duration) {
 	c := p.cold[replica]
 	if c == nil {
 		p.sweep()
-		c = &cold{
+		c = &coldReplica{
 			sends: p.removeWarm(replica),
 		}
 		p.cold[replica] = c
@@ -128,8 +123,8 @@
 	c.until = max(c.until, until)
 }
 
-// Warm notes that replica is no longer cold. Its last sends stay remembered in
-// case it turns cold again within the window.
+// Warm records that replica is no longer cold. Its recent sends are kept in case it
+// turns cold again within the window.
 func (p *Pacer) Warm(replica string) {
 	c := p.cold[replica]
 	if c == nil {
@@ -139,28 +134,27 @@
 	p.warm.Add(replica, c.sends)
 }
 
-// Forget drops what is known about a replica that has left. Its last sends stay
-// within the memory of warm replicas, as for Warm: a replica that disappears
-// from a view for a moment must not be sent its share twice.
+// Forget removes the record of a replica that has left. Its recent sends are kept as
+// by Warm: a replica that is delisted for a moment must not receive its share twice.
 func (p *Pacer) Forget(replica string) {
 	p.Warm(replica)
 }
 
-// IsCold reports whether replica is known to be cold.
+// IsCold reports whether replica is recorded as cold.
 func (p *Pacer) IsCold(replica string, now time.Duration) bool {
 	return p.coldAt(replica, now) != nil
 }
 
-// Allow reports whether a send to replica is allowed now and counts nothing.
-// Boxes are the names of all boxes of the region that may be alive or have sent
-// within the last window, this one included. A replica that isn't cold may
-// always be sent to.
+// Allow reports whether a send to replica is allowed now, without counting one.
+// The list has the names of all boxes of the region that may be alive or have sent
+// within the last window, including this one. Sends to replicas that aren't cold are
+// always allowed.
 func (p *Pacer) Allow(replica string, boxes []string, now time.Duration) bool {
 	return p.Next(replica, boxes, now) <= now
 }
 
-// Take counts a send to replica if it is allowed, and reports whether it is.
-// Boxes is as for Allow.
+// Take reports whether a send to replica is allowed, and counts it if so. It takes
+// the same list of boxes as Allow.
 func (p *Pacer) Take(replica string, boxes []string, now time.Duration) bool {
 	p.latest = max(p.latest, now)
 	if !p.Allow(replica, boxes, now) {
@@ -171,14 +165,13 @@
 		c.sends.add(now)
 		return true
 	}
-	p.Warm(replica) // its time may be over
-	p.warmHistory(replica).remember(now)
+	p.Warm(replica) // its record may have expired
+	p.warmHistory(replica).addBounded(now)
 	return true
 }
 
-// Sent notes that a send which was taken at a time is written only now: a new connection
-// may take a quarter of a second, of which the window has a tenth. The sends of a box are so
-// a window apart as they are written, too.
+// Sent records that a send allowed by Take at the time taken is written only now, for
+// example since its connection had to be opened. The send then counts from its write.
 func (p *Pacer) Sent(replica string, taken, now time.Duration) {
 	p.latest = max(p.latest, now)
 	if c := p.cold[replica]; c != nil {
@@ -188,9 +181,9 @@
 	p.warmHistory(replica).move(taken, now)
 }
 
-// Next returns the time of the next send that will be allowed to replica under
-// the same boxes: now, or a later time. A box without a share waits until the
-// replica is no longer cold.
+// Next returns the earliest time, from now on, at which a send to replica is allowed
+// under the same list of boxes. For a box without a share this is the time at which
+// the replica is no longer cold.
 func (p *Pacer) Next(replica string, boxes []string, now time.Duration) time.Duration {
 	c := p.coldAt(replica, now)
 	if c == nil {
@@ -205,7 +198,7 @@
 }
 
 // share returns how many sends to replica this box may make in a window.
-func (p *Pacer) share(replica string, c *cold, boxes []string) int {
+func (p *Pacer) share(replica string, c *coldReplica, boxes []string) int {
 	bound := max(0, c.perSecond*p.terms.Overage+p.terms.Slack)
 	senders := min(float64(len(boxes)), math.Floor(bound))
 	if senders < 1 {
@@ -218,8 +211,8 @@
 	return int(bound / senders)
 }
 
-// coldAt returns what is known of replica if it is cold now, otherwise nil.
-func (p *Pacer) coldAt(replica string, now time.Duration) *cold {
+// coldAt returns the record of replica if it is cold now, otherwise nil.
+func (p *Pacer) coldAt(replica string, now time.Duration) *coldReplica {
 	c := p.cold[replica]
 	if c == nil || now >= c.until {
 		return nil
@@ -227,7 +220,7 @@
 	return c
 }
 
-// warmHistory returns the remembered sends of a warm replica.
+// warmHistory returns the recent sends to a warm replica.
 func (p *Pacer) warmHistory(replica string) *history {
 	h, ok := p.warm.Get(replica)
 	if ok {
@@ -238,7 +231,7 @@
 	return h
 }
 
-// removeWarm takes the remembered sends of replica out of the warm ones.
+// removeWarm removes replica from the warm ones and returns its recent sends.
 func (p *Pacer) removeWarm(replica string) *history {
 	h, ok := p.warm.Peek(replica)
 	if !ok {
@@ -248,8 +241,7 @@
 	return h
 }
 
-// sweep moves the replicas whose time is over to the warm ones, so that replicas
-// nobody asks for any more don't pile up.
+// sweep moves the replicas whose record has expired to the warm ones.
 func (p *Pacer) sweep() {
 	for replica, c := range p.cold {
 		if p.latest >= c.until {
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -12,15 +12,15 @@
 
 const replica = "replica-1"
 
-// usual gives a bound of 6.3 at a rate of 2.2 a second.
-var usual = Terms{
+// testTerms give a bound of 6.3 sends at a rate of 2.2 a second.
+var testTerms = Terms{
 	Overage: 1.5,
 	Slack:   3,
 }
 
 const (
-	rate = 2.2
-	late = time.Hour
+	rate      = 2.2
+	farFuture = time.Hour
 )
 
 func ExamplePacer_Take() {
@@ -38,8 +38,8 @@
 	// 275ms
 }
 
-// greedy asks every millisecond in [from, to) and returns the times allowed.
-func greedy(p *Pacer, boxes []string, from, to time.Duration) []time.Duration {
+// takeEveryMillisecond calls Take in [from, to) and returns the times allowed.
+func takeEveryMillisecond(p *Pacer, boxes []string, from, to time.Duration) []time.Duration {
 	var sent []time.Duration
 	for now := from; now < to; now += time.Millisecond {
 		if p.Take(replica, boxes, now) {
@@ -57,22 +57,18 @@
 	return out
 }
 
-// On a day of large configurations a new connection took 241 ms, of which the window of 1.1 s
-// has 100. The next send of the same box was written 0.87 s after the one before, and a cold
-// replica that bears 6 requests in a second got 7. Lines of two boxes:
-//
-//	"kind":"place","sharers":20,"upstream":"i-..."
-//	"kind":"try","sent_ms":241,"upstream":"i-..."
+// Guards against a cold replica that receives more than its bound because a slow
+// connection delays the write of a send beyond the slack of the window.
 func TestASendThatIsWrittenLateCountsFromThen(t *testing.T) {
 	is := is.New(t)
 	boxes := names(40)
-	p := New(rendezvous.Top(replica, boxes, 1)[0], usual) // it has a share of one
-	p.Cold(replica, rate, late)
+	p := New(rendezvous.Top(replica, boxes, 1)[0], testTerms) // has a share of one
+	p.Cold(replica, rate, farFuture)
 	from := 10 * time.Second
 	is.True(p.Take(replica, boxes, from))
 	written := from + 241*time.Millisecond
 	p.Sent(replica, from, written)
-	is.Equal(greedy(p, boxes, written, written+2*window), []time.Duration{written + window}) // the second one is two windows later
+	is.Equal(takeEveryMillisecond(p, boxes, written, written+2*window), []time.Duration{written + window}) // the second one is two windows later
 }
 
 func TestAColdReplicaIsUsed(t *testing.T) {
@@ -80,9 +76,9 @@
 	boxes := names(3)
 	total := 0
 	for _, name := range boxes {
-		p := New(name, usual)
-		p.Cold(replica, rate, late)
-		total += len(greedy(p, boxes, 10*time.Second, 20*time.Second))
+		p := New(name, testTerms)
+		p.Cold(replica, rate, farFuture)
+		total += len(takeEveryMillisecond(p, boxes, 10*time.Second, 20*time.Second))
 	}
 	t.Logf("%d sends in 10 s", total)
 	is.True(total >= 40)
@@ -96,9 +92,9 @@
 			boxes := names(n)
 			senders, total := 0, 0
 			for _, name := range boxes {
-				p := New(name, usual)
-				p.Cold(replica, rate, late)
-				sent := len(greedy(p, boxes, 10*time.Second, 10*time.Second+window))
+				p := New(name, testTerms)
+				p.Cold(replica, rate, farFuture)
+				sent := len(takeEveryMillisecond(p, boxes, 10*time.Second, 10*time.Second+window))
 				total += sent
 				senders += min(sent, 1)
 			}
@@ -113,7 +109,7 @@
 	is := is.New(t)
 	boxes := names(9)
 	last := rendezvous.Rank(replica, boxes)[8]
-	p := New(last, usual)
+	p := New(last, testTerms)
 	p.Cold(replica, rate, 20*time.Second)
 	is.Equal(p.Next(replica, boxes, 10*time.Second), 20*time.Second)
 	is.True(!p.Take(replica, boxes, 10*time.Second))
@@ -126,35 +122,35 @@
 		Overage: 1.5,
 		Slack:   0,
 	})
-	p.Cold(replica, 0.5, late)
-	is.Equal(p.Next(replica, []string{"a"}, 10*time.Second), late)
-	p.SetTerms(usual)
+	p.Cold(replica, 0.5, farFuture)
+	is.Equal(p.Next(replica, []string{"a"}, 10*time.Second), farFuture)
+	p.SetTerms(testTerms)
 	is.True(p.Allow(replica, []string{"a"}, 10*time.Second))
 }
 
 func TestNoBoxesAllowNothing(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual)
-	p.Cold(replica, rate, late)
+	p := New("a", testTerms)
+	p.Cold(replica, rate, farFuture)
 	is.True(!p.Allow(replica, nil, 10*time.Second))
 	is.True(!p.Allow(replica, []string{"b"}, 10*time.Second))
 }
 
 func TestANewBoxWaitsForOneWindow(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual, WithStart(5*time.Second))
+	p := New("a", testTerms, WithStart(5*time.Second))
 	boxes := []string{"a"}
 	is.True(p.Take("other", boxes, 5*time.Second)) // not cold
-	p.Cold(replica, rate, late)
+	p.Cold(replica, rate, farFuture)
 	is.Equal(p.Next(replica, boxes, 5*time.Second), 5*time.Second+window)
-	is.Equal(greedy(p, boxes, 5*time.Second, 7*time.Second)[0], 5*time.Second+window)
+	is.Equal(takeEveryMillisecond(p, boxes, 5*time.Second, 7*time.Second)[0], 5*time.Second+window)
 }
 
 func TestSendsAreSpread(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual)
-	p.Cold(replica, rate, late)
-	sent := greedy(p, []string{"a"}, 10*time.Second, 20*time.Second)
+	p := New("a", testTerms)
+	p.Cold(replica, rate, farFuture)
+	sent := takeEveryMillisecond(p, []string{"a"}, 10*time.Second, 20*time.Second)
 	for i := range len(sent) - 1 {
 		is.True(sent[i+1]-sent[i] >= window/12)
 	}
@@ -162,8 +158,8 @@
 
 func TestNextIsWhenTakeIsAllowed(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual)
-	p.Cold(replica, rate, late)
+	p := New("a", testTerms)
+	p.Cold(replica, rate, farFuture)
 	boxes := []string{"a", "b"}
 	now := 10 * time.Second
 	for range 20 {
@@ -177,8 +173,8 @@
 
 func TestAllowCountsNothing(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual)
-	p.Cold(replica, rate, late)
+	p := New("a", testTerms)
+	p.Cold(replica, rate, farFuture)
 	for range 20 {
 		is.True(p.Allow(replica, []string{"a"}, 10*time.Second))
 	}
@@ -186,7 +182,7 @@
 
 func TestTheLaterUntilStays(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual)
+	p := New("a", testTerms)
 	p.Cold(replica, rate, 20*time.Second)
 	p.Cold(replica, rate, 15*time.Second)
 	is.True(p.IsCold(replica, 19*time.Second))
@@ -199,15 +195,15 @@
 	for _, n := range []int{1, 5, 6, 8, 9, 30} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			p := New("a", usual)
+			p := New("a", testTerms)
 			boxes := []string{"a"}
 			now := 10 * time.Second
 			for range n {
 				is.True(p.Take(replica, boxes, now))
 			}
 			now += 500 * time.Millisecond
-			p.Cold(replica, rate, late)
-			sent := greedy(p, boxes, now, 10*time.Second+window)
+			p.Cold(replica, rate, farFuture)
+			sent := takeEveryMillisecond(p, boxes, now, 10*time.Second+window)
 			is.Equal(len(sent), max(0, 6-n))
 			is.True(p.Allow(replica, boxes, 10*time.Second+window))
 		})
@@ -216,14 +212,14 @@
 
 func TestMoreSendsThanAreRememberedCountAsAFullShare(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual)
+	p := New("a", testTerms)
 	boxes := []string{"a"}
 	now := 10 * time.Second
-	for range 2 * maxRemembered {
+	for range 2 * maxWarmSends {
 		is.True(p.Take(replica, boxes, now))
 		now += 10 * time.Millisecond
 	}
-	p.Cold(replica, 100, late) // a share of 153
+	p.Cold(replica, 100, farFuture) // a share of 153
 	lost := 10*time.Second + 70*time.Millisecond
 	is.Equal(p.Next(replica, boxes, now), lost+window)
 }
@@ -231,32 +227,32 @@
 func TestSendsCountAcrossWarmAndForget(t *testing.T) {
 	for _, drop := range []func(*Pacer, string){(*Pacer).Warm, (*Pacer).Forget} {
 		is := is.New(t)
-		p := New("a", usual)
+		p := New("a", testTerms)
 		boxes := []string{"a"}
-		p.Cold(replica, rate, late)
-		is.Equal(len(greedy(p, boxes, 10*time.Second, 11*time.Second)), 6)
+		p.Cold(replica, rate, farFuture)
+		is.Equal(len(takeEveryMillisecond(p, boxes, 10*time.Second, 11*time.Second)), 6)
 		drop(p, replica)
 		is.True(p.Allow(replica, boxes, 11*time.Second))
-		p.Cold(replica, rate, late)
+		p.Cold(replica, rate, farFuture)
 		is.True(!p.Allow(replica, boxes, 11*time.Second))
 	}
 }
 
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
-	p := New("a", usual)
+	p := New("a", testTerms)
 	for n := range 3 * maxWarm {
 		name := fmt.Sprint(n)
 		now := time.Duration(n) * time.Second
 		p.Cold(name, rate, now+time.Second)
 		is.True(p.Take(name, []string{"a"}, now+2*time.Second))
-		for range 2 * maxRemembered {
+		for range 2 * maxWarmSends {
 			is.True(p.Take(name, []string{"a"}, now+2*time.Second))
 		}
 	}
 	is.Equal(len(p.cold), 0)
 	is.Equal(p.warm.Len(), maxWarm)
 	for _, h := range p.warm.Values() {
-		is.True(len(h.times) <= maxRemembered)
+		is.True(len(h.times) <= maxWarmSends)
 	}
 }
