--- a/pacing/fuzz_test.go
+++ b/pacing/fuzz_test.go
@@ -23,7 +23,7 @@
 
 // pendingSend is an allowed send that waits for its connection.
 type pendingSend struct {
-	taken   time.Duration
+	sent    time.Duration // at its Take
 	writeAt time.Duration
 	cold    bool // whether the replica was cold at Take
 }
@@ -31,17 +31,17 @@
 // send is one request as the replica receives it.
 type send struct {
 	box        int
-	written    time.Duration
+	sent       time.Duration // at its write
 	arrived    time.Duration
 	cold       bool
 	writeDelay time.Duration
 }
 
 // takenAt returns the time of the send's Take.
-func (s send) takenAt() time.Duration { return s.written - s.writeDelay }
+func (s send) takenAt() time.Duration { return s.sent - s.writeDelay }
 
-// maxSendsPerSecond returns the maximum number of sends in any second; sends are in the order
-// of their writes. Of each box with a send while the replica was cold, all sends up to
+// maxSendsPerSecond returns the maximum number of sends in any second; sends are in order
+// of time. Of each box with a send while the replica was cold, all sends up to
 // its last such send count, including those just before the replica turned cold.
 func maxSendsPerSecond(sends []send) int {
 	most := 0
@@ -49,11 +49,11 @@
 	for _, first := range sends {
 		var last [maxBoxes]time.Duration
 		var within []send
-		for sends[from].written < first.written-maxDelayMs*time.Millisecond {
-			from++ // arrived before first was written
+		for sends[from].sent < first.sent-maxDelayMs*time.Millisecond {
+			from++ // arrived before first was sent
 		}
 		for _, s := range sends[from:] {
-			if s.written > first.arrived+time.Second {
+			if s.sent > first.arrived+time.Second {
 				break
 			}
 			if s.arrived < first.arrived || s.arrived > first.arrived+time.Second {
@@ -93,7 +93,7 @@
 	boxes [maxBoxes]box
 	cold  bool
 	sends []send
-	taken int // sends, including pending ones
+	sent  int // sends, including pending ones
 }
 
 func newRegion(t *rapid.T) *region {
@@ -210,10 +210,10 @@
 	if !b.pacer.Take(replica, r.listedBoxes(i), r.now-b.startedAt) {
 		return
 	}
-	r.taken++
+	r.sent++
 	b.pending = append(b.pending, pendingSend{
-		taken:   r.now,
-		writeAt: r.now + time.Duration(r.taken*r.taken%maxWriteTicks)*tick*time.Duration(r.taken%2),
+		sent:    r.now,
+		writeAt: r.now + time.Duration(r.sent*r.sent%maxWriteTicks)*tick*time.Duration(r.sent%2),
 		cold:    r.cold,
 	})
 	r.writePending(i)
@@ -226,14 +226,14 @@
 		if u.writeAt > r.now {
 			return false
 		}
-		b.pacer.Sent(replica, u.taken-b.startedAt, r.now-b.startedAt)
+		b.pacer.Sent(replica, u.sent-b.startedAt, r.now-b.startedAt)
 		took := time.Duration(len(r.sends)*37%(maxDelayMs+1)) * time.Millisecond
 		r.sends = append(r.sends, send{
 			box:        i,
-			written:    r.now,
+			sent:       r.now,
 			arrived:    r.now + took,
 			cold:       u.cold,
-			writeDelay: r.now - u.taken,
+			writeDelay: r.now - u.sent,
 		})
 		return true
 	})
@@ -262,7 +262,7 @@
 	at := func(box int, ms time.Duration, cold bool) send {
 		return send{
 			box:     box,
-			written: ms * time.Millisecond,
+			sent:    ms * time.Millisecond,
 			arrived: ms * time.Millisecond,
 			cold:    cold,
 		}
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -50,8 +50,8 @@
 	Slack float64
 }
 
-// coldReplica is the record of a cold replica.
-type coldReplica struct {
+// cold is the record of a cold replica.
+type cold struct {
 	perSecond float64
 	until     time.Duration
 	sends     *history
@@ -63,7 +63,7 @@
 	terms  Terms
 	start  time.Duration
 	latest time.Duration
-	cold   map[string]*coldReplica
+	cold   map[string]*cold
 	warm   *simplelru.LRU[string, *history]
 }
 
@@ -88,7 +88,7 @@
 	p := &Pacer{
 		self:  self,
 		terms: terms,
-		cold:  make(map[string]*coldReplica),
+		cold:  make(map[string]*cold),
 		warm:  warm,
 	}
 	for _, opt := range opts {
@@ -114,7 +114,7 @@
 	c := p.cold[replica]
 	if c == nil {
 		p.sweep()
-		c = &coldReplica{
+		c = &cold{
 			sends: p.removeWarm(replica),
 		}
 		p.cold[replica] = c
@@ -198,7 +198,7 @@
 }
 
 // share returns how many sends to replica this box may make in a window.
-func (p *Pacer) share(replica string, c *coldReplica, boxes []string) int {
+func (p *Pacer) share(replica string, c *cold, boxes []string) int {
 	bound := max(0, c.perSecond*p.terms.Overage+p.terms.Slack)
 	senders := min(float64(len(boxes)), math.Floor(bound))
 	if senders < 1 {
@@ -212,7 +212,7 @@
 }
 
 // coldAt returns the record of replica if it is cold now, otherwise nil.
-func (p *Pacer) coldAt(replica string, now time.Duration) *coldReplica {
+func (p *Pacer) coldAt(replica string, now time.Duration) *cold {
 	c := p.cold[replica]
 	if c == nil || now >= c.until {
 		return nil
