--- a/meter/count.go
+++ b/meter/count.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Values of the label result.
+// Values of the result label.
 const (
-	resultTaken   = "taken"
-	resultPaced   = "paced"
-	resultRefused = "refused"
+	resultAllowed     = "taken"
+	resultRateLimited = "paced"
+	resultRefused     = "refused"
 )
 
-// Request counts a request that ended.
+// Request counts a completed request.
 func (m *Meter) Request(service, outcome string) { m.requests.WithLabelValues(service, outcome).Inc() }
 
-// Try counts a try that ended.
-func (m *Meter) Try(service, outcome string) { m.tries.WithLabelValues(service, outcome).Inc() }
+// Try counts a completed attempt.
+func (m *Meter) Try(service, outcome string) { m.attempts.WithLabelValues(service, outcome).Inc() }
 
-// RepeatTaken counts a repeated try that the retry budget allowed.
-func (m *Meter) RepeatTaken() { m.repeats.WithLabelValues(resultTaken).Inc() }
+// RepeatTaken counts a retry that the retry budget allowed.
+func (m *Meter) RepeatTaken() { m.retries.WithLabelValues(resultAllowed).Inc() }
 
-// RepeatRefused counts a repeated try that the retry budget refused.
-func (m *Meter) RepeatRefused() { m.repeats.WithLabelValues(resultRefused).Inc() }
+// RepeatRefused counts a retry that the retry budget refused.
+func (m *Meter) RepeatRefused() { m.retries.WithLabelValues(resultRefused).Inc() }
 
-// ColdSendPaced counts a send to a cold replica that was delayed.
-func (m *Meter) ColdSendPaced() { m.coldSends.WithLabelValues(resultPaced).Inc() }
+// ColdSendPaced counts a send to a cold replica that was rate-limited.
+func (m *Meter) ColdSendPaced() { m.coldSends.WithLabelValues(resultRateLimited).Inc() }
 
 // ColdSendRefused counts a send to a cold replica that was refused.
 func (m *Meter) ColdSendRefused() { m.coldSends.WithLabelValues(resultRefused).Inc() }
@@ -30,7 +30,7 @@
 // Refusal counts a refused request.
 func (m *Meter) Refusal(reason string) { m.refusals.WithLabelValues(reason).Inc() }
 
-// Quota counts units of an organisation's quota that a request took or was refused.
+// Quota counts units of an organisation's quota that a request used or was refused.
 func (m *Meter) Quota(organisation string, units float64, taken bool) {
 	result := "refused"
 	if taken {
@@ -39,33 +39,33 @@
 	m.quota.WithLabelValues(organisation, result).Add(units)
 }
 
-// Forward counts a request that was handed to another region.
+// Forward counts a request that was forwarded to another region.
 func (m *Meter) Forward(region, outcome string) { m.forwards.WithLabelValues(region, outcome).Inc() }
 
-// Resumed counts a broken stream that went on elsewhere.
-func (m *Meter) Resumed() { m.resumed.Inc() }
+// Resumed counts a broken stream that was resumed.
+func (m *Meter) Resumed() { m.resumedStreams.Inc() }
 
-// StoreCall counts a call of the store.
-func (m *Meter) StoreCall(kind, result string) { m.store.WithLabelValues(kind, result).Inc() }
+// StoreCall counts a call to the store.
+func (m *Meter) StoreCall(kind, result string) { m.storeCalls.WithLabelValues(kind, result).Inc() }
 
-// Account counts a question to an engine for its load.
+// Account counts a usage report requested from an engine.
 func (m *Meter) Account(answered bool) {
 	result := "ok"
 	if !answered {
 		result = "failed"
 	}
-	m.accounts.WithLabelValues(result).Inc()
+	m.usageReports.WithLabelValues(result).Inc()
 }
 
-// Dial counts a connection opened to an upstream.
+// Dial counts a connection that is opened to an upstream.
 func (m *Meter) Dial() { m.dials.Inc() }
 
-// ForeignEntry counts an entry of the store that names no replica.
-func (m *Meter) ForeignEntry() { m.foreign.Inc() }
+// ForeignEntry counts an entry of the store that does not name a replica.
+func (m *Meter) ForeignEntry() { m.foreignEntries.Inc() }
 
 // FirstByte observes the time from a request to the first byte of its answer.
 func (m *Meter) FirstByte(service string, d time.Duration) {
-	m.first.WithLabelValues(service).Observe(d.Seconds())
+	m.firstByte.WithLabelValues(service).Observe(d.Seconds())
 }
 
 // Answer observes the time from a request to the end of its answer.
@@ -73,12 +73,11 @@
 	m.answer.WithLabelValues(service).Observe(d.Seconds())
 }
 
-// Trial counts a run of a request on trial.
+// Trial counts a trial run of a request.
 func (m *Meter) Trial() { m.trials.Inc() }
 
-// Cleared counts a request under which replicas had ended and that one then answered
-// whole.
+// Cleared counts a request that was cleared by a complete response.
 func (m *Meter) Cleared() { m.cleared.Inc() }
 
-// Suspended adds a time for which the machine was suspended.
+// Suspended adds a period for which the machine was suspended.
 func (m *Meter) Suspended(d time.Duration) { m.suspended.Add(d.Seconds()) }
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,6 +1,6 @@
-// Package meter counts what a box does and serves the figures in Prometheus'
-// text format. Labels hold names from the policy and the constants of this
-// project only: a text that a caller chose would let the number of series grow.
+// Package meter holds the metrics of a box and serves them in Prometheus' text
+// format. Label values come from the policy and from constants only, since values
+// that callers choose would create an unbounded number of series.
 package meter
 
 import (
@@ -11,40 +11,38 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// namespace begins the name of each metric.
 const namespace = "havenrudder"
 
-// Buckets of the latency histograms, in seconds. A service keeps one series a
-// bucket, so there are few: from a local answer to the longest deadline.
+// Buckets of the latency histograms, in seconds. Each service has one series per bucket.
 var (
-	firstBuckets  = []float64{.05, .2, .5, 1, 2, 4, 8, 20}
-	answerBuckets = []float64{.1, .5, 1, 2, 5, 10, 30, 60, 120}
+	firstByteBuckets = []float64{.05, .2, .5, 1, 2, 4, 8, 20}
+	answerBuckets    = []float64{.1, .5, 1, 2, 5, 10, 30, 60, 120}
 )
 
 // Meter holds the metrics of one box in a registry of its own.
 type Meter struct {
 	registry *prometheus.Registry
 
-	requests  *prometheus.CounterVec
-	tries     *prometheus.CounterVec
-	repeats   *prometheus.CounterVec
-	coldSends *prometheus.CounterVec
-	refusals  *prometheus.CounterVec
-	quota     *prometheus.CounterVec
-	forwards  *prometheus.CounterVec
-	resumed   prometheus.Counter
-	store     *prometheus.CounterVec
-	accounts  *prometheus.CounterVec
-	foreign   prometheus.Counter
-	dials     prometheus.Counter
-	cleared   prometheus.Counter
-	trials    prometheus.Counter
-	suspended prometheus.Counter
-	first     *prometheus.HistogramVec
-	answer    *prometheus.HistogramVec
+	requests       *prometheus.CounterVec
+	attempts       *prometheus.CounterVec
+	retries        *prometheus.CounterVec
+	coldSends      *prometheus.CounterVec
+	refusals       *prometheus.CounterVec
+	quota          *prometheus.CounterVec
+	forwards       *prometheus.CounterVec
+	resumedStreams prometheus.Counter
+	storeCalls     *prometheus.CounterVec
+	usageReports   *prometheus.CounterVec
+	foreignEntries prometheus.Counter
+	dials          prometheus.Counter
+	cleared        prometheus.Counter
+	trials         prometheus.Counter
+	suspended      prometheus.Counter
+	firstByte      *prometheus.HistogramVec
+	answer         *prometheus.HistogramVec
 }
 
-// Option adds a metric that is read from a function when the metrics are served.
+// Option adds a metric whose value a function returns when the metrics are served.
 type Option func(*Meter)
 
 // WithCatalogAge serves the age of the catalog.
@@ -54,22 +52,21 @@
 	}
 }
 
-// WithBoxesAlive serves how many boxes are believed to be alive.
+// WithBoxesAlive serves the number of boxes that are considered alive.
 func WithBoxesAlive(n func() int) Option {
 	return func(m *Meter) {
 		m.gauge("alive_boxes", "Boxes believed to be alive.", func() float64 { return float64(n()) })
 	}
 }
 
-// WithSharingBoxes serves among how many boxes the quotas of the region are shared.
+// WithSharingBoxes serves the number of boxes that share the quotas of the region.
 func WithSharingBoxes(n func() int) Option {
 	return func(m *Meter) {
 		m.gauge("sharing_boxes", "Boxes of the region among which its quotas are shared.", func() float64 { return float64(n()) })
 	}
 }
 
-// WithDroppedLines serves how many lines the log of decisions has dropped since
-// the start.
+// WithDroppedLines serves the number of lines that the decision log has dropped.
 func WithDroppedLines(n func() int64) Option {
 	return func(m *Meter) {
 		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
@@ -80,42 +77,41 @@
 	}
 }
 
-// WithQuarantinedRequests serves how many requests are turned away because replicas ended under
-// them.
+// WithQuarantinedRequests serves the number of quarantined requests.
 func WithQuarantinedRequests(n func() int) Option {
 	return func(m *Meter) {
 		m.gauge("quarantined_requests", "Requests that are turned away because replicas ended under them.", func() float64 { return float64(n()) })
 	}
 }
 
-// WithLeaseAge serves how long ago the policy in force surely was the newest.
+// WithLeaseAge serves the time since the policy in force was confirmed as the newest.
 func WithLeaseAge(age func() time.Duration) Option {
 	return func(m *Meter) {
 		m.gauge("lease_age_seconds", "Time since the policy in force surely was the newest.", func() float64 { return age().Seconds() })
 	}
 }
 
-// New returns metrics that all start at zero.
+// New returns metrics whose counters are zero.
 func New(opts ...Option) *Meter {
 	m := &Meter{
 		registry: prometheus.NewRegistry(),
 	}
 	m.requests = m.counters("requests_total", "Requests of callers by service and outcome.", "service", "outcome")
-	m.tries = m.counters("tries_total", "Tries at upstreams by service and outcome.", "service", "outcome")
-	m.repeats = m.counters("repeats_total", "Repeated tries that the retry budget allowed or refused.", "result")
+	m.attempts = m.counters("tries_total", "Tries at upstreams by service and outcome.", "service", "outcome")
+	m.retries = m.counters("repeats_total", "Repeated tries that the retry budget allowed or refused.", "result")
 	m.coldSends = m.counters("cold_sends_total", "Sends to cold replicas that were paced or refused.", "result")
 	m.refusals = m.counters("refusals_total", "Refused requests by reason.", "reason")
 	m.quota = m.counters("quota_units_total", "Units of organisations' quotas that were let through or refused here.", "organisation", "result")
 	m.forwards = m.counters("forwards_total", "Requests handed to another region by outcome.", "region", "outcome")
-	m.resumed = m.counter("resumed_streams_total", "Broken streams that went on elsewhere.")
-	m.store = m.counters("store_calls_total", "Calls of the store by kind and result.", "kind", "result")
-	m.accounts = m.counters("engine_accounts_total", "Questions to engines for their load by result.", "result")
-	m.foreign = m.counter("foreign_entries_total", "Entries of the store that name no replica, once for each revision.")
+	m.resumedStreams = m.counter("resumed_streams_total", "Broken streams that went on elsewhere.")
+	m.storeCalls = m.counters("store_calls_total", "Calls of the store by kind and result.", "kind", "result")
+	m.usageReports = m.counters("engine_accounts_total", "Questions to engines for their load by result.", "result")
+	m.foreignEntries = m.counter("foreign_entries_total", "Entries of the store that name no replica, once for each revision.")
 	m.trials = m.counter("trial_runs_total", "Runs of requests that ended the same replicas as others, apart from these.")
 	m.cleared = m.counter("cleared_requests_total", "Requests under which replicas had ended and that one then answered whole.")
 	m.suspended = m.counter("suspended_seconds_total", "Time for which the machine was suspended while this process ran.")
 	m.dials = m.counter("upstream_dials_total", "Connections opened to upstreams.")
-	m.first = m.histograms("first_byte_seconds", "Time to the first byte of an answer.", firstBuckets)
+	m.firstByte = m.histograms("first_byte_seconds", "Time to the first byte of an answer.", firstByteBuckets)
 	m.answer = m.histograms("answer_seconds", "Time to the end of an answer.", answerBuckets)
 	for _, opt := range opts {
 		opt(m)
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -29,8 +29,8 @@
 	// havenrudder_refusals_total{reason="overload"} 1
 }
 
-// used returns a meter on which each method was called.
-func used() *Meter {
+// meterWithAllMetrics returns a meter with a value for each metric that the tests check.
+func meterWithAllMetrics() *Meter {
 	m := New(
 		WithCatalogAge(func() time.Duration { return 1500 * time.Millisecond }),
 		WithBoxesAlive(func() int { return 3 }),
@@ -71,7 +71,7 @@
 
 func TestEachMetricIsServed(t *testing.T) {
 	is := is.New(t)
-	lines := scrape(is, used())
+	lines := scrape(is, meterWithAllMetrics())
 	for _, want := range []string{
 		`havenrudder_requests_total{outcome="served",service="chat"} 2`,
 		`havenrudder_tries_total{outcome="broken",service="chat"} 1`,
@@ -106,7 +106,7 @@
 func TestEachNameEndsInItsUnit(t *testing.T) {
 	is := is.New(t)
 	names := 0
-	for _, line := range scrape(is, used()) {
+	for _, line := range scrape(is, meterWithAllMetrics()) {
 		rest, ok := strings.CutPrefix(line, "# TYPE ")
 		if !ok {
 			continue
@@ -122,6 +122,6 @@
 
 func TestAMeterCountsForItselfAlone(t *testing.T) {
 	is := is.New(t)
-	used()
-	is.Equal(len(scrape(is, New())), 6*3) // only the six counters without labels are there, at zero
+	meterWithAllMetrics()
+	is.Equal(len(scrape(is, New())), 6*3) // the six counters without labels
 }
