--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,8 +1,8 @@
-// Package admission decides whether a box takes a request now. It is pure.
+// Package admission decides whether a box admits a request. It does no I/O.
 //
-// Shares are kept without boxes talking: each box knows its own requests by
-// priority and organisation and takes the others of its failure domain to have
-// the same mix, for callers are spread over them by hash.
+// Boxes keep the shares of priorities and organisations without coordination: each
+// box counts its own requests and assumes that the other boxes of its failure domain
+// have the same mix, since callers are spread over them by hash.
 package admission
 
 import (
@@ -11,125 +11,125 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Code says why a request was refused.
+// Code is the reason for which a request is refused.
 type Code string
 
-// Codes of refusal.
+// Codes of refusals.
 const (
 	None         Code = ""
-	NoCapacity   Code = "no_capacity"   // no slot is free
-	ShareReached Code = "share_reached" // the organisation holds its share while others wait
-	Reserved     Code = "reserved"      // what is left is kept for other priorities
-	NotInvited   Code = "not_invited"   // what is left is kept for the region's own callers
+	NoCapacity   Code = "no_capacity"   // the limit of requests is reached
+	ShareReached Code = "share_reached" // the organisation uses its share while capacity is contended
+	Reserved     Code = "reserved"      // the free slots are reserved for other priorities
+	NotInvited   Code = "not_invited"   // the free slots are reserved for callers of this region
 )
 
 const (
-	contended  = 0.7                    // share of capacity in use from which shares of organisations bind
-	invited    = 0.8                    // share of slots in use up to which other regions' requests are taken
-	minRetry   = 100 * time.Millisecond // shortest time a refused caller is told to stay away
-	maxRetry   = 5 * time.Second
-	retryPrice = 10 // first tries that pay for one retry
-	retryBurst = 10 // retries that may be saved up
+	contendedUtilization  = 0.7 // used part of the limit from which shares of organisations apply
+	maxForeignUtilization = 0.8 // used part of the slots below which requests of other regions are admitted
+	minRetryAfter         = 100 * time.Millisecond
+	maxRetryAfter         = 5 * time.Second
+	requestsPerRetry      = 10 // admitted requests that earn one retry
+	retryBurst            = 10 // maximum number of retries that may accumulate
 )
 
-// Capacity is what a box believes of the replicas of a service.
+// Capacity is a box's estimate of the capacity of a service's replicas.
 type Capacity struct {
-	Limit   int  // requests that all replicas together are given
-	Slots   int  // requests they run at once
-	Used    int  // requests there now, as believed
-	Boxes   int  // serving boxes that share them, this one included
-	Foreign bool // the request comes from another region
+	Limit   int  // requests that may be sent to all replicas together
+	Slots   int  // requests that the replicas run concurrently
+	Used    int  // estimated requests in flight
+	Boxes   int  // serving boxes that share the replicas, including this one
+	Foreign bool // whether the request comes from another region
 }
 
-// Limiter counts the requests of one service on one box. It belongs to one
-// actor.
+// Limiter counts the requests of one service on one box. It is not safe for
+// concurrent use.
 type Limiter struct {
-	byPriority map[string]int
-	byOrg      map[string]int
-	total      int
-	saved      int // first tries that no retry was paid with
+	byPriority  map[string]int
+	byOrg       map[string]int
+	inFlight    int
+	retryCredit int // in requests; requestsPerRetry of them allow one retry
 }
 
-// NewLimiter returns a limiter with nothing in flight.
+// NewLimiter returns a limiter with no requests in flight.
 func NewLimiter() *Limiter {
 	return &Limiter{
-		byPriority: make(map[string]int),
-		byOrg:      make(map[string]int),
-		saved:      retryBurst * retryPrice,
+		byPriority:  make(map[string]int),
+		byOrg:       make(map[string]int),
+		retryCredit: retryBurst * requestsPerRetry,
 	}
 }
 
-// Admit says whether a request of org may be taken; it does not count it.
+// Admit decides whether a request of org is admitted, without counting it.
 func (l *Limiter) Admit(org wire.Organisation, priorities []wire.Priority, c Capacity) Code {
 	boxes := max(c.Boxes, 1)
 	if c.Used >= c.Limit {
 		return NoCapacity
 	}
-	if c.Foreign && float64(c.Used) >= invited*float64(c.Slots) {
+	if c.Foreign && float64(c.Used) >= maxForeignUtilization*float64(c.Slots) {
 		return NotInvited
 	}
-	if c.Used+1 > c.Limit-l.keptFromOthers(org.Priority, priorities, c.Limit, boxes) {
+	if c.Used+1 > c.Limit-l.reservedForOthers(org.Priority, priorities, c.Limit, boxes) {
 		return Reserved
 	}
-	busy := float64(c.Used) >= contended*float64(c.Limit)
+	busy := float64(c.Used) >= contendedUtilization*float64(c.Limit)
 	if busy && float64((l.byOrg[org.Name]+1)*boxes) > max(org.Share*float64(c.Limit), float64(boxes)) {
 		return ShareReached
 	}
 	return None
 }
 
-// keptFromOthers returns how many slots are reserved for priorities other than
-// own and not in use by them.
-func (l *Limiter) keptFromOthers(own string, priorities []wire.Priority, limit, boxes int) int {
-	kept := 0
+// reservedForOthers returns the number of free slots that are reserved for priorities
+// other than own.
+func (l *Limiter) reservedForOthers(own string, priorities []wire.Priority, limit, boxes int) int {
+	reserved := 0
 	for _, p := range priorities {
 		if p.Name == own {
 			continue
 		}
 		free := int(p.ReservedShare*float64(limit)) - l.byPriority[p.Name]*boxes
-		kept += max(free, 0)
+		reserved += max(free, 0)
 	}
-	return kept
+	return reserved
 }
 
-// Begin counts an admitted request in.
+// Begin counts the start of an admitted request.
 func (l *Limiter) Begin(org wire.Organisation) {
-	l.total++
+	l.inFlight++
 	l.byPriority[org.Priority]++
 	l.byOrg[org.Name]++
-	l.saved = min(l.saved+1, retryBurst*retryPrice)
+	l.retryCredit = min(l.retryCredit+1, retryBurst*requestsPerRetry)
 }
 
-// End counts a request out.
+// End counts the end of an admitted request.
 func (l *Limiter) End(org wire.Organisation) {
-	l.total--
-	drop(l.byPriority, org.Priority)
-	drop(l.byOrg, org.Name)
+	l.inFlight--
+	decrement(l.byPriority, org.Priority)
+	decrement(l.byOrg, org.Name)
 }
 
-func drop(m map[string]int, key string) {
+func decrement(m map[string]int, key string) {
 	m[key]--
 	if m[key] == 0 {
 		delete(m, key)
 	}
 }
 
-// Retry takes one retry from the budget; false means that there is none left.
+// Retry takes one retry from the budget and reports whether one was left.
 func (l *Limiter) Retry() bool {
-	if l.saved < retryPrice {
+	if l.retryCredit < requestsPerRetry {
 		return false
 	}
-	l.saved -= retryPrice
+	l.retryCredit -= requestsPerRetry
 	return true
 }
 
-// InFlight returns the requests counted in and not out.
-func (l *Limiter) InFlight() int { return l.total }
+// InFlight returns the number of requests that have begun and not ended.
+func (l *Limiter) InFlight() int { return l.inFlight }
 
-// RetryAfter returns when a refused caller should come back: after the expected
-// wait, spread by a number from 0 up to 1 that differs between callers so that
-// they don't return as one.
+// RetryAfter returns the time after which a refused caller should retry: the expected
+// wait, lengthened by spread, a random number in [0, 1), so that callers don't retry
+// at once.
 func RetryAfter(wait time.Duration, spread float64) time.Duration {
-	d := min(max(wait, minRetry), maxRetry)
+	d := min(max(wait, minRetryAfter), maxRetryAfter)
 	return d + time.Duration(spread*float64(d))
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -62,7 +62,7 @@
 	}), ShareReached)
 }
 
-func TestAnotherRegionIsTakenOnlyWhileThereIsRoom(t *testing.T) {
+func TestRequestsOfOtherRegionsAreAdmittedOnlyWithSpareCapacity(t *testing.T) {
 	is := is.New(t)
 	c := Capacity{
 		Limit: 15,
@@ -76,8 +76,7 @@
 	is.Equal(l.Admit(org("o", "app", 1), nil, c), NotInvited)
 }
 
-// TestTheReservedShareStaysFreeForItsPriority lets one box take whatever it
-// admits; the line must find its share whatever the others did.
+// Guards against requests of other priorities that use up the reserved share of one.
 func TestTheReservedShareStaysFreeForItsPriority(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLimiter()
@@ -128,7 +127,7 @@
 	})
 }
 
-func TestRetriesAreAShareOfFirstTries(t *testing.T) {
+func TestRetriesAreAShareOfFirstAttempts(t *testing.T) {
 	is := is.New(t)
 	l := NewLimiter()
 	o := org("o", "app", 1)
@@ -153,7 +152,7 @@
 
 func TestARefusedCallerComesBackWithinBounds(t *testing.T) {
 	is := is.New(t)
-	is.Equal(RetryAfter(0, 0), minRetry)
-	is.Equal(RetryAfter(time.Hour, 0), maxRetry)
+	is.Equal(RetryAfter(0, 0), minRetryAfter)
+	is.Equal(RetryAfter(time.Hour, 0), maxRetryAfter)
 	is.Equal(RetryAfter(time.Second, 0.5), 1500*time.Millisecond)
 }
