--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,90 +1,84 @@
-// Package budget limits the repeated sends of each service without shared state
-// between the boxes. Over all boxes, every sliding window W holds
+// Package budget limits the retries of each service without coordination between the
+// boxes. Over all boxes and in every sliding window of length W
 //
-//	repeats <= Ratio x requests + Extra
+//	retries <= Ratio x requests + Extra
 //
-// although boxes don't tell each other what they spend, and any of them may be
-// killed and restart with no memory, be cut off or freeze.
+// holds, also while boxes crash, restart without state, freeze or are partitioned.
 //
 // # The rule of one box
 //
-// A repeat at time t is allowed when, for every start s in the last window, this
-// box has
+// A box allows a retry at time t if for every start s in the last window its own
+// counts satisfy
 //
-//	repeats in (s, t] <= a x requests in (s, t] + e(t)
+//	retries in (s, t] <= a x requests in (s, t] + e(t)
 //	a    = 0.85 x Ratio
 //	e(t) = 0.5 x Extra / d x min(1, t / W')
 //	W'   = 1.1 x W
 //
-// with t the age of the process and d the number of boxes, plus one where there
-// are two or more. The longest of these spans is the plain count of the last
-// window. The shorter ones are needed since requests leave the window before
-// the repeats that they paid for: 1000 requests at second 0 and 170 repeats at
-// second 9 are within the ratio at second 9, but from second 10 on the window
-// holds 170 repeats and no request.
+// where t is the age of the process and d the number of boxes, plus one if there
+// are two or more. The spans shorter than a window are needed since requests leave
+// the window before the retries that they allowed: after 1000 requests at second 0
+// and 170 retries at second 9, the window from second 10 on holds retries only.
 //
-// # Why the sum holds
+// # Why the bound holds
 //
-// Take any window (s, s+W] and one box, which is killed and restarted m times
-// within it. Let t be the time of the last repeat of one of its processes. The
-// rule held at t for the span that begins at s or at the start of the process,
-// and requests after t only raise the right side. So each process has
+// Consider a window (s, s+W] and one box that restarts any number of times within it.
+// Let t be the time of the last retry of one of its processes. The rule held at t for
+// the span that begins at s or at the start of the process, so each process satisfies
 //
-//	repeats <= a x its requests in the window + e(its age at t)
+//	retries <= a x its requests in the window + e(its age at t)
 //
-// The process that was alive at s has e <= E = 0.5 x Extra / d. The later ones
-// were born within the window, and their ages add up to at most W, so their e
-// add up to at most E x W/W' < E. One box spends less than 2E beyond its
-// requests, however often it is killed. There are N boxes and d >= N as long as
-// the number of boxes passed in is N-1 or more (N or more for N <= 2):
+// For the process that runs at s, e <= E = 0.5 x Extra / d. The ages of the later
+// processes add up to at most W, so their e add up to at most E x W/W' < E. Each box
+// exceeds its requests by less than 2E. With N boxes, d >= N if the number of boxes
+// passed in is at least N-1 (at least N for N <= 2):
 //
 //	sum <= a x requests + N x 2E <= 0.85 x Ratio x requests + Extra
 //
-// The rule looks at the order of a box's own events only, so a frozen process or
-// a clock that stands still makes it stricter and never looser. The 15% of the
-// ratio and the 10% of the window that are left unused cover differences of
-// clocks and the delay between Take and the send. A process that freezes between
-// the two for longer than that has to ask again.
+// The rule depends only on the order of a box's own events, so a frozen process or a
+// stopped clock makes it stricter. The unused 15% of the ratio and 10% of the window
+// cover clock drift and the delay between Take and the send. After a longer delay the
+// caller has to call Take again.
 //
-// Time is the monotonic clock since the start of the process. A Budget belongs
-// to one actor: it is not safe for concurrent use.
+// Times are read from the monotonic clock since the start of the process. A Budget is
+// not safe for concurrent use.
 package budget
 
 import "time"
 
 const (
-	// requestShare is the part of the ratio that a box spends. The rest covers
-	// requests that are counted but leave the window while a repeat is on its way.
-	requestShare = 0.85
-	// extraShare is the part of Extra that all boxes together hold at a time. The
-	// other half is for the processes that follow them within the same window.
-	extraShare = 0.5
-	// slackDivisor lengthens the window by a tenth, for clocks and delays.
-	slackDivisor = 10
-	// minUncertain is the least number of boxes at which one more is assumed: a
-	// view of the fleet may lag by one box that has just joined.
-	minUncertain = 2
-	// sweepAt is the number of services from which idle ones are dropped when a
-	// new one comes; a service takes about 3 KB at a window of 10 s.
-	sweepAt = 1024
+	// ratioFraction is the fraction of the ratio that a box uses; the rest covers
+	// requests that leave the window while a retry is sent.
+	ratioFraction = 0.85
+	// extraFraction is the fraction of Extra that all running processes hold together.
+	// The other half is for processes that restart within the same window.
+	extraFraction = 0.5
+	// windowSlackDivisor lengthens the window by a tenth for clock drift and delays.
+	windowSlackDivisor = 10
+	// minBoxesForMargin is the number of boxes from which one more is assumed, since a
+	// box that has just joined may not be listed yet.
+	minBoxesForMargin = 2
+	// sweepThreshold is the number of services from which idle ones are removed before a
+	// new one is added.
+	sweepThreshold = 1024
 )
 
-// Terms is the bound for all boxes together.
+// Terms is the limit for all boxes together.
 type Terms struct {
-	// Ratio is the number of repeats for each request, for example 0.2.
+	// Ratio is the number of retries per request, for example 0.2.
 	Ratio float64
 	// Window is the length of the sliding window.
 	Window time.Duration
-	// Extra is the number of repeats in a window beyond the ratio.
+	// Extra is the number of retries in a window beyond the ratio.
 	Extra int
 }
 
-// span is the window with its slack for clocks and delays.
+// span returns the window with its slack.
 func (t Terms) span() time.Duration {
-	return t.Window + t.Window/slackDivisor
+	return t.Window + t.Window/windowSlackDivisor
 }
 
-// Budget counts the requests and repeats of one box.
+// Budget counts the requests and retries of one box.
 type Budget struct {
 	terms    Terms
 	services map[string]*counts
@@ -99,8 +93,8 @@
 	}
 }
 
-// SetTerms replaces the terms and keeps the counts. The new bound holds for
-// windows that begin after the change.
+// SetTerms replaces the terms and keeps the counts. The new limit holds for windows
+// that begin after the change.
 func (b *Budget) SetTerms(terms Terms) {
 	b.terms = terms
 	for _, c := range b.services {
@@ -108,25 +102,25 @@
 	}
 }
 
-// Request counts a first send of service on behalf of a caller.
+// Request counts the first attempt of a caller's request to service.
 func (b *Budget) Request(service string, now time.Duration) {
 	now = b.advance(now)
-	b.counts(service).at(bucketOf(now)).requests++
+	b.counts(service).bucketAt(bucketOf(now)).requests++
 }
 
-// Take asks for one repeat of service and reports whether it is allowed; if so it
-// is counted as spent. Boxes is the number of boxes that may have sent in the
-// last window, this one included: one that can't be reached still counts.
+// Take reports whether a retry of service is allowed, and counts it if so. The number
+// of boxes includes this one and all that may have sent in the last window, also
+// those that are unreachable.
 func (b *Budget) Take(service string, boxes int, now time.Duration) bool {
 	if b.Left(service, boxes, now) < 1 {
 		return false
 	}
-	b.counts(service).at(bucketOf(b.latest)).repeats++
+	b.counts(service).bucketAt(bucketOf(b.latest)).retries++
 	return true
 }
 
-// Left returns how many repeats of service Take would allow at once, with the
-// fraction that is not yet a whole one. Boxes is as for Take.
+// Left returns the number of retries of service that Take would allow now, including
+// the fraction of a further one. It takes the same number of boxes as Take.
 func (b *Budget) Left(service string, boxes int, now time.Duration) float64 {
 	now = b.advance(now)
 	extra := b.extra(boxes, now)
@@ -134,37 +128,37 @@
 	if c == nil {
 		return extra
 	}
-	return max(0, c.left(requestShare*b.terms.Ratio, extra, bucketOf(now)))
+	return max(0, c.remaining(ratioFraction*b.terms.Ratio, extra, bucketOf(now)))
 }
 
-// extra is this box's part of Extra at the age now.
+// extra returns this box's allocation of Extra at the age now.
 func (b *Budget) extra(boxes int, now time.Duration) float64 {
 	divisor := max(boxes, 1)
-	if divisor >= minUncertain {
+	if divisor >= minBoxesForMargin {
 		divisor++
 	}
-	part := extraShare * float64(b.terms.Extra) / float64(divisor)
+	allocation := extraFraction * float64(b.terms.Extra) / float64(divisor)
 	span := b.terms.span()
 	if now >= span {
-		return part
+		return allocation
 	}
-	return part * float64(now) / float64(span)
+	return allocation * float64(now) / float64(span)
 }
 
-// advance returns now, or the latest time seen where now is before it, so that
-// an event never lands in a bucket that has been reused.
+// advance returns the later of now and the latest time seen, so that an event is never
+// counted in a bucket that has been reused.
 func (b *Budget) advance(now time.Duration) time.Duration {
 	b.latest = max(b.latest, now)
 	return b.latest
 }
 
-// counts returns the counts of service and makes them where there are none.
+// counts returns the counts of service, which it creates if needed.
 func (b *Budget) counts(service string) *counts {
 	c := b.services[service]
 	if c != nil {
 		return c
 	}
-	if len(b.services) >= sweepAt {
+	if len(b.services) >= sweepThreshold {
 		b.sweep()
 	}
 	c = newCounts(bucketsFor(b.terms.span()))
@@ -172,8 +166,7 @@
 	return c
 }
 
-// sweep drops the services without an event in the last window; their counts
-// don't differ from new ones.
+// sweep removes the services without an event in the last window.
 func (b *Budget) sweep() {
 	current := bucketOf(b.latest)
 	for name, c := range b.services {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -11,10 +11,10 @@
 
 const service = "chat"
 
-// grown is an age at which a box has its full part of Extra.
-const grown = 11 * time.Second
+// fullAge is the age from which a box has its full allocation of Extra.
+const fullAge = 11 * time.Second
 
-var usual = Terms{
+var testTerms = Terms{
 	Ratio:  0.2,
 	Window: 10 * time.Second,
 	Extra:  56,
@@ -32,7 +32,7 @@
 	// Output: true 6
 }
 
-// drain takes repeats until one is refused and returns how many there were.
+// drain takes retries until one is refused and returns their number.
 func drain(b *Budget, boxes int, now time.Duration) int {
 	n := 0
 	for b.Take(service, boxes, now) {
@@ -41,7 +41,7 @@
 	return n
 }
 
-func near(got, want float64) bool {
+func almostEqual(got, want float64) bool {
 	return math.Abs(got-want) < 1e-9
 }
 
@@ -59,70 +59,70 @@
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.boxes), func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(drain(New(usual), c.boxes, grown), c.want)
+			is.Equal(drain(New(testTerms), c.boxes, fullAge), c.want)
 		})
 	}
 }
 
 func TestTheShareGrowsOverTheFirstWindow(t *testing.T) {
 	is := is.New(t)
-	is.Equal(New(usual).Left(service, 1, 0), 0.0)
-	is.True(near(New(usual).Left(service, 1, grown/4), 7))
-	is.True(near(New(usual).Left(service, 1, grown/2), 14))
-	is.True(near(New(usual).Left(service, 1, grown), 28))
-	is.True(near(New(usual).Left(service, 1, time.Hour), 28))
+	is.Equal(New(testTerms).Left(service, 1, 0), 0.0)
+	is.True(almostEqual(New(testTerms).Left(service, 1, fullAge/4), 7))
+	is.True(almostEqual(New(testTerms).Left(service, 1, fullAge/2), 14))
+	is.True(almostEqual(New(testTerms).Left(service, 1, fullAge), 28))
+	is.True(almostEqual(New(testTerms).Left(service, 1, time.Hour), 28))
 }
 
-func TestARepeatIsSpentForOneWindowAndItsSlack(t *testing.T) {
+func TestARetryCountsForOneWindowAndItsSlack(t *testing.T) {
 	is := is.New(t)
-	b := New(usual)
+	b := New(testTerms)
 	now := time.Minute
 	is.Equal(drain(b, 1, now), 28)
 	is.Equal(drain(b, 1, now+11*time.Second), 0)
 	is.Equal(drain(b, 1, now+11*time.Second+bucketLength), 28)
 }
 
-func TestRequestsGiveBackWhatRepeatsTook(t *testing.T) {
+func TestRequestsAllowFurtherRetries(t *testing.T) {
 	is := is.New(t)
-	b := New(usual)
-	is.Equal(drain(b, 1, grown), 28)
+	b := New(testTerms)
+	is.Equal(drain(b, 1, fullAge), 28)
 	for range 100 {
-		b.Request(service, grown+time.Second)
+		b.Request(service, fullAge+time.Second)
 	}
-	is.Equal(drain(b, 1, grown+2*time.Second), 17) // 0.85 x 0.2 x 100
+	is.Equal(drain(b, 1, fullAge+2*time.Second), 17) // 0.85 x 0.2 x 100
 }
 
-func TestRequestsBeforeThemDoNotPayForABurst(t *testing.T) {
+func TestEarlierRequestsDoNotAllowABurst(t *testing.T) {
 	is := is.New(t)
-	b := New(usual)
+	b := New(testTerms)
 	for range 1000 {
-		b.Request(service, grown)
+		b.Request(service, fullAge)
 	}
-	// The requests leave the window a second after these repeats.
-	is.Equal(drain(b, 1, grown+9*time.Second), 28)
+	// The requests leave the window a second after these retries.
+	is.Equal(drain(b, 1, fullAge+9*time.Second), 28)
 }
 
-func TestRefusedRepeatsAreNotCounted(t *testing.T) {
+func TestRefusedRetriesAreNotCounted(t *testing.T) {
 	is := is.New(t)
-	b := New(usual)
-	is.Equal(drain(b, 3, grown), 7)
-	before := b.Left(service, 1, grown)
-	is.True(!b.Take(service, 3, grown))
-	is.Equal(b.Left(service, 1, grown), before)
+	b := New(testTerms)
+	is.Equal(drain(b, 3, fullAge), 7)
+	before := b.Left(service, 1, fullAge)
+	is.True(!b.Take(service, 3, fullAge))
+	is.Equal(b.Left(service, 1, fullAge), before)
 }
 
 func TestServicesDoNotShareABudget(t *testing.T) {
 	is := is.New(t)
-	b := New(usual)
-	is.Equal(drain(b, 3, grown), 7)
-	is.True(near(b.Left("other", 3, grown), 7))
+	b := New(testTerms)
+	is.Equal(drain(b, 3, fullAge), 7)
+	is.True(almostEqual(b.Left("other", 3, fullAge), 7))
 }
 
 func TestAClockThatGoesBackCountsAtTheLatestTime(t *testing.T) {
 	is := is.New(t)
-	b := New(usual)
+	b := New(testTerms)
 	is.Equal(drain(b, 1, time.Minute), 28)
-	is.Equal(drain(b, 1, grown), 0)
+	is.Equal(drain(b, 1, fullAge), 0)
 	is.Equal(drain(b, 1, time.Minute), 0)
 }
 
@@ -130,7 +130,7 @@
 	for _, window := range []time.Duration{5 * time.Second, 10 * time.Second, 30 * time.Second} {
 		t.Run(window.String(), func(t *testing.T) {
 			is := is.New(t)
-			b := New(usual)
+			b := New(testTerms)
 			is.Equal(drain(b, 1, time.Minute), 28)
 			b.SetTerms(Terms{
 				Ratio:  0.2,
@@ -146,23 +146,23 @@
 	is := is.New(t)
 	b := New(Terms{
 		Ratio:  0.2,
-		Window: 0, // no first window in which the share grows
+		Window: 0, // the share doesn't grow over a first window
 		Extra:  56,
 	})
 	is.Equal(drain(b, 1, 0), 28)
-	b.SetTerms(usual)
+	b.SetTerms(testTerms)
 	is.Equal(drain(b, 1, 0), 0)
 	is.Equal(drain(b, 1, 10*time.Second), 0)
 }
 
 func TestIdleServicesAreDropped(t *testing.T) {
 	is := is.New(t)
-	b := New(usual)
-	for n := range sweepAt {
-		b.Request(fmt.Sprint(n), grown)
+	b := New(testTerms)
+	for n := range sweepThreshold {
+		b.Request(fmt.Sprint(n), fullAge)
 	}
-	is.Equal(drain(b, 1, grown+time.Second), 28)
-	b.Request("new", 2*grown+bucketLength)
-	is.Equal(len(b.services), 2) // the one with repeats a second later, and the new one
-	is.Equal(drain(b, 1, 2*grown+bucketLength), 0)
+	is.Equal(drain(b, 1, fullAge+time.Second), 28)
+	b.Request("new", 2*fullAge+bucketLength)
+	is.Equal(len(b.services), 2) // the one with retries a second later, and the new one
+	is.Equal(drain(b, 1, 2*fullAge+bucketLength), 0)
 }
--- a/budget/counts.go
+++ b/budget/counts.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// bucketLength is the resolution of the counts: a hundredth of the usual window
-// of 10 s, so that rounding costs about one percent.
+// bucketLength is the resolution of the counts.
 const bucketLength = 100 * time.Millisecond
 
-// bucket counts the events of one stretch of bucketLength.
+// bucket counts the events of one period of bucketLength.
 type bucket struct {
 	index    int64 // time divided by bucketLength
 	requests int
-	repeats  int
+	retries  int
 }
 
-// counts is a ring of buckets, each at its index modulo the ring's length. A
-// bucket with an index too old for its place is empty.
+// counts is a ring buffer of buckets, each at its index modulo the ring's length. A
+// bucket whose index is out of date counts as empty.
 type counts struct {
 	ring []bucket
 }
@@ -25,8 +24,8 @@
 	}
 }
 
-// bucketsFor returns the number of buckets that a window of length span can
-// touch: one more than fit into it, since it begins inside of one.
+// bucketsFor returns the number of buckets that a window of length span can overlap:
+// one more than fit into it, since it may begin within a bucket.
 func bucketsFor(span time.Duration) int {
 	whole := (max(span, 0) + bucketLength - 1) / bucketLength
 	return int(whole) + 1
@@ -37,13 +36,13 @@
 	return int64(now / bucketLength)
 }
 
-func (c *counts) place(index int64) *bucket {
+func (c *counts) slot(index int64) *bucket {
 	return &c.ring[index%int64(len(c.ring))]
 }
 
-// at returns the bucket of index to count in, emptied where it held an older one.
-func (c *counts) at(index int64) *bucket {
-	b := c.place(index)
+// bucketAt returns the bucket of index, reset if it held an older one.
+func (c *counts) bucketAt(index int64) *bucket {
+	b := c.slot(index)
 	if b.index != index {
 		*b = bucket{
 			index: index,
@@ -52,30 +51,30 @@
 	return b
 }
 
-// left returns the least of extra + ratio x requests - repeats over all spans
-// that end now and begin in a bucket of the ring. The bucket in which a span
-// begins counts for its repeats and not for its requests.
-func (c *counts) left(ratio, extra float64, current int64) float64 {
-	least := extra
+// remaining returns the minimum of extra + ratio x requests - retries over all spans
+// that end now and begin in a bucket of the ring. Of the bucket in which a span begins
+// only the retries count.
+func (c *counts) remaining(ratio, extra float64, current int64) float64 {
+	lowest := extra
 	balance := extra
 	oldest := max(0, current-int64(len(c.ring))+1)
 	for index := current; index >= oldest; index-- {
-		b := c.place(index)
+		b := c.slot(index)
 		if b.index != index {
 			continue
 		}
-		balance -= float64(b.repeats)
-		least = min(least, balance)
+		balance -= float64(b.retries)
+		lowest = min(lowest, balance)
 		balance += ratio * float64(b.requests)
 	}
-	return least
+	return lowest
 }
 
-// idle reports whether no event is left in the window that ends in current.
+// idle reports whether the window that ends in current has no events.
 func (c *counts) idle(current int64) bool {
 	oldest := current - int64(len(c.ring)) + 1
 	for _, b := range c.ring {
-		if b.index >= oldest && b.requests+b.repeats > 0 {
+		if b.index >= oldest && b.requests+b.retries > 0 {
 			return false
 		}
 	}
@@ -90,12 +89,12 @@
 	old := c.ring
 	c.ring = make([]bucket, n)
 	for _, b := range old {
-		if b.requests+b.repeats == 0 {
+		if b.requests+b.retries == 0 {
 			continue
 		}
-		place := c.place(b.index)
-		if b.index >= place.index {
-			*place = b
+		slot := c.slot(b.index)
+		if b.index >= slot.index {
+			*slot = b
 		}
 	}
 }
--- a/budget/fuzz_test.go
+++ b/budget/fuzz_test.go
@@ -12,13 +12,13 @@
 	_ "github.com/havenrudder/havenrudder/internal/fixed"
 )
 
-// steps is the number of actions in one run: several windows' worth.
+// steps is the number of actions per run, which last several windows.
 const steps = 150
 
-// event is one send as the platform sees it.
+// event is one send as the platform receives it.
 type event struct {
-	at     time.Duration
-	repeat bool
+	at    time.Duration
+	retry bool
 }
 
 // oracle records the sends of all boxes with their exact times.
@@ -26,13 +26,13 @@
 	events []event
 }
 
-// worst returns the highest excess of repeats over ratio x requests in any
-// window. A window that begins and ends with a repeat is the hardest for its
-// repeats, so only those are looked at.
-func (o *oracle) worst(terms Terms) float64 {
-	worst := 0.0
+// maxExcess returns the maximum excess of retries over ratio x requests in any window.
+// It is reached in a window that begins and ends with a retry, so only those are
+// checked.
+func (o *oracle) maxExcess(terms Terms) float64 {
+	maxExcess := 0.0
 	for i, first := range o.events {
-		if !first.repeat {
+		if !first.retry {
 			continue
 		}
 		excess := 0.0
@@ -40,30 +40,30 @@
 			if e.at-first.at > terms.Window {
 				break
 			}
-			if !e.repeat {
+			if !e.retry {
 				excess -= terms.Ratio
 				continue
 			}
 			excess++
-			worst = max(worst, excess)
+			maxExcess = max(maxExcess, excess)
 		}
 	}
-	return worst
+	return maxExcess
 }
 
-// process is one life of a box.
+// process is one run of a box, from start to restart.
 type process struct {
-	budget *Budget
-	born   time.Duration
-	paused time.Duration // how long its clock stood still
-	frozen time.Duration // it does nothing before this time
+	budget       *Budget
+	startedAt    time.Duration
+	clockStopped time.Duration // how long its clock was stopped
+	frozenUntil  time.Duration
 }
 
 func (p *process) now(now time.Duration) time.Duration {
-	return now - p.born - p.paused
+	return now - p.startedAt - p.clockStopped
 }
 
-// fleet is N boxes in one time line.
+// fleet simulates N boxes on one clock.
 type fleet struct {
 	t     *rapid.T
 	terms Terms
@@ -75,23 +75,23 @@
 func newFleet(t *rapid.T, n int) *fleet {
 	f := &fleet{
 		t:     t,
-		terms: usual,
+		terms: testTerms,
 	}
 	for range n {
-		f.boxes = append(f.boxes, f.start())
+		f.boxes = append(f.boxes, f.startProcess())
 	}
 	return f
 }
 
-func (f *fleet) start() *process {
+func (f *fleet) startProcess() *process {
 	return &process{
-		budget: New(f.terms),
-		born:   f.now,
+		budget:    New(f.terms),
+		startedAt: f.now,
 	}
 }
 
-// count is what one box takes for the number of boxes.
-func (f *fleet) count() int {
+// boxCount returns the number of boxes that one box assumes.
+func (f *fleet) boxCount() int {
 	n := len(f.boxes)
 	if n <= 2 {
 		return n
@@ -99,8 +99,8 @@
 	return rapid.IntRange(n-1, n+1).Draw(f.t, "count")
 }
 
-// pick returns one box or all of them, without those that are frozen.
-func (f *fleet) pick() []int {
+// pickBoxes returns one box or all of them, except frozen ones.
+func (f *fleet) pickBoxes() []int {
 	from, to := 0, len(f.boxes)
 	if rapid.Bool().Draw(f.t, "one") {
 		from = rapid.IntRange(0, len(f.boxes)-1).Draw(f.t, "box")
@@ -108,7 +108,7 @@
 	}
 	var picked []int
 	for i := from; i < to; i++ {
-		if f.now >= f.boxes[i].frozen {
+		if f.now >= f.boxes[i].frozenUntil {
 			picked = append(picked, i)
 		}
 	}
@@ -117,7 +117,7 @@
 
 func (f *fleet) request() {
 	n := rapid.SampledFrom([]int{1, 5, 40}).Draw(f.t, "requests")
-	for _, i := range f.pick() {
+	for _, i := range f.pickBoxes() {
 		p := f.boxes[i]
 		for range n {
 			p.budget.Request(service, p.now(f.now))
@@ -130,47 +130,47 @@
 
 func (f *fleet) take() {
 	most := rapid.SampledFrom([]int{1, 3, 100}).Draw(f.t, "most")
-	for _, i := range f.pick() {
+	for _, i := range f.pickBoxes() {
 		f.takeUpTo(most, f.boxes[i])
 	}
 }
 
 func (f *fleet) takeUpTo(most int, p *process) {
-	boxes := f.count()
+	boxes := f.boxCount()
 	for range most {
 		if !p.budget.Take(service, boxes, p.now(f.now)) {
 			return
 		}
 		f.sends.events = append(f.sends.events, event{
-			at:     f.now,
-			repeat: true,
+			at:    f.now,
+			retry: true,
 		})
 	}
 }
 
-// drainAndRestart is the worst that can happen to the sum: a process spends all
-// it has, and the next one knows nothing of it.
+// drainAndRestart is the worst case for the bound: a process takes all its retries and
+// the next one has no record of them.
 func (f *fleet) drainAndRestart() {
-	for _, i := range f.pick() {
+	for _, i := range f.pickBoxes() {
 		f.takeUpTo(math.MaxInt, f.boxes[i])
-		f.boxes[i] = f.start()
+		f.boxes[i] = f.startProcess()
 	}
 }
 
 func (f *fleet) restart() {
-	for _, i := range f.pick() {
-		f.boxes[i] = f.start()
+	for _, i := range f.pickBoxes() {
+		f.boxes[i] = f.startProcess()
 	}
 }
 
-// freeze stops boxes for a while; the clock of some stands still meanwhile.
+// freeze stops boxes for a while, with or without their clocks.
 func (f *fleet) freeze() {
 	length := time.Duration(rapid.IntRange(1, 12000).Draw(f.t, "frozen")) * time.Millisecond
 	still := rapid.Bool().Draw(f.t, "still")
-	for _, i := range f.pick() {
-		f.boxes[i].frozen = f.now + length
+	for _, i := range f.pickBoxes() {
+		f.boxes[i].frozenUntil = f.now + length
 		if still {
-			f.boxes[i].paused += length
+			f.boxes[i].clockStopped += length
 		}
 	}
 }
@@ -204,21 +204,20 @@
 				f := newFleet(t, n)
 				f.now += time.Minute
 				f.run()
-				worst := f.sends.worst(f.terms)
-				seen = max(seen, worst)
-				if worst > float64(f.terms.Extra)+1e-9 {
-					t.Fatalf("%.2f repeats beyond the ratio", worst)
+				maxExcess := f.sends.maxExcess(f.terms)
+				seen = max(seen, maxExcess)
+				if maxExcess > float64(f.terms.Extra)+1e-9 {
+					t.Fatalf("%.2f retries beyond the ratio", maxExcess)
 				}
 			})
-			t.Logf("most repeats beyond the ratio: %.2f of %d", seen, usual.Extra)
-			is.New(t).True(seen >= float64(usual.Extra)/4) // the runs do spend
+			t.Logf("maximum of retries beyond the ratio: %.2f of %d", seen, testTerms.Extra)
+			is.New(t).True(seen >= float64(testTerms.Extra)/4) // otherwise the runs don't test the bound
 		})
 	}
 }
 
-// TestAllBoxesMaySpendDieAndSpendAgainWithinOneWindow plays the worst case of the
-// package's comment: full shares, all killed, and restarts that grow until the
-// window's end, each box with one box too few in its view.
+// Guards against restarts that exceed the bound: all boxes use their full shares, crash
+// and restart within one window, each with a list that lacks one box.
 func TestAllBoxesMaySpendDieAndSpendAgainWithinOneWindow(t *testing.T) {
 	for n := 1; n <= 27; n++ {
 		for _, lives := range []int{1, 2, 5} {
@@ -229,26 +228,26 @@
 			}
 			spent := 0
 			for range n {
-				spent += drain(New(usual), view, time.Minute)
+				spent += drain(New(testTerms), view, time.Minute)
 				for range lives {
-					spent += drain(New(usual), view, usual.Window/time.Duration(lives))
+					spent += drain(New(testTerms), view, testTerms.Window/time.Duration(lives))
 				}
 			}
-			is.True(spent <= usual.Extra)
+			is.True(spent <= testTerms.Extra)
 		}
 	}
 }
 
-func TestTheOracleSeesRepeatsWhoseRequestsHaveLeftTheWindow(t *testing.T) {
+func TestTheOracleCountsRetriesWhoseRequestsHaveLeftTheWindow(t *testing.T) {
 	is := is.New(t)
 	o := oracle{
 		events: []event{
 			{at: 0},
-			{at: 1 * time.Second, repeat: true},
+			{at: 1 * time.Second, retry: true},
 			{at: 11 * time.Second},
-			{at: 11 * time.Second, repeat: true},
-			{at: 11*time.Second + 1, repeat: true},
+			{at: 11 * time.Second, retry: true},
+			{at: 11*time.Second + 1, retry: true},
 		},
 	}
-	is.True(near(o.worst(usual), 2)) // the span from second 1 on: 2 - 0.2; the last two: 2
+	is.True(almostEqual(o.maxExcess(testTerms), 2)) // the span from second 1 on: 2 - 0.2; the last two: 2
 }
