--- /dev/null
+++ b/quota/allocator.go
@@ -0,0 +1,231 @@
+package quota
+
+import (
+	"math"
+	"sync"
+	"time"
+
+	"github.com/havenrudder/havenrudder/catalog"
+	"github.com/havenrudder/havenrudder/common/decay"
+)
+
+// Bank is a quota allocator, which grants credit to boxes. It is safe for concurrent use.
+type Bank struct {
+	mu          sync.Mutex
+	lastRequest time.Duration
+	boxes       map[string]boxRecord // that send requests
+	balances    map[string]*balance
+}
+
+// boxRecord is an allocator's record of a box.
+type boxRecord struct {
+	lastSeen time.Duration
+	uptime   time.Duration // at its last request
+}
+
+// usageReport is the usage that a box reported for the last window.
+type usageReport struct {
+	receivedAt time.Duration
+	units      float64
+}
+
+// balance is an allocator's record of one organisation.
+type balance struct {
+	granted      window
+	reports      map[string]usageReport // by box
+	demand       decay.Count            // units that callers requested
+	sharedDemand float64                // units per second that other regions received; -1 before the first report
+	round        int                    // of reports between regions
+	remaining    float64                // units that may be granted in that round
+}
+
+// NewBank returns an allocator without records of boxes.
+func NewBank() *Bank {
+	return &Bank{
+		boxes:    make(map[string]boxRecord),
+		balances: make(map[string]*balance),
+	}
+}
+
+// Round holds the parameters of a call of Grant.
+type Round struct {
+	Terms  func(organisation string) (Terms, bool) // false for an organisation without a quota
+	Shares *Shares
+	Known  int            // boxes of the region that may send requests to any allocator
+	Draw   func() float64 // returns a random number in [0, 1)
+}
+
+// Grant responds to the requests of a box.
+func (b *Bank) Grant(from Asker, asks []Ask, r Round, now time.Duration) []Grant {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.recordBox(from, now)
+	boxFraction := min(1, float64(len(b.boxes))/float64(max(r.Known, 1)))
+	out := make([]Grant, 0, len(asks))
+	for _, a := range asks {
+		terms, ok := r.Terms(a.Organisation)
+		if !ok {
+			continue
+		}
+		bal := b.balance(a.Organisation, terms)
+		bal.demand.Add(a.Asked, now, demandHalfLife)
+		share := r.Shares.Of(a.Organisation, terms.PerSecond(), bal.reported(now), now)
+		bal.recordReport(from.Box, a.Used, terms, now)
+		bal.startRound(terms, share, r.Shares, now)
+		free := min(bal.remaining, terms.Units*boxFraction*share.Of*b.reported(terms)-bal.used(now))
+		out = append(out, bal.grant(a, free, terms.PerSecond()*boxFraction*share.Of, len(b.boxes), r.Draw(), now))
+	}
+	return out
+}
+
+// reported returns the fraction of a window for which the boxes that send requests report usage.
+func (b *Bank) reported(t Terms) float64 {
+	sum := time.Duration(0)
+	for _, box := range b.boxes {
+		sum += min(box.uptime, t.Window)
+	}
+	return float64(sum) / float64(t.Window) / float64(len(b.boxes))
+}
+
+// recordBox records a request of a box. If none came for boxTimeout, other boxes were allocators
+// meanwhile and the balances are out of date.
+func (b *Bank) recordBox(from Asker, now time.Duration) {
+	if now-b.lastRequest > boxTimeout {
+		clear(b.balances)
+	}
+	b.lastRequest = now
+	b.boxes[from.Box] = boxRecord{
+		lastSeen: now,
+		uptime:   from.Up,
+	}
+	for name, box := range b.boxes {
+		if now-box.lastSeen > boxTimeout {
+			delete(b.boxes, name)
+		}
+	}
+}
+
+// balance returns the balance of an organisation, which it creates if needed.
+func (b *Bank) balance(organisation string, t Terms) *balance {
+	bal, ok := b.balances[organisation]
+	if !ok {
+		bal = &balance{
+			granted:      newWindow(t.Window),
+			reports:      make(map[string]usageReport),
+			sharedDemand: -1,
+			round:        -1,
+		}
+		b.balances[organisation] = bal
+	}
+	return bal
+}
+
+// Uses returns the usage of each organisation's quota in this region, which other regions receive.
+func (b *Bank) Uses(now time.Duration) map[string]Use {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	out := make(map[string]Use, len(b.balances))
+	for name, bal := range b.balances {
+		bal.sharedDemand = math.Round(bal.perSecond(now))
+		u := Use{
+			Demand:  bal.sharedDemand,
+			Granted: math.Round(bal.used(now)),
+		}
+		if u != (Use{}) {
+			out[name] = u
+		}
+	}
+	return out
+}
+
+// perSecond returns the rate of demand.
+func (b *balance) perSecond(now time.Duration) float64 {
+	return perSecond(&b.demand, now)
+}
+
+// reported returns the demand that other regions received, from which they compute the shares.
+func (b *balance) reported(now time.Duration) float64 {
+	if b.sharedDemand < 0 {
+		return b.perSecond(now)
+	}
+	return b.sharedDemand
+}
+
+// recordReport records the usage of a box. It counts for a window, also after the box's last
+// request.
+func (b *balance) recordReport(box string, units float64, t Terms, now time.Duration) {
+	b.reports[box] = usageReport{
+		receivedAt: now,
+		units:      units,
+	}
+	for name, r := range b.reports {
+		if now-r.receivedAt > t.Window || r.units == 0 {
+			delete(b.reports, name)
+		}
+	}
+}
+
+// reportedUnits returns the sum of the usage reports.
+func (b *balance) reportedUnits() (sum float64) {
+	for _, r := range b.reports {
+		sum += r.units
+	}
+	return sum
+}
+
+// used returns the units used in the last window. Boxes may report more than this allocator granted,
+// since a previous one did or they were partitioned.
+func (b *balance) used(now time.Duration) float64 {
+	return max(b.granted.used(now), b.reportedUnits())
+}
+
+// startRound computes, once per round of reports between regions, the units that may be granted in
+// it: this region's share of what the reachable regions have left.
+func (b *balance) startRound(t Terms, share Share, shares *Shares, now time.Duration) {
+	if round := shares.Round(); b.round != round {
+		b.round = round
+		b.remaining = math.Inf(1)
+		if share.Heard > 0 {
+			b.remaining = share.InRest * max(0, t.Units*share.Rest-b.used(now)-share.Granted)
+		}
+	}
+}
+
+// grant responds to an ask of one of the given number of boxes; free is the units that may be
+// granted, perSecond their rate. A request receives its need in full unless free is negative, since
+// a long request may need more than the whole allocation.
+func (b *balance) grant(ask Ask, free, perSecond float64, boxes int, draw float64, now time.Duration) Grant {
+	out := Grant{
+		Organisation: ask.Organisation,
+	}
+	if free < 0 {
+		if ask.Need > 0 {
+			out.Wait = millis(b.callerWait(perSecond, draw, now))
+			out.Again = millis(retryInterval)
+		}
+		return out
+	}
+	out.Units = ask.Need
+	fair := maxPrefetchFactor * perSecond * prefetchWindow.Seconds() / float64(boxes)
+	if ahead := min(ask.Ahead, maxPrefetchFraction*(free-ask.Need), fair); ahead > 0 {
+		out.Units += ahead
+	}
+	b.granted.add(out.Units, now)
+	b.remaining -= out.Units
+	return out
+}
+
+// callerWait returns the time after which a refused caller should retry: that of a random position
+// in a queue of the current demand, served at perSecond.
+func (b *balance) callerWait(perSecond, draw float64, now time.Duration) time.Duration {
+	if perSecond <= 0 {
+		return maxWait
+	}
+	seconds := draw * b.perSecond(now) / perSecond
+	return clamp(minWait, time.Duration(seconds*float64(time.Second)), maxWait)
+}
+
+func clamp(least, d, most time.Duration) time.Duration { return min(max(d, least), most) }
+
+// millis converts d for JSON.
+func millis(d time.Duration) catalog.Millis { return catalog.Millis(d.Milliseconds()) }
--- /dev/null
+++ b/quota/pool.go
@@ -0,0 +1,194 @@
+package quota
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/havenrudder/havenrudder/common/decay"
+)
+
+// Purse is the credit pool of a box. It is safe for concurrent use.
+type Purse struct {
+	mu      sync.Mutex
+	credits map[string]*credit
+	window  time.Duration                                  // of the quotas
+	request func(ctx context.Context, a Ask) (Grant, bool) // sends a request to an allocator; false without a response
+	now     func() time.Duration                           // the box's clock
+}
+
+// credit is a box's credit of one organisation.
+type credit struct {
+	units            float64
+	used             window
+	lastGrant        time.Duration
+	unreportedDemand float64 // units that callers requested since the last Ask
+	demand           decay.Count
+	pendingRequest   chan struct{} // closed when the request in flight completes; nil if there is none
+	refusedUntil     time.Duration
+	wait             time.Duration // for callers that are refused until then
+}
+
+// NewPurse returns an empty credit pool for quotas of the given window. It sends requests to
+// allocators by request and reads the clock by now.
+func NewPurse(window time.Duration, request func(ctx context.Context, a Ask) (Grant, bool), now func() time.Duration) *Purse {
+	return &Purse{
+		credits: make(map[string]*credit),
+		window:  window,
+		request: request,
+		now:     now,
+	}
+}
+
+// Take takes the cost of a request from an organisation's credit, after a request to an allocator
+// if the credit does not suffice. If ok is false, the caller should retry after wait.
+func (p *Purse) Take(ctx context.Context, organisation string, cost float64) (wait time.Duration, ok bool) {
+	p.mu.Lock()
+	c := p.credit(organisation)
+	c.unreportedDemand += cost
+	c.demand.Add(cost, p.now(), demandHalfLife)
+	for ctx.Err() == nil {
+		at := p.now()
+		if c.spend(cost, at) {
+			p.mu.Unlock()
+			return 0, true
+		}
+		if at < c.refusedUntil {
+			wait = c.wait
+			p.mu.Unlock()
+			return wait, false
+		}
+		if pendingRequest := c.pendingRequest; pendingRequest != nil {
+			p.mu.Unlock()
+			select {
+			case <-pendingRequest:
+			case <-ctx.Done():
+			}
+			p.mu.Lock()
+			continue
+		}
+		p.requestCredit(ctx, c, organisation, cost)
+	}
+	p.mu.Unlock()
+	return minWait, false
+}
+
+// requestCredit requests the credit that a request lacks from an allocator. It unlocks mu meanwhile.
+func (p *Purse) requestCredit(ctx context.Context, c *credit, organisation string, cost float64) {
+	a := c.nextRequest(organisation, p.now())
+	a.Need = cost - max(c.units, 0)
+	pendingRequest := make(chan struct{})
+	c.pendingRequest = pendingRequest
+	p.mu.Unlock()
+	g, ok := p.request(ctx, a)
+	p.mu.Lock()
+	c.pendingRequest = nil
+	close(pendingRequest)
+	if !ok {
+		g = Grant{
+			Wait:  millis(minWait),
+			Again: millis(retryInterval),
+		}
+	}
+	c.applyGrant(g, p.now())
+}
+
+// Return refunds the cost of a request that is known not to have run.
+func (p *Purse) Return(organisation string, cost float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := p.credit(organisation)
+	c.units += cost
+	c.used.add(-cost, p.now())
+}
+
+// Due returns the requests for credit in advance that are due for the organisations that match
+// of. It removes those without callers.
+func (p *Purse) Due(of func(organisation string) bool) (out []Ask) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.now()
+	for name, c := range p.credits {
+		if c.pendingRequest != nil || !of(name) {
+			continue
+		}
+		a := c.nextRequest(name, now)
+		if a.Asked == 0 && a.Used == 0 && now-c.lastGrant > creditTTL && now > c.refusedUntil {
+			delete(p.credits, name)
+			continue
+		}
+		if a.Asked > 0 || a.Ahead > 0 || a.Used > 0 {
+			out = append(out, a)
+		}
+	}
+	return out
+}
+
+// Granted adds the grant for an Ask that Due returned.
+func (p *Purse) Granted(g Grant) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.credit(g.Organisation).applyGrant(g, p.now())
+}
+
+// Held returns the credit of each organisation.
+func (p *Purse) Held() map[string]float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := make(map[string]float64, len(p.credits))
+	for name, c := range p.credits {
+		out[name] = c.units
+	}
+	return out
+}
+
+func (p *Purse) credit(organisation string) *credit {
+	c, ok := p.credits[organisation]
+	if !ok {
+		c = &credit{
+			used: newWindow(p.window),
+		}
+		p.credits[organisation] = c
+	}
+	return c
+}
+
+// spend takes cost from credit that has not expired.
+func (c *credit) spend(cost float64, now time.Duration) bool {
+	if now-c.lastGrant > creditTTL {
+		c.units = min(c.units, 0)
+	}
+	if c.units < cost {
+		return false
+	}
+	c.units -= cost
+	c.used.add(cost, now)
+	return true
+}
+
+// nextRequest returns an Ask that reports demand and usage and requests credit in advance.
+func (c *credit) nextRequest(organisation string, now time.Duration) Ask {
+	a := Ask{
+		Organisation: organisation,
+		Asked:        c.unreportedDemand,
+		Used:         c.used.used(now),
+		Ahead:        max(0, perSecond(&c.demand, now)*prefetchWindow.Seconds()-c.units),
+	}
+	c.unreportedDemand = 0
+	return a
+}
+
+// applyGrant adds the credit of a grant or records its refusal.
+func (c *credit) applyGrant(g Grant, now time.Duration) {
+	if g.Units > 0 {
+		if now-c.lastGrant > creditTTL {
+			c.units = min(c.units, 0)
+		}
+		c.units += g.Units
+		c.lastGrant = now
+	}
+	if g.Wait > 0 {
+		c.refusedUntil = now + g.Again.Duration()
+		c.wait = g.Wait.Duration()
+	}
+}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -28,8 +28,8 @@
 
 const testWindow = 8 * time.Second
 
-// round returns what a bank knows in a region that is the only one, of so many boxes.
-func round(units float64, boxes int) Round {
+// testRound returns the parameters of Grant in a single region with the given number of boxes.
+func testRound(units float64, boxes int) Round {
 	return Round{
 		Terms: func(string) (Terms, bool) {
 			return Terms{
@@ -43,22 +43,22 @@
 	}
 }
 
-// oldBox returns a box that knows what it used in a window.
-func oldBox(name string) Asker {
+// longRunningBox returns a box that has run for a whole window.
+func longRunningBox(name string) Asker {
 	return Asker{
 		Box: name,
 		Up:  testWindow,
 	}
 }
 
-// granted is what a bank granted at a time.
-type granted struct {
+// timedGrant is the units that an allocator granted at a time.
+type timedGrant struct {
 	at    time.Duration
 	units float64
 }
 
-// most returns the most that was granted in a window.
-func most(list []granted) (out float64) {
+// maxInWindow returns the maximum number of units granted in a window.
+func maxInWindow(list []timedGrant) (out float64) {
 	for i := range list {
 		sum := 0.0
 		for _, g := range list[i:] {
@@ -71,14 +71,13 @@
 	return out
 }
 
-// A bank is asked in any order for anything: what it grants in a window is the quota and one
-// request.
-func TestABankGrantsNoMoreThanTheQuotaAndOneRequest(t *testing.T) {
+// Guards against grants in one window that exceed the quota by more than one request.
+func TestAnAllocatorGrantsNoMoreThanTheQuotaAndOneRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		units := rapid.Float64Range(1, 1000).Draw(t, "units")
-		r := round(units, 1)
+		r := testRound(units, 1)
 		b := NewBank()
-		var list []granted
+		var list []timedGrant
 		now, longest := time.Duration(0), 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "asks") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "pause"))
@@ -89,30 +88,30 @@
 			}
 			a.Asked = a.Need
 			longest = max(longest, a.Need)
-			for _, g := range b.Grant(oldBox("box"), []Ask{a}, r, now) {
-				list = append(list, granted{
+			for _, g := range b.Grant(longRunningBox("box"), []Ask{a}, r, now) {
+				list = append(list, timedGrant{
 					at:    now,
 					units: g.Units,
 				})
 			}
 		}
-		if got := most(list); got > units+longest+0.001 {
-			t.Fatalf("%.1f units within a window, %.1f may be", got, units+longest)
+		if got := maxInWindow(list); got > units+longest+0.001 {
+			t.Fatalf("%.1f units within a window, want at most %.1f", got, units+longest)
 		}
 	})
 }
 
-// Boxes that don't agree on who is the bank, each in its own view, get what one bank would give.
-func TestBanksOfWhichBoxesDontAgreeGiveTheirParts(t *testing.T) {
+// Guards against grants above the quota while boxes disagree on the allocator.
+func TestAllocatorsOnWhichBoxesDisagreeGrantTheirAllocations(t *testing.T) {
 	is := is.New(t)
 	const units, boxes = 800, 10
-	r := round(units, boxes)
+	r := testRound(units, boxes)
 	one := []Ask{{
 		Organisation: "org",
 		Need:         1,
 		Asked:        1,
 	}}
-	var list []granted
+	var list []timedGrant
 	var banks [4]*Bank
 	for at := time.Duration(0); at < 3*testWindow; at += 50 * time.Millisecond {
 		for n := range banks { // of 4, 3, 2 and 1 boxes
@@ -120,8 +119,8 @@
 				banks[n] = NewBank()
 			}
 			for box := range len(banks) - n {
-				for _, g := range banks[n].Grant(oldBox(fmt.Sprint(box)), one, r, at) {
-					list = append(list, granted{
+				for _, g := range banks[n].Grant(longRunningBox(fmt.Sprint(box)), one, r, at) {
+					list = append(list, timedGrant{
 						at:    at,
 						units: g.Units,
 					})
@@ -129,30 +128,30 @@
 			}
 		}
 	}
-	got := most(list)
+	got := maxInWindow(list)
 	is.True(got > 0.9*units)
 	is.True(got <= units+float64(len(banks)))
 }
 
-func TestABankThatHasJustBecomeOneGoesByWhatBoxesUsed(t *testing.T) {
+func TestANewAllocatorAppliesTheUsageReportsOfBoxes(t *testing.T) {
 	is := is.New(t)
-	r := round(800, 1)
+	r := testRound(800, 1)
 	b := NewBank()
 	need := []Ask{{
 		Organisation: "org",
 		Need:         100,
 		Used:         790,
 	}}
-	is.Equal(b.Grant(oldBox("box"), need, r, time.Minute)[0].Units, 100.0) // one request
+	is.Equal(b.Grant(longRunningBox("box"), need, r, time.Minute)[0].Units, 100.0) // one request
 	need[0].Used = 890
-	g := b.Grant(oldBox("box"), need, r, time.Minute+time.Second)[0]
+	g := b.Grant(longRunningBox("box"), need, r, time.Minute+time.Second)[0]
 	is.Equal(g.Units, 0.0)
 	is.True(g.Wait > 0)
 }
 
-func TestABankOfBoxesThatKnowNothingGrantsAsAWindowPasses(t *testing.T) {
+func TestAnAllocatorOfNewBoxesGrantsAsTheirWindowPasses(t *testing.T) {
 	is := is.New(t)
-	r := round(800, 1)
+	r := testRound(800, 1)
 	b := NewBank()
 	need := []Ask{{
 		Organisation: "org",
@@ -168,12 +167,11 @@
 			grants++
 		}
 	}
-	is.Equal(grants, 9) // one at once, and one for each second
+	is.Equal(grants, 9) // one immediately and one per second
 }
 
-// All regions hear each other: together they grant what one bank would, also while all that is
-// asked for moves from one to another.
-func TestRegionsGrantTogetherWhatAQuotaLetsThrough(t *testing.T) {
+// Guards against grants above the quota while demand moves between reachable regions.
+func TestRegionsTogetherGrantTheQuota(t *testing.T) {
 	is := is.New(t)
 	const units = 8000
 	regions := []string{"a", "b", "c"}
@@ -181,38 +179,38 @@
 	rounds := make(map[string]Round)
 	for _, region := range regions {
 		banks[region] = NewBank()
-		r := round(units, 1)
+		r := testRound(units, 1)
 		r.Shares = NewShares(region, regions)
 		rounds[region] = r
 	}
-	var list []granted
+	var list []timedGrant
 	for at := time.Duration(0); at < 5*testWindow; at += 20 * time.Millisecond {
 		if at%(500*time.Millisecond) == 0 {
-			tellAll(banks, rounds, regions, at)
+			exchangeUsage(banks, rounds, regions, at)
 		}
 		for i, region := range regions {
 			asks := []Ask{{
 				Organisation: "org",
 			}}
-			if int(at/(3*time.Second))%3 == i { // where all callers are
+			if int(at/(3*time.Second))%3 == i { // the region of all callers
 				asks[0].Need = 80 // four times the quota
 				asks[0].Asked = 80
 			}
-			for _, g := range banks[region].Grant(oldBox("box"), asks, rounds[region], at) {
-				list = append(list, granted{
+			for _, g := range banks[region].Grant(longRunningBox("box"), asks, rounds[region], at) {
+				list = append(list, timedGrant{
 					at:    at,
 					units: g.Units,
 				})
 			}
 		}
 	}
-	got := most(list)
+	got := maxInWindow(list)
 	is.True(got > 0.9*units)
-	is.True(got < 1.2*units) // a round's words late
+	is.True(got < 1.2*units) // reports are one round old
 }
 
-// tellAll has all regions tell each other what they use.
-func tellAll(banks map[string]*Bank, rounds map[string]Round, regions []string, at time.Duration) {
+// exchangeUsage has all regions report their usage to each other.
+func exchangeUsage(banks map[string]*Bank, rounds map[string]Round, regions []string, at time.Duration) {
 	for _, region := range regions {
 		for _, other := range regions {
 			if other != region {
@@ -223,7 +221,7 @@
 	}
 }
 
-func TestSharesOfRegionsThatHearEachOtherAddUp(t *testing.T) {
+func TestSharesOfRegionsAddUp(t *testing.T) {
 	regions := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 3000).Draw(t, "rate")
@@ -257,7 +255,7 @@
 	})
 }
 
-func TestAPurseAsksOnceForRequestsThatCrowd(t *testing.T) {
+func TestACreditPoolAppliesARefusalToFurtherRequests(t *testing.T) {
 	is := is.New(t)
 	asked := 0
 	now := time.Second
@@ -281,7 +279,7 @@
 	is.Equal(asked, 2)
 }
 
-func TestCreditThatWasNotUsedIsGivenUpAndWhatDidNotRunIsReturned(t *testing.T) {
+func TestUnusedCreditExpiresAndUnusedCostsAreRefunded(t *testing.T) {
 	is := is.New(t)
 	now := time.Second
 	granted := 0.0
@@ -303,7 +301,7 @@
 	_, ok = p.Take(context.Background(), "org", 10)
 	is.True(ok)
 	p.Return("org", 10)
-	now += creditFor + 1
+	now += creditTTL + 1
 	_, ok = p.Take(context.Background(), "org", 10)
 	is.True(!ok)
 }
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -8,36 +8,35 @@
 	"github.com/havenrudder/havenrudder/common/decay"
 )
 
-// Shares divides quotas among regions by what callers ask for in each. It may be used by several
-// goroutines.
+// Shares divides quotas among regions by the demand of their callers. It is safe for concurrent use.
 type Shares struct {
-	mu     sync.Mutex
-	others []string // regions
-	heard  map[string]word
-	round  int                           // of words of all others that are heard
-	agreed map[string]map[string]float64 // share of each other region by organisation, as of the last round in which all were heard
+	mu           sync.Mutex
+	others       []string // regions except this one
+	reports      map[string]regionReport
+	round        int                           // number of completed rounds of reports
+	agreedShares map[string]map[string]float64 // of the other regions by organisation, from the last round in which all were reachable
 }
 
-// word is what another region told last.
-type word struct {
-	at   time.Duration
-	uses map[string]Use // by organisation
+// regionReport is the last usage report of another region.
+type regionReport struct {
+	requestedAt time.Duration
+	usage       map[string]Use // by organisation
 }
 
 // Share is a region's share of a quota.
 type Share struct {
-	Of      float64 // of the quota
-	InRest  float64 // of what stays with the regions that are heard, this one included
-	Rest    float64 // of the quota that stays with them
-	Heard   int     // other regions
-	Granted float64 // units that these granted in a window
+	Of      float64 // fraction of the quota
+	InRest  float64 // fraction of Rest
+	Rest    float64 // fraction of the quota that the reachable regions divide, including this one
+	Heard   int     // number of other regions that are reachable
+	Granted float64 // units that they granted in the last window
 }
 
-// NewShares returns the shares of a region among all, of which no other one was heard.
+// NewShares returns the shares of region self among all, without reports of the others.
 func NewShares(self string, regions []string) *Shares {
 	s := &Shares{
-		heard:  make(map[string]word),
-		agreed: make(map[string]map[string]float64),
+		reports:      make(map[string]regionReport),
+		agreedShares: make(map[string]map[string]float64),
 	}
 	for _, region := range regions {
 		if region != self {
@@ -47,37 +46,37 @@
 	return s
 }
 
-// Others returns how many other regions there are.
+// Others returns the number of other regions.
 func (s *Shares) Others() int { return len(s.others) }
 
-// Hear takes in what callers of another region use, by a question that left at a time. The map is
-// the shares' from then on.
-func (s *Shares) Hear(region string, uses map[string]Use, left time.Duration) {
+// Hear records the usage report of another region, which was requested at requestSent. It takes
+// ownership of the map.
+func (s *Shares) Hear(region string, usage map[string]Use, requestSent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[region] = word{
-		at:   left,
-		uses: uses,
+	s.reports[region] = regionReport{
+		requestedAt: requestSent,
+		usage:       usage,
 	}
 }
 
-// EndRound takes in that all other regions were asked.
+// EndRound records that reports were requested from all other regions.
 func (s *Shares) EndRound() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.round++
 }
 
-// Round returns the number of the last round.
+// Round returns the number of completed rounds.
 func (s *Shares) Round() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.round
 }
 
-// Of returns the share of this region in a quota of so many units a second, where its callers ask
-// for own of them. A region that isn't heard may be cut off and go on: its share stays as it was
-// when all were heard last, an equal one where they never were, and the others divide the rest.
+// Of returns the share of this region in a quota of perSecond units, with a demand of own. An
+// unreachable region may be partitioned and still admit requests, so it keeps its share of the
+// last round in which all were reachable, or an equal one; the other regions divide the rest.
 func (s *Shares) Of(organisation string, perSecond, own float64, now time.Duration) Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,42 +85,41 @@
 	}
 	sum := own
 	for _, region := range s.others {
-		if !s.hears(region, now) {
-			out.Rest -= s.kept(organisation, region)
+		if !s.reachable(region, now) {
+			out.Rest -= s.lastAgreedShare(organisation, region)
 			continue
 		}
 		out.Heard++
-		use := s.heard[region].uses[organisation]
+		use := s.reports[region].usage[organisation]
 		sum += use.Demand
 		out.Granted += use.Granted
 	}
 	out.Rest = max(out.Rest, 0)
-	out.InRest = shareOf(own, sum, out.Rest*perSecond, out.Heard+1)
+	out.InRest = demandShare(own, sum, out.Rest*perSecond, out.Heard+1)
 	out.Of = out.Rest * out.InRest
 	return out
 }
 
-// hears says whether a region told its demand of late.
-func (s *Shares) hears(region string, now time.Duration) bool {
-	w, ok := s.heard[region]
-	return ok && now-w.at <= regionFor
+// reachable reports whether the last report of a region is recent.
+func (s *Shares) reachable(region string, now time.Duration) bool {
+	report, ok := s.reports[region]
+	return ok && now-report.requestedAt <= regionTimeout
 }
 
-// shareOf returns the share of a region that asks for own of the sum of so many regions: what it
-// asks for and an equal part of what nobody does, so that few and long requests are let through
-// wherever they come; where more is asked for than there is, a part by that, but for an equal one
-// for callers that begin.
-func shareOf(own, sum, perSecond float64, regions int) float64 {
+// demandShare returns the share of a region whose demand is own of the sum over the given number of
+// regions. Unused units, at least minEqualFraction of all, are divided equally, so that callers may
+// start in any region; the rest is divided in proportion to demand.
+func demandShare(own, sum, perSecond float64, regions int) float64 {
 	equal := 1 / float64(regions)
-	spare := max(regionFloor, 1-sum/max(perSecond, 1))
+	spare := max(minEqualFraction, 1-sum/max(perSecond, 1))
 	if sum <= 0 {
 		return equal
 	}
 	return spare*equal + (1-spare)*own/sum
 }
 
-// Agree takes in that all other regions told their demand in one round, in which this one told
-// its own: all come to the same shares of quotas, up to what changed within a round.
+// Agree records the shares after a round in which all regions received each other's reports; own
+// is the report of this one. All regions compute the same shares, up to changes within the round.
 func (s *Shares) Agree(own map[string]Use, perSecond func(organisation string) float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,29 +128,29 @@
 		sums[organisation] = u.Demand
 	}
 	for _, region := range s.others {
-		for organisation, u := range s.heard[region].uses {
+		for organisation, u := range s.reports[region].usage {
 			sums[organisation] += u.Demand
 		}
 	}
-	clear(s.agreed)
+	clear(s.agreedShares)
 	for organisation, sum := range sums {
-		list := make(map[string]float64, len(s.others))
+		regionShares := make(map[string]float64, len(s.others))
 		for _, region := range s.others {
-			list[region] = shareOf(s.heard[region].uses[organisation].Demand, sum, perSecond(organisation), len(s.others)+1)
+			regionShares[region] = demandShare(s.reports[region].usage[organisation].Demand, sum, perSecond(organisation), len(s.others)+1)
 		}
-		s.agreed[organisation] = list
+		s.agreedShares[organisation] = regionShares
 	}
 }
 
-// kept returns the share that stays with a region which isn't heard.
-func (s *Shares) kept(organisation, region string) float64 {
-	if share, ok := s.agreed[organisation][region]; ok {
+// lastAgreedShare returns the share that an unreachable region keeps.
+func (s *Shares) lastAgreedShare(organisation, region string) float64 {
+	if share, ok := s.agreedShares[organisation][region]; ok {
 		return share
 	}
 	return 1 / float64(len(s.others)+1)
 }
 
-// perSecond returns the rate of what was counted.
+// perSecond returns the rate of a count.
 func perSecond(n *decay.Count, now time.Duration) float64 {
-	return n.At(now, demandHalf) * math.Ln2 / demandHalf.Seconds()
+	return n.At(now, demandHalfLife) * math.Ln2 / demandHalfLife.Seconds()
 }
--- a/quota/window.go
+++ b/quota/window.go
@@ -2,41 +2,40 @@
 
 import "time"
 
-// window counts the units of a sliding window, in steps.
+// window counts the units of a sliding window in steps.
 type window struct {
-	steps []float64
-	sum   float64
-	last  int64 // number of the newest step
+	steps    []float64
+	sum      float64
+	lastStep int64 // index of the newest step
 }
 
-// newWindow returns the counts of a window of a length, of which nothing is used.
+// newWindow returns an empty window of the given length.
 func newWindow(length time.Duration) window {
 	return window{
-		steps: make([]float64, int(length/step)+2), // the one that is under way, and one that the window begins in
+		steps: make([]float64, int(length/windowStep)+2), // includes the current step and the one in which the window begins
 	}
 }
 
-// advance forgets what is out of the window.
+// advance removes the steps before the window.
 func (w *window) advance(now time.Duration) {
-	at := int64(now / step)
-	for ; w.last < at; w.last++ {
-		if at-w.last > int64(len(w.steps)) {
-			w.last = at - int64(len(w.steps))
+	at := int64(now / windowStep)
+	for ; w.lastStep < at; w.lastStep++ {
+		if at-w.lastStep > int64(len(w.steps)) {
+			w.lastStep = at - int64(len(w.steps))
 		}
-		next := &w.steps[(w.last+1)%int64(len(w.steps))]
+		next := &w.steps[(w.lastStep+1)%int64(len(w.steps))]
 		w.sum -= *next
 		*next = 0
 	}
 }
 
-// add takes units in.
+// add counts units.
 func (w *window) add(units float64, now time.Duration) {
 	w.advance(now)
-	w.steps[w.last%int64(len(w.steps))] += units
+	w.steps[w.lastStep%int64(len(w.steps))] += units
 	w.sum += units
 }
 
-// used returns the units of the window.
 func (w *window) used(now time.Duration) float64 {
 	w.advance(now)
 	return max(w.sum, 0)
