--- a/quota/allocator.go
+++ b/quota/allocator.go
@@ -23,8 +23,8 @@
 	uptime   time.Duration // at its last request
 }
 
-// usageReport is the usage that a box reported for the last window.
-type usageReport struct {
+// report is the usage that a box reported for the last window.
+type report struct {
 	receivedAt time.Duration
 	units      float64
 }
@@ -32,11 +32,11 @@
 // balance is an allocator's record of one organisation.
 type balance struct {
 	granted      window
-	reports      map[string]usageReport // by box
-	demand       decay.Count            // units that callers requested
-	sharedDemand float64                // units per second that other regions received; -1 before the first report
-	round        int                    // of reports between regions
-	remaining    float64                // units that may be granted in that round
+	reports      map[string]report // by box
+	demand       decay.Count       // units that callers requested
+	sharedDemand float64           // units per second that other regions received; -1 before the first report
+	round        int               // of reports between regions
+	remaining    float64           // units that may be granted in that round
 }
 
 // NewBank returns an allocator without records of boxes.
@@ -70,7 +70,7 @@
 		bal := b.balance(a.Organisation, terms)
 		bal.demand.Add(a.Asked, now, demandHalfLife)
 		share := r.Shares.Of(a.Organisation, terms.PerSecond(), bal.reported(now), now)
-		bal.recordReport(from.Box, a.Used, terms, now)
+		bal.report(from.Box, a.Used, terms, now)
 		bal.startRound(terms, share, r.Shares, now)
 		free := min(bal.remaining, terms.Units*boxFraction*share.Of*b.reported(terms)-bal.used(now))
 		out = append(out, bal.grant(a, free, terms.PerSecond()*boxFraction*share.Of, len(b.boxes), r.Draw(), now))
@@ -111,7 +111,7 @@
 	if !ok {
 		bal = &balance{
 			granted:      newWindow(t.Window),
-			reports:      make(map[string]usageReport),
+			reports:      make(map[string]report),
 			sharedDemand: -1,
 			round:        -1,
 		}
@@ -151,10 +151,10 @@
 	return b.sharedDemand
 }
 
-// recordReport records the usage of a box. It counts for a window, also after the box's last
+// report records the usage of a box. It counts for a window, also after the box's last
 // request.
-func (b *balance) recordReport(box string, units float64, t Terms, now time.Duration) {
-	b.reports[box] = usageReport{
+func (b *balance) report(box string, units float64, t Terms, now time.Duration) {
+	b.reports[box] = report{
 		receivedAt: now,
 		units:      units,
 	}
