--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,9 +1,8 @@
-// Package lease says for how long a box may act on the keys that it knows. It holds the moment
-// up to which the policy in force here was surely the newest. A box learns it by a question to
-// the publisher that was answered, or to another box, which tells the age of its own moment.
-// Either way the moment is at most as late as the question left, on the box's own clock: what
-// the answer takes, whatever stood still on its way, and differences of clocks make it only
-// earlier.
+// Package lease tracks how recently the policy in force on a box is known to have been the newest,
+// which limits how long the box may act on its keys. A freshness proof is the response of the
+// publisher, or of another box that reports the age of its own lease. The box dates it to the time
+// at which it sent the request, on its own clock, or earlier, so delays and clock drift never
+// extend a lease.
 package lease
 
 import (
@@ -12,75 +11,74 @@
 	"time"
 )
 
-// mostProofs are the proofs of policies not in force yet that are kept. Versions that come in
-// quick succession are in force within some rounds.
-const mostProofs = 8
+// maxPending is the maximum number of proofs kept of versions that are not in force.
+const maxPending = 8
 
-// Never is the age of what was never proved.
+// Never is the age of a policy without a freshness proof.
 const Never = time.Duration(math.MaxInt64)
 
-// Proof says that at a moment no policy was published that is newer than a version.
+// Proof is a freshness proof: at the time At no policy newer than Version was published.
 type Proof struct {
 	Version int
 	At      time.Duration // on the box's clock
 }
 
-// Lease is what a box holds, in its zero value that of a box that knows nothing. It may be used
-// by several goroutines.
+// Lease holds the freshness proofs of a box. Its zero value has none. It is safe for concurrent
+// use.
 type Lease struct {
-	mu      sync.Mutex
-	version int // of the policy in force
-	at      time.Duration
-	proved  bool
-	waiting []Proof // of versions not in force here, the oldest first
+	mu          sync.Mutex
+	version     int // of the policy in force
+	confirmedAt time.Duration
+	confirmed   bool
+	pending     []Proof // of versions that are not in force, oldest first
 }
 
-// Prove takes a proof in. One of a version that isn't in force here counts from when it is.
+// Prove records a proof. A proof of a later version applies once that version is in force.
 func (l *Lease) Prove(p Proof) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.Version <= l.version {
-		l.extend(p.At)
+		l.confirm(p.At)
 		return
 	}
-	if len(l.waiting) == mostProofs {
-		l.waiting = l.waiting[1:]
+	if len(l.pending) == maxPending {
+		l.pending = l.pending[1:]
 	}
-	l.waiting = append(l.waiting, p)
+	l.pending = append(l.pending, p)
 }
 
-// Hold takes in that the policy of a version is in force. It comes after the policy has come
-// into force, so that who asks for the age and then for the policy has one as new as that.
+// Hold records the version of the policy in force. The caller puts the policy in force first, so
+// that reading the age and then the policy yields a policy at least that new.
 func (l *Lease) Hold(version int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version = max(l.version, version)
-	kept := l.waiting[:0]
-	for _, p := range l.waiting {
+	later := l.pending[:0]
+	for _, p := range l.pending {
 		if p.Version <= l.version {
-			l.extend(p.At)
+			l.confirm(p.At)
 		} else {
-			kept = append(kept, p)
+			later = append(later, p)
 		}
 	}
-	l.waiting = kept
+	l.pending = later
 }
 
-// extend moves the moment on.
-func (l *Lease) extend(at time.Duration) {
-	if !l.proved || at > l.at {
-		l.at = at
-		l.proved = true
+// confirm records that the policy in force was the newest at the given time.
+func (l *Lease) confirm(confirmedAt time.Duration) {
+	if !l.confirmed || confirmedAt > l.confirmedAt {
+		l.confirmedAt = confirmedAt
+		l.confirmed = true
 	}
 }
 
-// Age returns how long ago the policy in force was surely the newest, and its version; Never
-// where that isn't known.
+// Age returns the time since the policy in force was confirmed as the newest, or Never, and its
+// version.
 func (l *Lease) Age(now time.Duration) (age time.Duration, version int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.proved {
+	if !l.confirmed {
 		return Never, l.version
 	}
-	return now - l.at, l.version
+	return now - l.confirmedAt, l.version
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,7 +15,7 @@
 
 func ExampleLease() {
 	var l lease.Lease
-	l.Prove(lease.Proof{ // another box has a policy that isn't in force here
+	l.Prove(lease.Proof{ // of a version that is not in force yet
 		Version: 7,
 		At:      3 * time.Second,
 	})
@@ -29,19 +29,19 @@
 	// 1s 7
 }
 
-// publication is a version and when it was published.
+// publication is a version and the time at which it was published.
 type publication struct {
 	version int
 	at      time.Duration
 }
 
-// Whatever proofs and policies come, in whatever order and however late: at the moment that the
-// lease says, nothing newer than the policy in force was published.
+// Guards against a lease that confirms the policy in force for a time at which a newer one was
+// published, for proofs and versions that arrive late or in any order.
 func TestALeaseNeverReachesPastAVersionThatIsNotInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l lease.Lease
 		var published []publication
-		now, held := time.Duration(0), 0
+		now, inForce := time.Duration(0), 0
 		newest := func() int { return len(published) }
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) {
@@ -56,7 +56,7 @@
 					t.Skip("nothing published")
 				}
 				of := published[rapid.IntRange(0, newest()-1).Draw(t, "version")]
-				until := now // a version is proved for a moment at which it was the newest
+				until := now // the last time at which the version was the newest
 				if of.version < newest() {
 					until = published[of.version].at - 1
 				}
@@ -67,21 +67,21 @@
 			},
 			"hold": func(t *rapid.T) {
 				version := rapid.IntRange(0, newest()).Draw(t, "held")
-				held = max(held, version)
+				inForce = max(inForce, version)
 				l.Hold(version)
 			},
 			"": func(t *rapid.T) {
 				now++
 				age, version := l.Age(now)
-				if version != held {
-					t.Fatalf("version %d, %d is in force", version, held)
+				if version != inForce {
+					t.Fatalf("version %d, %d is in force", version, inForce)
 				}
 				if age == lease.Never {
 					return
 				}
 				for _, p := range published {
-					if p.version > held && p.at <= now-age {
-						t.Fatalf("lease of version %d as of %d, version %d was published at %d", held, now-age, p.version, p.at)
+					if p.version > inForce && p.at <= now-age {
+						t.Fatalf("lease of version %d as of %d, version %d was published at %d", inForce, now-age, p.version, p.at)
 					}
 				}
 			},
