--- a/placement/among.go
+++ b/placement/among.go
@@ -10,30 +10,30 @@
 // Figures of choosing among a few replicas where many boxes go by the same words of
 // their loads: what looks best to one does to all, until the next words come.
 const (
-	amongChance    = 2    // replicas that chance gives a request; with 4 more go to the same ones
-	amongRank      = 2    // and the first ones in the rank of its shared parts
-	amongReadAgain = 10.0 // as readAgain: a prompt that goes elsewhere is read there while all boxes think that there is room. At the peak of the replay 95 in 100 requests are in time with it, 84 with 2.5 (TestManyBoxesServeNearlyWhatOneThatKnowsAllDoes, 32 boxes)
+	candidatesByKey      = 2    // replicas that chance gives a request; with 4 more go to the same ones
+	candidatesBySegment  = 2    // and the first ones in the rank of its shared parts
+	reportedRereadFactor = 10.0 // as readAgain: a prompt that goes elsewhere is read there while all boxes think that there is room. At the peak of the replay 95 in 100 requests are in time with it, 84 with 2.5 (TestManyBoxesServeNearlyWhatOneThatKnowsAllDoes, 32 boxes)
 )
 
-// readAgain returns what reading a shared part costs, in its own time.
-func (v *View) readAgain() float64 {
+// rereadFactor returns what reading a shared part costs, in its own time.
+func (v *View) rereadFactor() float64 {
 	if v.byWords {
-		return amongReadAgain
+		return reportedRereadFactor
 	}
 	return readAgain
 }
 
-// among returns the replicas among which the one for a request is chosen: all, or a few
+// candidates returns the replicas candidates which the one for a request is chosen: all, or a few
 // where many boxes go by the same words.
-func (v *View) among(req Request, now time.Duration) []*Replica {
+func (v *View) candidates(req Request, now time.Duration) []*Replica {
 	if !v.byWords {
 		return v.byName
 	}
-	out := v.top(req.Key, amongChance, req, now)
+	out := v.top(req.Key, candidatesByKey, req, now)
 	if len(req.Parts) == 0 {
 		return out
 	}
-	for _, r := range v.top(req.Subject(), amongRank, req, now) {
+	for _, r := range v.top(req.Subject(), candidatesBySegment, req, now) {
 		if !slices.Contains(out, r) {
 			out = append(out, r)
 		}
--- a/placement/copy.go
+++ b/placement/copy.go
@@ -7,10 +7,10 @@
 // there wait; without copies the requests of 15 paired days with faults lost 0.018 of
 // their worth more.
 const (
-	copySetup = 5 * time.Millisecond // until a copy begins, by the sheet of an engine that tells it
-	copyShare = 0.1                  // of the way between two engines that a copy counts on: copies go one after another
-	bitsMega  = 1e6                  // bits in a megabit
-	bitsByte  = 8                    // bits in a byte
+	copySetupTime  = 5 * time.Millisecond // until a copy begins, by the sheet of an engine that tells it
+	copyLinkShare  = 0.1                  // of the way between two engines that a copy counts on: copies go one after another
+	bitsPerMegabit = 1e6                  // bits in a megabit
+	bitsPerByte    = 8                    // bits in a byte
 )
 
 // copyTime returns how long it takes to copy tokens of a prompt to an engine from
@@ -23,27 +23,27 @@
 	if !e.Copies || e.LinkMbps <= 0 || e.TokenBytes <= 0 {
 		return 0, false
 	}
-	seconds := float64(tokens) * float64(e.TokenBytes) * bitsByte / (copyShare * e.LinkMbps * bitsMega)
-	took := copySetup + scale(seconds, time.Second)
+	seconds := float64(tokens) * float64(e.TokenBytes) * bitsPerByte / (copyLinkShare * e.LinkMbps * bitsPerMegabit)
+	took := copySetupTime + scale(seconds, time.Second)
 	return took, took < ReadTime(tokens)
 }
 
-// keeper returns the usable replica that most likely keeps the shared parts of a
+// cacheHolder returns the usable replica that most likely keeps the shared parts of a
 // prompt: the one that is known to have been given most of them, or else the first in
 // their rank, to which all boxes send them. It is nil for none.
-func (v *View) keeper(req Request, first *Replica, now time.Duration) *Replica {
-	best := first
-	least := req.Shared()
+func (v *View) cacheHolder(req Request, preferred *Replica, now time.Duration) *Replica {
+	best := preferred
+	fewest := req.Shared()
 	for _, r := range v.byName {
 		if r.info.Service != req.Service || v.unusable(r, req, now) != None {
 			continue
 		}
-		if n := r.missing(req, now); n < least {
+		if n := r.missing(req, now); n < fewest {
 			best = r
-			least = n
+			fewest = n
 		}
 	}
-	if best == nil || best.failures > 0 || best.muted > 0 {
+	if best == nil || best.failures > 0 || best.noResponses > 0 {
 		return nil // it may be lost, and a copy from it would be waited for
 	}
 	return best
--- a/placement/entries.go
+++ b/placement/entries.go
@@ -9,65 +9,65 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// sweepEvery is the time between two looks for starts that are to be forgotten.
-const sweepEvery = time.Second
+// sweepInterval is the time between two looks for starts that are to be forgotten.
+const sweepInterval = time.Second
 
-// entries is what a view keeps of the catalog beside its replicas, so that a change takes
+// index is what a view keeps of the catalog beside its replicas, so that a change takes
 // as long as what it changes, however many replicas there are.
-type entries struct {
-	from     *catalog.Content // of which the rest is
-	count    int              // changes of it that were taken in
-	unread   bool             // all of it is to be looked at again
-	addrs    map[string]string
-	at       map[string][]string   // ids by address
-	starts   map[string][]*Replica // by id
-	listed   map[string]int        // replicas by service
-	ended    map[string]*Replica   // starts that are not listed
-	doubtful []*Replica
-	swept    time.Duration
+type index struct {
+	content     *catalog.Content // of which the rest is
+	seenChanges int              // changes of it that were taken in
+	stale       bool             // all of it is to be looked at again
+	addrs       map[string]string
+	at          map[string][]string   // ids by address
+	starts      map[string][]*Replica // by id
+	listedCount map[string]int        // replicas by service
+	unlisted    map[string]*Replica   // starts that are not listed
+	unconfirmed []*Replica
+	sweptAt     time.Duration
 }
 
-func newEntries() entries {
-	return entries{
-		addrs:  make(map[string]string),
-		at:     make(map[string][]string),
-		starts: make(map[string][]*Replica),
-		listed: make(map[string]int),
-		ended:  make(map[string]*Replica),
+func newIndex() index {
+	return index{
+		addrs:       make(map[string]string),
+		at:          make(map[string][]string),
+		starts:      make(map[string][]*Replica),
+		listedCount: make(map[string]int),
+		unlisted:    make(map[string]*Replica),
 	}
 }
 
-// take takes in which entries of a region have changed, and returns their ids with those
+// update takes in which entries of a region have changed, and returns their ids with those
 // that share an address with them, before or now, in order.
-func (e *entries) take(c *catalog.Content, region string) []string {
-	ids, count, ok := c.Touched(e.count)
-	if !ok || e.unread || e.from != c {
-		ids = e.all(c)
+func (e *index) update(c *catalog.Content, region string) []string {
+	ids, count, ok := c.Touched(e.seenChanges)
+	if !ok || e.stale || e.content != c {
+		ids = e.allIDs(c)
 	}
-	e.from = c
-	e.count = count
-	e.unread = false
+	e.content = c
+	e.seenChanges = count
+	e.stale = false
 	affected := make(map[string]bool, len(ids))
-	share := func(addr string) {
+	addSharing := func(addr string) {
 		for _, id := range e.at[addr] {
 			affected[id] = true
 		}
 	}
 	for _, id := range ids {
 		affected[id] = true
-		share(e.addrs[id])
+		addSharing(e.addrs[id])
 		info, _ := c.Replica(id)
 		if info.Region != region {
 			info.Addr = ""
 		}
-		e.move(id, info.Addr)
-		share(info.Addr)
+		e.setAddr(id, info.Addr)
+		addSharing(info.Addr)
 	}
 	return slices.Sorted(maps.Keys(affected))
 }
 
-// all returns the ids of all entries and of all that were known.
-func (e *entries) all(c *catalog.Content) []string {
+// allIDs returns the ids of allIDs entries and of allIDs that were known.
+func (e *index) allIDs(c *catalog.Content) []string {
 	var out []string
 	for _, r := range c.Replicas() {
 		out = append(out, r.ID)
@@ -78,16 +78,16 @@
 	return slices.Compact(out)
 }
 
-// move takes in the address of an id; empty for none.
-func (e *entries) move(id, addr string) {
-	was := e.addrs[id]
-	if was == addr {
+// setAddr takes in the address of an id; empty for none.
+func (e *index) setAddr(id, addr string) {
+	old := e.addrs[id]
+	if old == addr {
 		return
 	}
-	if was != "" {
-		e.at[was] = slices.DeleteFunc(e.at[was], func(o string) bool { return o == id })
-		if len(e.at[was]) == 0 {
-			delete(e.at, was)
+	if old != "" {
+		e.at[old] = slices.DeleteFunc(e.at[old], func(o string) bool { return o == id })
+		if len(e.at[old]) == 0 {
+			delete(e.at, old)
 		}
 	}
 	if addr == "" {
@@ -98,25 +98,25 @@
 	e.at[addr] = append(e.at[addr], id)
 }
 
-// place returns where a start is, or belongs, among all in order.
-func (v *View) place(start string) (at int, found bool) {
+// position returns where a start is, or belongs, among all in order.
+func (v *View) position(start string) (at int, found bool) {
 	return slices.BinarySearchFunc(v.byName, start, func(r *Replica, start string) int { return cmp.Compare(r.start, start) })
 }
 
-// join takes in a start that was not known, and isn't listed yet.
-func (v *View) join(r *Replica) {
+// add takes in a start that was not known, and isn't listed yet.
+func (v *View) add(r *Replica) {
 	v.replicas[r.start] = r
-	at, _ := v.place(r.start)
+	at, _ := v.position(r.start)
 	v.byName = slices.Insert(v.byName, at, r)
 	v.entries.starts[r.info.ID] = append(v.entries.starts[r.info.ID], r)
-	v.entries.ended[r.start] = r
+	v.entries.unlisted[r.start] = r
 	v.joined(r.start)
 }
 
-// leave drops a start that isn't listed.
-func (v *View) leave(r *Replica) {
+// remove drops a start that isn't listed.
+func (v *View) remove(r *Replica) {
 	delete(v.replicas, r.start)
-	if at, ok := v.place(r.start); ok {
+	if at, ok := v.position(r.start); ok {
 		v.byName = slices.Delete(v.byName, at, at+1)
 	}
 	e := &v.entries
@@ -124,45 +124,45 @@
 	if len(e.starts[r.info.ID]) == 0 {
 		delete(e.starts, r.info.ID)
 	}
-	delete(e.ended, r.start)
+	delete(e.unlisted, r.start)
 	v.left(r.start)
 }
 
-// inform takes in what is published of a start, listed or not.
-func (v *View) inform(r *Replica, info catalog.Replica) {
+// setInfo takes in what is published of a start, listed or not.
+func (v *View) setInfo(r *Replica, info catalog.Replica) {
 	if r.listed {
-		v.entries.listed[r.info.Service]--
-		v.entries.listed[info.Service]++
+		v.entries.listedCount[r.info.Service]--
+		v.entries.listedCount[info.Service]++
 	}
 	r.info = info
 }
 
-// list takes in that a start is listed as published.
-func (v *View) list(r *Replica, info catalog.Replica) {
-	v.inform(r, info)
+// markListed takes in that a start is listed as published.
+func (v *View) markListed(r *Replica, info catalog.Replica) {
+	v.setInfo(r, info)
 	if r.listed {
 		return
 	}
 	r.listed = true
-	v.entries.listed[info.Service]++
-	delete(v.entries.ended, r.start)
+	v.entries.listedCount[info.Service]++
+	delete(v.entries.unlisted, r.start)
 }
 
-// unlist takes in that a start is listed no more.
-func (v *View) unlist(r *Replica) {
+// markUnlisted takes in that a start is listed no more.
+func (v *View) markUnlisted(r *Replica) {
 	r.listed = false
-	v.entries.listed[r.info.Service]--
-	v.entries.ended[r.start] = r
+	v.entries.listedCount[r.info.Service]--
+	v.entries.unlisted[r.start] = r
 }
 
-// forgetEnded forgets the starts that have ended and been idle for long.
-func (v *View) forgetEnded(now time.Duration) {
-	if now-v.entries.swept < sweepEvery && now >= v.entries.swept {
+// evictUnlisted forgets the starts that have ended and been idle for long.
+func (v *View) evictUnlisted(now time.Duration) {
+	if now-v.entries.sweptAt < sweepInterval && now >= v.entries.sweptAt {
 		return
 	}
-	v.entries.swept = now
-	for _, r := range v.entries.ended {
-		if r.own.Requests == 0 && now-r.heard > forgetAfter {
+	v.entries.sweptAt = now
+	for _, r := range v.entries.unlisted {
+		if r.own.Requests == 0 && now-r.lastSeen > forgetAfter {
 			v.forget(r)
 		}
 	}
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -29,8 +29,8 @@
 	if r == nil {
 		return
 	}
-	r.seenFirst(took, c.Expect, now)
-	r.answered(now)
+	r.recordFirstByte(took, c.Expect, now)
+	r.recordResponse(now)
 	r.own.Unread -= c.grant.load.Unread
 	c.grant.load.Unread = 0
 }
@@ -41,18 +41,18 @@
 	if r == nil {
 		return
 	}
-	r.said = told{
+	r.said = peerLoad{
 		load: Load{
 			Requests: max(requests-r.own.Requests, 0),
 		},
-		till: now + saidFor,
+		expiry: now + selfReportTTL,
 	}
 }
 
 // Heard takes in that a replica goes on with an answer.
 func (v *View) Heard(c *Choice, now time.Duration) {
 	if r := c.grant.replica; r != nil {
-		r.heard = now
+		r.lastSeen = now
 	}
 }
 
@@ -63,7 +63,7 @@
 	if r == nil {
 		return 0
 	}
-	return now - max(r.heard, sent)
+	return now - max(r.lastSeen, sent)
 }
 
 // End counts a request out and takes in what became of it. It returns true when
@@ -82,24 +82,24 @@
 	switch result {
 	case Answered:
 		r.outcomes.Add(false, now)
-		r.took(hold)
-		r.answered(now)
+		r.recordDuration(hold)
+		r.recordResponse(now)
 	case Failed:
 		r.outcomes.Add(true, now)
-		r.answered(now)
+		r.recordResponse(now)
 	case Refused:
 		r.outcomes.Add(true, now) // it has no room, however idle it looks
-		r.answered(now)
+		r.recordResponse(now)
 	case Silent:
-		v.mute(r, now)
+		v.recordNoResponse(r, now)
 	case Unreachable:
 		r.outcomes.Add(true, now)
 		r.failures++
-		if r.failures >= failuresOut {
-			v.leaveOut(r, now)
+		if r.failures >= maxConnectFailures {
+			v.eject(r, now)
 		}
 	case Misdirected:
-		v.leaveOut(r, now)
+		v.eject(r, now)
 	case Abandoned:
 	}
 	return !wasOut && r.Out(now)
@@ -113,23 +113,23 @@
 		return false
 	}
 	wasOut := r.Out(now)
-	v.mute(r, now)
+	v.recordNoResponse(r, now)
 	return !wasOut && r.Out(now)
 }
 
-// mute counts a request that got nothing more from a replica.
-func (v *View) mute(r *Replica, now time.Duration) {
+// recordNoResponse counts a request that got nothing more from a replica.
+func (v *View) recordNoResponse(r *Replica, now time.Duration) {
 	r.outcomes.Add(true, now)
-	r.muted++
-	if r.muted >= mutedOut && now-r.heard >= mutedFor {
-		v.leaveOut(r, now)
+	r.noResponses++
+	if r.noResponses >= maxNoResponses && now-r.lastSeen >= noResponseTimeout {
+		v.eject(r, now)
 	}
 }
 
-// leaveOut gives a replica no work for a while. When it is back it may be cold,
+// eject gives a replica no work for a while. When it is back it may be cold,
 // so it gets work at the pace of a cold one until it is known better.
-func (v *View) leaveOut(r *Replica, now time.Duration) {
-	r.leaveOut(now)
+func (v *View) eject(r *Replica, now time.Duration) {
+	r.eject(now)
 	if r.service == nil || v.isReplaced(r) {
 		return
 	}
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -107,9 +107,9 @@
 	if req.Prompt > 0 {
 		g.load.Tokens = req.Prompt + int(answerShare*float64(cmp.Or(req.Out, defaultOut)))
 		g.load.Unread = best.missing + req.Own()
-		best.r.keep(req.Parts, now)
-		best.r.note(req, now)
-		best.r.given(g.load.Unread, now)
+		best.r.recordCached(req.Parts, now)
+		best.r.recordSentSegment(req, now)
+		best.r.recordPrefill(g.load.Unread, now)
 		u := v.usual[req.Service]
 		u.add(g.load)
 		v.usual[req.Service] = u
@@ -154,9 +154,9 @@
 // says why, and when there may be one.
 func (v *View) best(req Request, boxes []string, now time.Duration) (best weighed, none Choice) {
 	first := v.first(req, now)
-	keeper := v.keeper(req, first, now)
-	usual := v.usualHold(req.Service)
-	list := v.among(req, now)
+	keeper := v.cacheHolder(req, first, now)
+	usual := v.meanDuration(req.Service)
+	list := v.candidates(req, now)
 	best, none = v.bestOf(list, req, first, keeper, usual, boxes, now)
 	if best.r == nil && len(list) < len(v.byName) {
 		return v.bestOf(v.byName, req, first, keeper, usual, boxes, now)
@@ -178,9 +178,9 @@
 			wait = v.pacer.Next(r.info.ID, boxes, now) - now
 		}
 		w := v.weigh(r, req, keeper, r == first, usual, now)
-		if reason == None && r.full(w.load, req) {
+		if reason == None && r.isFull(w.load, req) {
 			reason = Full
-			wait = r.queueing(w.load, usual)
+			wait = r.queueWait(w.load, usual)
 		}
 		if reason != None {
 			none.note(reason, wait)
@@ -223,7 +223,7 @@
 		return Unlisted
 	case r.info.Leaving:
 		return Leaving
-	case r.doubtful:
+	case r.unconfirmed:
 		return Doubtful
 	case v.closed[r.info.Domain]:
 		return Closed
@@ -256,7 +256,7 @@
 		load: v.Load(r, now),
 	}
 	if r.service == nil || r.service.Engine == nil {
-		w.expect = scale(r.Slow(now), r.queueing(w.load, usual)+cmp.Or(r.hold, usual))
+		w.expect = scale(r.Slow(now), r.queueWait(w.load, usual)+cmp.Or(r.hold, usual))
 		w.cost = w.expect
 	} else {
 		v.weighEngine(&w, req, keeper, first, usual, now)
@@ -282,14 +282,14 @@
 	case first && w.missing > 0:
 		w.missing = mayLack(w.missing)
 	}
-	wait := ReadTime(w.load.Unread) + w.r.queueing(w.load, usual) + copying
+	wait := ReadTime(w.load.Unread) + w.r.queueWait(w.load, usual) + copying
 	step := time.Duration(stepPerKilo * float64(w.load.Tokens) / 1000 * float64(time.Millisecond))
 	w.expect = scale(w.r.Slow(now), stepBase+step+wait+ReadTime(w.missing+req.Own()))
 	harm := req.Harm(w.missing, w.load.Requests)
 	if req.Gap > 0 {
 		harm += harmBusy * float64(w.load.Reads) / (readRate * 1000)
 	}
-	w.cost = w.expect + scale(v.readAgain()-1, ReadTime(w.missing)) + w.r.crowding(w.load, req) + scale(harm, harmTime)
+	w.cost = w.expect + scale(v.rereadFactor()-1, ReadTime(w.missing)) + w.r.preemptionCost(w.load, req) + scale(harm, harmTime)
 }
 
 // mayLack returns how many shared tokens the first in their rank is expected to lack
--- a/placement/question.go
+++ b/placement/question.go
@@ -17,7 +17,7 @@
 	}
 	return r.word.Silent || r.word.Waiting > 0 ||
 		float64(r.word.Requests) >= busyShare*float64(r.slots()) ||
-		r.memory(Load{Tokens: r.word.Tokens}, Request{}) >= busyShare
+		r.memoryShare(Load{Tokens: r.word.Tokens}, Request{}) >= busyShare
 }
 
 // Questions returns the engines that this box asks for their load now: busy ones for all
@@ -30,7 +30,7 @@
 			continue
 		}
 		if r.isDue(now, mine, unanswered) {
-			r.asked = now
+			r.lastPoll = now
 			out = append(out, r)
 		}
 	}
@@ -39,8 +39,8 @@
 
 // isDue says whether an engine is to be asked for its load now.
 func (r *Replica) isDue(now time.Duration, mine, unanswered func(start string) bool) bool {
-	since := now - r.asked
-	if r.asked == 0 {
+	since := now - r.lastPoll
+	if r.lastPoll == 0 {
 		since = askLight
 	}
 	switch {
@@ -52,7 +52,7 @@
 		return true
 	case r.word.At > 0 && now-r.word.At < askLight:
 		return false
-	case r.failures > 0 || r.muted > 0:
+	case r.failures > 0 || r.noResponses > 0:
 		return true
 	}
 	return r.own.Requests > 0 && since >= askLight
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	slowHalf     = 8 * time.Second        // time in which half of a replica's slowness is forgotten
-	slowWeight   = 0.25                   // weight of the newest observation of slowness
-	slowBound    = 2.5                    // bound of one observation, a natural logarithm
-	readsHalf    = 1 * time.Second        // time in which half of a rate of prompts is forgotten: some ten prompts at the peak
-	readsOver    = 20 * readsHalf         // after it a rate of prompts is below one token
-	holdWeight   = 0.1                    // weight of the newest time that a request took
-	failuresOut  = 2                      // failures to connect in a row until it is left out
-	mutedFor     = 500 * time.Millisecond // and nothing else came from it for so long: requests may be cut together, or reset beside others that are answered
-	mutedOut     = 3                      // requests in a row without any answer until it is left out
-	warmParts    = 512                    // prompt parts remembered of one replica; about its memory over a small part
-	warmFor      = 20 * time.Second       // a part not used for longer has probably given way
-	othersFor    = 1 * time.Second        // what another box told counts so long at least; four of its messages among few boxes
-	saidFor      = 250 * time.Millisecond // a replica's word of its load counts so long: until other boxes told of theirs again
-	defaultHold  = 40 * time.Millisecond  // of a request where none of the service was answered yet
-	defaultSlots = 16                     // of a replica that tells none
+	slownessHalfLife   = 8 * time.Second        // time in which half of a replica's slowness is forgotten
+	slownessWeight     = 0.25                   // weight of the newest observation of slowness
+	maxSlowness        = 2.5                    // bound of one observation, a natural logarithm
+	prefillHalfLife    = 1 * time.Second        // time in which half of a rate of prompts is forgotten: some ten prompts at the peak
+	prefillWindow      = 20 * prefillHalfLife   // after it a rate of prompts is below one token
+	durationWeight     = 0.1                    // weight of the newest time that a request took
+	maxConnectFailures = 2                      // failures to connect in a row until it is left out
+	noResponseTimeout  = 500 * time.Millisecond // and nothing else came from it for so long: requests may be cut together, or reset beside others that are answered
+	maxNoResponses     = 3                      // requests in a row without any answer until it is left out
+	maxCachedSegments  = 512                    // prompt parts remembered of one replica; about its memory over a small part
+	cachedSegmentTTL   = 20 * time.Second       // a part not used for longer has probably given way
+	minPeerLoadTTL     = 1 * time.Second        // what another box told counts so long at least; four of its messages among few boxes
+	selfReportTTL      = 250 * time.Millisecond // a replica's word of its load counts so long: until other boxes told of theirs again
+	defaultDuration    = 40 * time.Millisecond  // of a request where none of the service was answered yet
+	defaultSlots       = 16                     // of a replica that tells none
 )
 
 // Load is work that one box has at a replica.
@@ -48,40 +48,40 @@
 	}
 }
 
-// told is what another box said of its work at a replica.
-type told struct {
-	load Load
-	till time.Duration
+// peerLoad is what another box said of its work at a replica.
+type peerLoad struct {
+	load   Load
+	expiry time.Duration
 }
 
 // Replica is what a box knows of one start of a replica.
 type Replica struct {
-	start    string // by which all that is believed of it is kept
-	info     catalog.Replica
-	service  *catalog.Service // nil while the policy has none of that name
-	listed   bool             // the catalog holds it
-	doubtful bool             // it may be gone, and gets nothing new
-	own      Load
-	others   map[string]told // by box
-	said     told            // requests of others, by the replica's own word
-	word     Word            // the last one, by whatever box
-	begun    []begun         // since then
-	asked    time.Duration   // when this box asked it for its load last; 0 for never
-
-	coldUntil time.Duration   // as far as is known
-	failures  int             // failures to connect in a row
-	muted     int             // requests without any answer in a row
-	out       absence.Absence // it gets no work while it is on
-	outcomes  decay.Failures
-	slow      float64 // natural logarithm of times to the first byte over the expected ones
-	slowAt    time.Duration
-	reads     float64 // prompt tokens a second that this box gives it, at readsAt
-	readsAt   time.Duration
-	hold      time.Duration // smoothed time of a request; 0 when not known
-	heard     time.Duration // when bytes last came from it
-	warm      map[string]time.Duration
-	notes     []givenPart               // prompts that this box gave it of late, as it tells others
-	toldKept  map[PartKey]time.Duration // parts that other boxes had it read, and when they told so
+	start       string // by which all that is believed of it is kept
+	info        catalog.Replica
+	service     *catalog.Service // nil while the policy has none of that name
+	listed      bool             // the catalog holds it
+	unconfirmed bool             // it may be gone, and gets nothing new
+	own         Load
+	others      map[string]peerLoad // by box
+	said        peerLoad            // requests of others, by the replica's own word
+	word        Word                // the last one, by whatever box
+	sent        []begun             // since then
+	lastPoll    time.Duration       // when this box asked it for its load last; 0 for never
+
+	coldUntil    time.Duration   // as far as is known
+	failures     int             // failures to connect in a row
+	noResponses  int             // requests without any answer in a row
+	out          absence.Absence // it gets no work while it is on
+	outcomes     decay.Failures
+	slowness     float64 // natural logarithm of times to the first byte over the expected ones
+	slownessAt   time.Duration
+	prefillRate  float64 // prompt tokens a second that this box gives it, at readsAt
+	readsAt      time.Duration
+	hold         time.Duration // smoothed time of a request; 0 when not known
+	lastSeen     time.Duration // when bytes last came from it
+	cached       map[string]time.Duration
+	sentSegments []sentSegment             // prompts that this box gave it of late, as it tells others
+	peerSegments map[PartKey]time.Duration // parts that other boxes had it read, and when they told so
 }
 
 // Start returns the name of the replica's start, which no other process has.
@@ -99,33 +99,33 @@
 // Own returns this box's work there.
 func (r *Replica) Own() Load { return r.own }
 
-// readsNow returns the prompt tokens a second that this box gives it.
-func (r *Replica) readsNow(now time.Duration) float64 {
-	return r.reads * decay.Left(now-r.readsAt, readsHalf)
+// currentPrefillRate returns the prompt tokens a second that this box gives it.
+func (r *Replica) currentPrefillRate(now time.Duration) float64 {
+	return r.prefillRate * decay.Left(now-r.readsAt, prefillHalfLife)
 }
 
-// given counts prompt tokens that this box gives it.
-func (r *Replica) given(tokens int, now time.Duration) {
-	r.reads = r.readsNow(now) + float64(tokens)*math.Ln2/readsHalf.Seconds()
+// recordPrefill counts prompt tokens that this box gives it.
+func (r *Replica) recordPrefill(tokens int, now time.Duration) {
+	r.prefillRate = r.currentPrefillRate(now) + float64(tokens)*math.Ln2/prefillHalfLife.Seconds()
 	r.readsAt = now
 }
 
-// ownNow returns this box's work there, as it tells others.
-func (r *Replica) ownNow(now time.Duration) Load {
+// currentOwn returns this box's work there, as it tells others.
+func (r *Replica) currentOwn(now time.Duration) Load {
 	l := r.own
-	l.Reads = int(r.readsNow(now))
+	l.Reads = int(r.currentPrefillRate(now))
 	return l
 }
 
 // Load returns all work there, as believed at now.
 func (r *Replica) Load(now time.Duration) Load {
-	l := r.ownNow(now)
+	l := r.currentOwn(now)
 	for _, o := range r.others {
-		if now < o.till {
+		if now < o.expiry {
 			l = l.plus(o.load)
 		}
 	}
-	if now < r.said.till {
+	if now < r.said.expiry {
 		l.Requests = r.own.Requests + r.said.load.Requests
 	}
 	return l
@@ -136,7 +136,7 @@
 
 // Slow returns how much longer than expected it takes; 1 for as expected.
 func (r *Replica) Slow(now time.Duration) float64 {
-	return math.Exp(r.slow * decay.Left(now-r.slowAt, slowHalf))
+	return math.Exp(r.slowness * decay.Left(now-r.slownessAt, slownessHalfLife))
 }
 
 // Out says whether it is left out at now because it could not be reached.
@@ -156,78 +156,78 @@
 // missing returns the tokens of shared parts that have to be read there. Only a
 // beginning of the prompt can be kept.
 func (r *Replica) missing(req Request, now time.Duration) int {
-	if r.saidToKeep(req, now) {
+	if r.isCachedPerPeers(req, now) {
 		return 0
 	}
 	n := 0
-	kept := true
+	cached := true
 	for _, p := range req.Parts {
-		at, ok := r.warm[p.ID]
-		kept = kept && ok && now-at < warmFor
-		if !kept {
+		at, ok := r.cached[p.ID]
+		cached = cached && ok && now-at < cachedSegmentTTL
+		if !cached {
 			n += p.Tokens
 		}
 	}
 	return n
 }
 
-// keep remembers that parts were read there.
-func (r *Replica) keep(parts []Part, now time.Duration) {
-	if len(r.warm) > warmParts {
-		r.dropOldParts(now)
+// recordCached remembers that parts were read there.
+func (r *Replica) recordCached(parts []Part, now time.Duration) {
+	if len(r.cached) > maxCachedSegments {
+		r.evictCached(now)
 	}
 	for _, p := range parts {
-		r.warm[p.ID] = now
+		r.cached[p.ID] = now
 	}
 }
 
-// dropOldParts makes room: it forgets parts that were not used of late, or all
+// evictCached makes room: it forgets parts that were not used of late, or all
 // where that is not enough.
-func (r *Replica) dropOldParts(now time.Duration) {
-	for id, at := range r.warm {
-		if now-at > warmFor/2 {
-			delete(r.warm, id)
+func (r *Replica) evictCached(now time.Duration) {
+	for id, at := range r.cached {
+		if now-at > cachedSegmentTTL/2 {
+			delete(r.cached, id)
 		}
 	}
-	if len(r.warm) > warmParts {
-		clear(r.warm)
+	if len(r.cached) > maxCachedSegments {
+		clear(r.cached)
 	}
 }
 
-// leaveOut leaves the replica out for a time that doubles until it answers.
+// eject leaves the replica out for a time that doubles until it answers.
 // Requests that were under way together count once.
-func (r *Replica) leaveOut(now time.Duration) {
+func (r *Replica) eject(now time.Duration) {
 	if !r.Out(now) {
 		r.out.Begin(now)
 	}
 }
 
-// answered takes in that bytes came from it.
-func (r *Replica) answered(now time.Duration) {
-	r.heard = now
+// recordResponse takes in that bytes came from it.
+func (r *Replica) recordResponse(now time.Duration) {
+	r.lastSeen = now
 	r.failures = 0
-	r.muted = 0
+	r.noResponses = 0
 	r.out = absence.Absence{}
 }
 
-// seenFirst takes in how long the first byte of an answer took, against the
+// recordFirstByte takes in how long the first byte of an answer took, against the
 // expected time.
-func (r *Replica) seenFirst(took, expected, now time.Duration) {
+func (r *Replica) recordFirstByte(took, expected, now time.Duration) {
 	if took <= 0 || expected <= 0 {
 		return
 	}
-	seen := math.Log(float64(took) / float64(expected))
-	seen = max(min(seen, slowBound), -slowBound)
-	old := r.slow * decay.Left(now-r.slowAt, slowHalf)
-	r.slow = max(old+slowWeight*(seen-old), 0)
-	r.slowAt = now
+	sample := math.Log(float64(took) / float64(expected))
+	sample = max(min(sample, maxSlowness), -maxSlowness)
+	old := r.slowness * decay.Left(now-r.slownessAt, slownessHalfLife)
+	r.slowness = max(old+slownessWeight*(sample-old), 0)
+	r.slownessAt = now
 }
 
-// took takes in how long a request that was answered took.
-func (r *Replica) took(hold time.Duration) {
+// recordDuration takes in how long a request that was answered recordDuration.
+func (r *Replica) recordDuration(duration time.Duration) {
 	if r.hold == 0 {
-		r.hold = hold
+		r.hold = duration
 		return
 	}
-	r.hold += time.Duration(holdWeight * float64(hold-r.hold))
+	r.hold += time.Duration(durationWeight * float64(duration-r.hold))
 }
--- a/placement/start.go
+++ b/placement/start.go
@@ -45,7 +45,7 @@
 // forget drops what is known of a start that is gone and, with the last one, what was
 // sent to its id.
 func (v *View) forget(r *Replica) {
-	v.leave(r)
+	v.remove(r)
 	if v.other(r) == nil {
 		v.pacer.Forget(r.info.ID)
 	}
--- a/placement/view.go
+++ b/placement/view.go
@@ -22,7 +22,7 @@
 	byName   []*Replica          // in the order of starts
 	closed   map[string]bool
 	pacer    *pacing.Pacer
-	entries  entries
+	entries  index
 	joined   func(start string) // seam: told of a start that is known from now on
 	left     func(start string) // seam: told of one that is forgotten
 
@@ -55,11 +55,11 @@
 		replicas: make(map[string]*Replica),
 		closed:   make(map[string]bool),
 		pacer:    pacer,
-		entries:  newEntries(),
+		entries:  newIndex(),
 		joined:   func(string) {},
 		left:     func(string) {},
 
-		othersFor: othersFor,
+		othersFor: minPeerLoadTTL,
 		boxes:     1,
 		usual:     make(map[string]usual),
 		means:     make(map[string]mean),
@@ -85,7 +85,7 @@
 
 // SetTable takes a newer policy in.
 func (v *View) SetTable(t *catalog.Table) {
-	v.entries.unread = v.entries.unread || !sameServices(v.table, t)
+	v.entries.stale = v.entries.stale || !sameServices(v.table, t)
 	v.table = t
 	for _, r := range v.replicas {
 		r.service = t.Service(r.info.Service)
@@ -117,7 +117,7 @@
 // Take brings the view to what the catalog holds. Only what has changed of that since it
 // was called last is looked at.
 func (v *View) Take(c *catalog.Content, now time.Duration) []Belief {
-	ids := v.entries.take(c, v.region)
+	ids := v.entries.update(c, v.region)
 	newest := v.newestAt(c, ids)
 	seen := make(map[string]bool, len(ids))
 	var news []Belief
@@ -135,8 +135,8 @@
 	for _, id := range ids {
 		for _, r := range v.entries.starts[id] {
 			if r.listed && !seen[r.start] {
-				v.unlist(r)
-				r.heard = now
+				v.markUnlisted(r)
+				r.lastSeen = now
 				news = append(news, Belief{
 					About:  r.start,
 					Reason: v.describeEnd(r, newest),
@@ -145,8 +145,8 @@
 			}
 		}
 	}
-	v.forgetEnded(now)
-	v.takeDoubts(c)
+	v.evictUnlisted(now)
+	v.updateUnconfirmed(c)
 	return v.takeClosed(news, c, now)
 }
 
@@ -185,7 +185,7 @@
 	changed := info.Revision != r.info.Revision || !ok
 	leaves := info.Leaving && !r.info.Leaving
 	info.Leaving = info.Leaving || r.info.Leaving // a replica that leaves doesn't come back
-	v.list(r, info)
+	v.markListed(r, info)
 	if v.table != nil {
 		r.service = v.table.Service(info.Service)
 	}
@@ -213,15 +213,15 @@
 		return r, true
 	}
 	r = &Replica{
-		start:  start,
-		info:   catalog.Replica{ID: info.ID},
-		others: make(map[string]told),
-		warm:   make(map[string]time.Duration),
-		heard:  now,
+		start:    start,
+		info:     catalog.Replica{ID: info.ID},
+		others:   make(map[string]peerLoad),
+		cached:   make(map[string]time.Duration),
+		lastSeen: now,
 
-		toldKept: make(map[PartKey]time.Duration),
+		peerSegments: make(map[PartKey]time.Duration),
 	}
-	v.join(r)
+	v.add(r)
 	return r, false
 }
 
@@ -231,7 +231,7 @@
 func (v *View) supersede(info catalog.Replica, now time.Duration) {
 	r, _ := v.known(info, now)
 	info.Leaving = info.Leaving || r.info.Leaving
-	v.inform(r, info)
+	v.setInfo(r, info)
 }
 
 // describe says what a changed entry means, most important first.
@@ -252,9 +252,9 @@
 // chill notes that a replica is cold for so long.
 func (v *View) chill(r *Replica, left, now time.Duration) {
 	r.coldUntil = max(r.coldUntil, now+left)
-	clear(r.warm)
-	clear(r.toldKept)
-	r.notes = nil
+	clear(r.cached)
+	clear(r.peerSegments)
+	r.sentSegments = nil
 	v.chillUntil(r, r.coldUntil)
 }
 
@@ -319,18 +319,18 @@
 	}
 	for _, l := range loads {
 		if r, ok := v.replicas[l.Replica]; ok {
-			r.others[box] = told{
-				load: l.Load,
-				till: now + v.othersFor,
+			r.others[box] = peerLoad{
+				load:   l.Load,
+				expiry: now + v.othersFor,
 			}
-			r.hearKept(l.Kept, now)
+			r.recordPeerSegments(l.Kept, now)
 		}
 	}
 }
 
 // OthersFor sets how long what other boxes tell counts from now on: as long as they
 // take to tell it twice, but not less than among few boxes.
-func (v *View) OthersFor(d time.Duration) { v.othersFor = max(d, othersFor) }
+func (v *View) OthersFor(d time.Duration) { v.othersFor = max(d, minPeerLoadTTL) }
 
 // OwnLoad is one box's work at one replica.
 type OwnLoad struct {
@@ -343,15 +343,15 @@
 func (v *View) Tell(now time.Duration) []OwnLoad {
 	var out []OwnLoad
 	for _, r := range v.byName {
-		if r.own == (Load{}) && now-r.readsAt > readsOver {
+		if r.own == (Load{}) && now-r.readsAt > prefillWindow {
 			continue
 		}
-		own := r.ownNow(now)
+		own := r.currentOwn(now)
 		if own != (Load{}) {
 			out = append(out, OwnLoad{
 				Replica: r.start,
 				Load:    own,
-				Kept:    r.kept(now),
+				Kept:    r.sentSegmentKeys(now),
 			})
 		}
 	}
--- a/placement/word.go
+++ b/placement/word.go
@@ -60,7 +60,7 @@
 		v.changed = append(v.changed, silence(replica, w.Silent))
 	}
 	r.word = w
-	r.begun = slices.DeleteFunc(r.begun, func(b begun) bool { return b.at <= w.At })
+	r.sent = slices.DeleteFunc(r.sent, func(b begun) bool { return b.at <= w.At })
 	return true
 }
 
@@ -97,7 +97,7 @@
 // silent says whether a replica didn't answer another box of late, and nothing was heard
 // from it here since.
 func (r *Replica) silent(now time.Duration) bool {
-	return r.word.Silent && now-r.word.At < silentFor && r.heard <= r.word.At
+	return r.word.Silent && now-r.word.At < silentFor && r.lastSeen <= r.word.At
 }
 
 // Words returns the words of busy engines that still count, the latest first.
@@ -129,10 +129,10 @@
 
 // begin notes an own request.
 func (r *Replica) begin(l Load, now time.Duration) {
-	if len(r.begun) >= begunMost {
-		r.begun = r.begun[1:]
+	if len(r.sent) >= begunMost {
+		r.sent = r.sent[1:]
 	}
-	r.begun = append(r.begun, begun{
+	r.sent = append(r.sent, begun{
 		at:   now,
 		load: l,
 	})
@@ -149,10 +149,10 @@
 		Tokens:   cmp.Or(r.word.Tokens, int(float64(r.word.Requests)*u.tokens)),
 		Unread:   int(float64(r.word.Waiting) * u.unread),
 	}
-	for _, b := range r.begun {
+	for _, b := range r.sent {
 		l = l.plus(b.load)
 	}
-	own := r.ownNow(now)
+	own := r.currentOwn(now)
 	l.Requests = max(l.Requests, own.Requests)
 	l.Tokens = max(l.Tokens, own.Tokens)
 	l.Unread = max(l.Unread, own.Unread)
