--- a/placement/among.go
+++ b/placement/among.go
@@ -17,16 +17,16 @@
 
 // rereadFactor returns what reading a shared part costs, in its own time.
 func (v *View) rereadFactor() float64 {
-	if v.byWords {
+	if v.byReports {
 		return reportedRereadFactor
 	}
-	return readAgain
+	return defaultRereadFactor
 }
 
 // candidates returns the replicas candidates which the one for a request is chosen: all, or a few
 // where many boxes go by the same words.
 func (v *View) candidates(req Request, now time.Duration) []*Replica {
-	if !v.byWords {
+	if !v.byReports {
 		return v.byName
 	}
 	out := v.top(req.Key, candidatesByKey, req, now)
@@ -54,7 +54,7 @@
 		}
 		s := scored{
 			r:     r,
-			score: rendezvous.Score(key, r.start),
+			score: rendezvous.Score(key, r.incarnation),
 		}
 		at := len(best)
 		for at > 0 && best[at-1].score < s.score {
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -61,7 +61,7 @@
 		return 0
 	}
 	ahead := float64(l.Requests-slots+1) / float64(slots)
-	return scale(ahead, cmp.Or(r.hold, typical))
+	return scale(ahead, cmp.Or(r.duration, typical))
 }
 
 // meanDuration returns the mean time of a request at the service's replicas, which
@@ -70,8 +70,8 @@
 	var sum time.Duration
 	n := 0
 	for _, r := range v.byName {
-		if r.info.Service == service && r.hold > 0 {
-			sum += r.hold
+		if r.info.Service == service && r.duration > 0 {
+			sum += r.duration
 			n++
 		}
 	}
--- a/placement/copy.go
+++ b/placement/copy.go
@@ -43,7 +43,7 @@
 			fewest = n
 		}
 	}
-	if best == nil || best.failures > 0 || best.noResponses > 0 {
+	if best == nil || best.connectFailures > 0 || best.noResponses > 0 {
 		return nil // it may be lost, and a copy from it would be waited for
 	}
 	return best
@@ -51,7 +51,7 @@
 
 // copyFrom returns the address of the replica that shared parts are copied from,
 // empty where they are read.
-func (w weighed) copyFrom() string {
+func (w candidate) copyFrom() string {
 	if w.source == nil {
 		return ""
 	}
--- a/placement/doubt.go
+++ b/placement/doubt.go
@@ -10,14 +10,14 @@
 // request to one that is gone for good costs a try, and one that serves on without
 // being listed must not get any.
 func (v *View) updateUnconfirmed(c *catalog.Content) {
-	e := &v.entries
+	e := &v.index
 	for _, r := range e.unconfirmed {
 		r.unconfirmed = false
 	}
 	e.unconfirmed = e.unconfirmed[:0]
 	count := make(map[string]int)
 	for _, id := range c.Doubts() {
-		for _, r := range e.starts[id] {
+		for _, r := range e.byID[id] {
 			if r.listed {
 				e.unconfirmed = append(e.unconfirmed, r)
 				count[r.info.Service]++
--- a/placement/entries.go
+++ b/placement/entries.go
@@ -19,8 +19,8 @@
 	seenChanges int              // changes of it that were taken in
 	stale       bool             // all of it is to be looked at again
 	addrs       map[string]string
-	at          map[string][]string   // ids by address
-	starts      map[string][]*Replica // by id
+	idsByAddr   map[string][]string   // ids by address
+	byID        map[string][]*Replica // by id
 	listedCount map[string]int        // replicas by service
 	unlisted    map[string]*Replica   // starts that are not listed
 	unconfirmed []*Replica
@@ -30,8 +30,8 @@
 func newIndex() index {
 	return index{
 		addrs:       make(map[string]string),
-		at:          make(map[string][]string),
-		starts:      make(map[string][]*Replica),
+		idsByAddr:   make(map[string][]string),
+		byID:        make(map[string][]*Replica),
 		listedCount: make(map[string]int),
 		unlisted:    make(map[string]*Replica),
 	}
@@ -49,7 +49,7 @@
 	e.stale = false
 	affected := make(map[string]bool, len(ids))
 	addSharing := func(addr string) {
-		for _, id := range e.at[addr] {
+		for _, id := range e.idsByAddr[addr] {
 			affected[id] = true
 		}
 	}
@@ -73,7 +73,7 @@
 		out = append(out, r.ID)
 	}
 	out = slices.AppendSeq(out, maps.Keys(e.addrs))
-	out = slices.AppendSeq(out, maps.Keys(e.starts))
+	out = slices.AppendSeq(out, maps.Keys(e.byID))
 	slices.Sort(out)
 	return slices.Compact(out)
 }
@@ -85,9 +85,9 @@
 		return
 	}
 	if old != "" {
-		e.at[old] = slices.DeleteFunc(e.at[old], func(o string) bool { return o == id })
-		if len(e.at[old]) == 0 {
-			delete(e.at, old)
+		e.idsByAddr[old] = slices.DeleteFunc(e.idsByAddr[old], func(o string) bool { return o == id })
+		if len(e.idsByAddr[old]) == 0 {
+			delete(e.idsByAddr, old)
 		}
 	}
 	if addr == "" {
@@ -95,44 +95,44 @@
 		return
 	}
 	e.addrs[id] = addr
-	e.at[addr] = append(e.at[addr], id)
+	e.idsByAddr[addr] = append(e.idsByAddr[addr], id)
 }
 
 // position returns where a start is, or belongs, among all in order.
 func (v *View) position(start string) (at int, found bool) {
-	return slices.BinarySearchFunc(v.byName, start, func(r *Replica, start string) int { return cmp.Compare(r.start, start) })
+	return slices.BinarySearchFunc(v.byName, start, func(r *Replica, start string) int { return cmp.Compare(r.incarnation, start) })
 }
 
 // add takes in a start that was not known, and isn't listed yet.
 func (v *View) add(r *Replica) {
-	v.replicas[r.start] = r
-	at, _ := v.position(r.start)
+	v.replicas[r.incarnation] = r
+	at, _ := v.position(r.incarnation)
 	v.byName = slices.Insert(v.byName, at, r)
-	v.entries.starts[r.info.ID] = append(v.entries.starts[r.info.ID], r)
-	v.entries.unlisted[r.start] = r
-	v.joined(r.start)
+	v.index.byID[r.info.ID] = append(v.index.byID[r.info.ID], r)
+	v.index.unlisted[r.incarnation] = r
+	v.onAdded(r.incarnation)
 }
 
 // remove drops a start that isn't listed.
 func (v *View) remove(r *Replica) {
-	delete(v.replicas, r.start)
-	if at, ok := v.position(r.start); ok {
+	delete(v.replicas, r.incarnation)
+	if at, ok := v.position(r.incarnation); ok {
 		v.byName = slices.Delete(v.byName, at, at+1)
 	}
-	e := &v.entries
-	e.starts[r.info.ID] = slices.DeleteFunc(e.starts[r.info.ID], func(o *Replica) bool { return o == r })
-	if len(e.starts[r.info.ID]) == 0 {
-		delete(e.starts, r.info.ID)
+	e := &v.index
+	e.byID[r.info.ID] = slices.DeleteFunc(e.byID[r.info.ID], func(o *Replica) bool { return o == r })
+	if len(e.byID[r.info.ID]) == 0 {
+		delete(e.byID, r.info.ID)
 	}
-	delete(e.unlisted, r.start)
-	v.left(r.start)
+	delete(e.unlisted, r.incarnation)
+	v.onRemoved(r.incarnation)
 }
 
 // setInfo takes in what is published of a start, listed or not.
 func (v *View) setInfo(r *Replica, info catalog.Replica) {
 	if r.listed {
-		v.entries.listedCount[r.info.Service]--
-		v.entries.listedCount[info.Service]++
+		v.index.listedCount[r.info.Service]--
+		v.index.listedCount[info.Service]++
 	}
 	r.info = info
 }
@@ -144,26 +144,26 @@
 		return
 	}
 	r.listed = true
-	v.entries.listedCount[info.Service]++
-	delete(v.entries.unlisted, r.start)
+	v.index.listedCount[info.Service]++
+	delete(v.index.unlisted, r.incarnation)
 }
 
 // markUnlisted takes in that a start is listed no more.
 func (v *View) markUnlisted(r *Replica) {
 	r.listed = false
-	v.entries.listedCount[r.info.Service]--
-	v.entries.unlisted[r.start] = r
+	v.index.listedCount[r.info.Service]--
+	v.index.unlisted[r.incarnation] = r
 }
 
 // evictUnlisted forgets the starts that have ended and been idle for long.
 func (v *View) evictUnlisted(now time.Duration) {
-	if now-v.entries.sweptAt < sweepInterval && now >= v.entries.sweptAt {
+	if now-v.index.sweptAt < sweepInterval && now >= v.index.sweptAt {
 		return
 	}
-	v.entries.sweptAt = now
-	for _, r := range v.entries.unlisted {
-		if r.own.Requests == 0 && now-r.lastSeen > forgetAfter {
-			v.forget(r)
+	v.index.sweptAt = now
+	for _, r := range v.index.unlisted {
+		if r.own.Requests == 0 && now-r.lastSeen > unlistedTTL {
+			v.evict(r)
 		}
 	}
 }
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -18,30 +18,30 @@
 
 // Written takes in that the request of a choice is written only now.
 func (v *View) Written(c *Choice, now time.Duration) {
-	if c.grant.replica != nil {
-		v.pacer.Sent(c.ID, c.grant.taken, now)
+	if c.reservation.replica != nil {
+		v.pacer.Sent(c.ID, c.reservation.at, now)
 	}
 }
 
 // First takes in that the first byte of an answer came after so long.
 func (v *View) First(c *Choice, took, now time.Duration) {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return
 	}
 	r.recordFirstByte(took, c.Expect, now)
 	r.recordResponse(now)
-	r.own.Unread -= c.grant.load.Unread
-	c.grant.load.Unread = 0
+	r.own.Unread -= c.reservation.load.Unread
+	c.reservation.load.Unread = 0
 }
 
 // Loaded takes in how many requests the replica itself says it has, this one included.
 func (v *View) Loaded(c *Choice, requests int, now time.Duration) {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return
 	}
-	r.said = peerLoad{
+	r.selfReport = peerLoad{
 		load: Load{
 			Requests: max(requests-r.own.Requests, 0),
 		},
@@ -51,7 +51,7 @@
 
 // Heard takes in that a replica goes on with an answer.
 func (v *View) Heard(c *Choice, now time.Duration) {
-	if r := c.grant.replica; r != nil {
+	if r := c.reservation.replica; r != nil {
 		r.lastSeen = now
 	}
 }
@@ -59,7 +59,7 @@
 // Quiet returns how long nothing came from the replica of a choice, to this box,
 // counted from when it was last heard or the request was sent at the latest.
 func (v *View) Quiet(c *Choice, sent, now time.Duration) time.Duration {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return 0
 	}
@@ -68,13 +68,13 @@
 
 // End counts a request out and takes in what became of it. It returns true when
 // the replica is left out from now on.
-func (v *View) End(c *Choice, result Result, hold, now time.Duration) bool {
-	r := c.grant.replica
+func (v *View) End(c *Choice, result Result, duration, now time.Duration) bool {
+	r := c.reservation.replica
 	if r == nil {
 		return false
 	}
-	c.grant.replica = nil
-	l := c.grant.load
+	c.reservation.replica = nil
+	l := c.reservation.load
 	r.own.Requests -= l.Requests
 	r.own.Tokens -= l.Tokens
 	r.own.Unread -= l.Unread
@@ -82,7 +82,7 @@
 	switch result {
 	case Answered:
 		r.outcomes.Add(false, now)
-		r.recordDuration(hold)
+		r.recordDuration(duration)
 		r.recordResponse(now)
 	case Failed:
 		r.outcomes.Add(true, now)
@@ -94,8 +94,8 @@
 		v.recordNoResponse(r, now)
 	case Unreachable:
 		r.outcomes.Add(true, now)
-		r.failures++
-		if r.failures >= maxConnectFailures {
+		r.connectFailures++
+		if r.connectFailures >= maxConnectFailures {
 			v.eject(r, now)
 		}
 	case Misdirected:
@@ -108,7 +108,7 @@
 // Muted takes in that a replica is silent towards this box under a request which goes on
 // waiting for it. It returns true when the replica is left out from now on.
 func (v *View) Muted(c *Choice, now time.Duration) bool {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return false
 	}
@@ -133,5 +133,5 @@
 	if r.service == nil || v.isReplaced(r) {
 		return
 	}
-	v.chillReturn(r, r.out.Until())
+	v.markReturned(r, r.backoff.Until())
 }
--- a/placement/outlook.go
+++ b/placement/outlook.go
@@ -38,14 +38,14 @@
 			reads += l.Reads
 		}
 	}
-	if v.byWords {
-		reads *= v.boxes // nobody tells what the others send
+	if v.byReports {
+		reads *= v.activeBoxes // nobody tells what the others send
 	}
 	if out.Usable > 0 {
-		out.Busy = float64(reads) / (float64(out.Usable) * readRate * 1000)
+		out.Busy = float64(reads) / (float64(out.Usable) * prefillSpeed * 1000)
 	}
-	if v.byWords && out.Usable > 0 {
-		out.Busy = max(out.Busy, v.occupied(req.Service, now))
+	if v.byReports && out.Usable > 0 {
+		out.Busy = max(out.Busy, v.usedSlotShare(req.Service, now))
 	}
 	return out
 }
--- a/placement/question.go
+++ b/placement/question.go
@@ -5,19 +5,19 @@
 // Figures of asking engines for their load. What is asked and told follows from the
 // requests under way, however many engines there are.
 const (
-	AskEvery  = 400 * time.Millisecond  // between two looks for engines to ask, and between two questions to a busy one
-	askLight  = 1600 * time.Millisecond // between two questions of a box to an engine that isn't busy, where it has requests
-	busyShare = 0.125                   // of its slots or memory from which an engine is busy: others need to know before they send there
+	AskEvery         = 400 * time.Millisecond  // between two looks for engines to ask, and between two questions to a busy one
+	idlePollInterval = 1600 * time.Millisecond // between two questions of a box to an engine that isn't busy, where it has requests
+	busyShare        = 0.125                   // of its slots or memory from which an engine is busy: others need to know before they send there
 )
 
 // busy says whether other boxes need to know an engine's word.
 func (r *Replica) busy(now time.Duration) bool {
-	if !r.hasSpoken(now) {
+	if !r.hasReport(now) {
 		return false
 	}
-	return r.word.Silent || r.word.Waiting > 0 ||
-		float64(r.word.Requests) >= busyShare*float64(r.slots()) ||
-		r.memoryShare(Load{Tokens: r.word.Tokens}, Request{}) >= busyShare
+	return r.report.Silent || r.report.Waiting > 0 ||
+		float64(r.report.Requests) >= busyShare*float64(r.slots()) ||
+		r.memoryShare(Load{Tokens: r.report.Tokens}, Request{}) >= busyShare
 }
 
 // Questions returns the engines that this box asks for their load now: busy ones for all
@@ -41,19 +41,19 @@
 func (r *Replica) isDue(now time.Duration, mine, unanswered func(start string) bool) bool {
 	since := now - r.lastPoll
 	if r.lastPoll == 0 {
-		since = askLight
+		since = idlePollInterval
 	}
 	switch {
 	case since < AskEvery:
 		return false
 	case r.busy(now):
-		return mine(r.start)
-	case unanswered(r.start):
+		return mine(r.incarnation)
+	case unanswered(r.incarnation):
 		return true
-	case r.word.At > 0 && now-r.word.At < askLight:
+	case r.report.At > 0 && now-r.report.At < idlePollInterval:
 		return false
-	case r.failures > 0 || r.noResponses > 0:
+	case r.connectFailures > 0 || r.noResponses > 0:
 		return true
 	}
-	return r.own.Requests > 0 && since >= askLight
+	return r.own.Requests > 0 && since >= idlePollInterval
 }
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -56,36 +56,36 @@
 
 // Replica is what a box knows of one start of a replica.
 type Replica struct {
-	start       string // by which all that is believed of it is kept
+	incarnation string // by which all that is believed of it is kept
 	info        catalog.Replica
 	service     *catalog.Service // nil while the policy has none of that name
 	listed      bool             // the catalog holds it
 	unconfirmed bool             // it may be gone, and gets nothing new
 	own         Load
-	others      map[string]peerLoad // by box
-	said        peerLoad            // requests of others, by the replica's own word
-	word        Word                // the last one, by whatever box
-	sent        []begun             // since then
+	peerLoads   map[string]peerLoad // by box
+	selfReport  peerLoad            // requests of others, by the replica's own word
+	report      Word                // the last one, by whatever box
+	sentSince   []sentRequest       // since then
 	lastPoll    time.Duration       // when this box asked it for its load last; 0 for never
 
-	coldUntil    time.Duration   // as far as is known
-	failures     int             // failures to connect in a row
-	noResponses  int             // requests without any answer in a row
-	out          absence.Absence // it gets no work while it is on
-	outcomes     decay.Failures
-	slowness     float64 // natural logarithm of times to the first byte over the expected ones
-	slownessAt   time.Duration
-	prefillRate  float64 // prompt tokens a second that this box gives it, at readsAt
-	readsAt      time.Duration
-	hold         time.Duration // smoothed time of a request; 0 when not known
-	lastSeen     time.Duration // when bytes last came from it
-	cached       map[string]time.Duration
-	sentSegments []sentSegment             // prompts that this box gave it of late, as it tells others
-	peerSegments map[PartKey]time.Duration // parts that other boxes had it read, and when they told so
+	coldUntil       time.Duration   // as far as is known
+	connectFailures int             // failures to connect in a row
+	noResponses     int             // requests without any answer in a row
+	backoff         absence.Absence // it gets no work while it is on
+	outcomes        decay.Failures
+	slowness        float64 // natural logarithm of times to the first byte over the expected ones
+	slownessAt      time.Duration
+	prefillRate     float64 // prompt tokens a second that this box gives it, at readsAt
+	prefillRateAt   time.Duration
+	duration        time.Duration // smoothed time of a request; 0 when not known
+	lastSeen        time.Duration // when bytes last came from it
+	cached          map[string]time.Duration
+	sentSegments    []sentSegment             // prompts that this box gave it of late, as it tells others
+	peerSegments    map[PartKey]time.Duration // parts that other boxes had it read, and when they told so
 }
 
 // Start returns the name of the replica's start, which no other process has.
-func (r *Replica) Start() string { return r.start }
+func (r *Replica) Start() string { return r.incarnation }
 
 // ID returns the id that the replica answers to, which other starts of it have too.
 func (r *Replica) ID() string { return r.info.ID }
@@ -101,17 +101,17 @@
 
 // currentPrefillRate returns the prompt tokens a second that this box gives it.
 func (r *Replica) currentPrefillRate(now time.Duration) float64 {
-	return r.prefillRate * decay.Left(now-r.readsAt, prefillHalfLife)
+	return r.prefillRate * decay.Left(now-r.prefillRateAt, prefillHalfLife)
 }
 
 // recordPrefill counts prompt tokens that this box gives it.
 func (r *Replica) recordPrefill(tokens int, now time.Duration) {
 	r.prefillRate = r.currentPrefillRate(now) + float64(tokens)*math.Ln2/prefillHalfLife.Seconds()
-	r.readsAt = now
+	r.prefillRateAt = now
 }
 
-// currentOwn returns this box's work there, as it tells others.
-func (r *Replica) currentOwn(now time.Duration) Load {
+// currentOwnLoad returns this box's work there, as it tells others.
+func (r *Replica) currentOwnLoad(now time.Duration) Load {
 	l := r.own
 	l.Reads = int(r.currentPrefillRate(now))
 	return l
@@ -119,14 +119,14 @@
 
 // Load returns all work there, as believed at now.
 func (r *Replica) Load(now time.Duration) Load {
-	l := r.currentOwn(now)
-	for _, o := range r.others {
+	l := r.currentOwnLoad(now)
+	for _, o := range r.peerLoads {
 		if now < o.expiry {
 			l = l.plus(o.load)
 		}
 	}
-	if now < r.said.expiry {
-		l.Requests = r.own.Requests + r.said.load.Requests
+	if now < r.selfReport.expiry {
+		l.Requests = r.own.Requests + r.selfReport.load.Requests
 	}
 	return l
 }
@@ -140,7 +140,7 @@
 }
 
 // Out says whether it is left out at now because it could not be reached.
-func (r *Replica) Out(now time.Duration) bool { return r.out.On(now) }
+func (r *Replica) Out(now time.Duration) bool { return r.backoff.On(now) }
 
 // slots returns how many requests the replica runs at once.
 func (r *Replica) slots() int {
@@ -198,16 +198,16 @@
 // Requests that were under way together count once.
 func (r *Replica) eject(now time.Duration) {
 	if !r.Out(now) {
-		r.out.Begin(now)
+		r.backoff.Begin(now)
 	}
 }
 
 // recordResponse takes in that bytes came from it.
 func (r *Replica) recordResponse(now time.Duration) {
 	r.lastSeen = now
-	r.failures = 0
+	r.connectFailures = 0
 	r.noResponses = 0
-	r.out = absence.Absence{}
+	r.backoff = absence.Absence{}
 }
 
 // recordFirstByte takes in how long the first byte of an answer took, against the
@@ -225,9 +225,9 @@
 
 // recordDuration takes in how long a request that was answered recordDuration.
 func (r *Replica) recordDuration(duration time.Duration) {
-	if r.hold == 0 {
-		r.hold = duration
+	if r.duration == 0 {
+		r.duration = duration
 		return
 	}
-	r.hold += time.Duration(durationWeight * float64(duration-r.hold))
+	r.duration += time.Duration(durationWeight * float64(duration-r.duration))
 }
--- a/placement/start.go
+++ b/placement/start.go
@@ -8,11 +8,11 @@
 // to the same process: by start each of them would take its share of a cold replica twice
 // within a second.
 
-// other returns another start of a replica, one that is listed before one that isn't,
+// otherIncarnation returns another start of a replica, one that is listed before one that isn't,
 // nil for none.
-func (v *View) other(r *Replica) *Replica {
+func (v *View) otherIncarnation(r *Replica) *Replica {
 	var out *Replica
-	for _, o := range v.entries.starts[r.info.ID] {
+	for _, o := range v.index.byID[r.info.ID] {
 		if o != r && (out == nil || o.listed) {
 			out = o
 		}
@@ -26,13 +26,13 @@
 	if r.listed {
 		return false
 	}
-	o := v.other(r)
+	o := v.otherIncarnation(r)
 	return o != nil && o.listed
 }
 
-// describeEnd says why a replica is no longer listed; newest has the newest entry at each
+// describeRemoval says why a replica is no longer listed; newest has the newest entry at each
 // address.
-func (v *View) describeEnd(r *Replica, newest map[string]catalog.Replica) string {
+func (v *View) describeRemoval(r *Replica, newest map[string]catalog.Replica) string {
 	switch {
 	case v.isReplaced(r):
 		return "replica replaced by a later start"
@@ -42,11 +42,11 @@
 	return "replica no longer listed"
 }
 
-// forget drops what is known of a start that is gone and, with the last one, what was
+// evict drops what is known of a start that is gone and, with the last one, what was
 // sent to its id.
-func (v *View) forget(r *Replica) {
+func (v *View) evict(r *Replica) {
 	v.remove(r)
-	if v.other(r) == nil {
+	if v.otherIncarnation(r) == nil {
 		v.pacer.Forget(r.info.ID)
 	}
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	forgetAfter = 30 * time.Second // a replica that is gone and idle is forgotten after this
-	returnPace  = 3 * time.Second  // a replica that was out of reach may be cold when it is back, where the policy doesn't say for how long
+	unlistedTTL     = 30 * time.Second // a replica that is gone and idle is forgotten after this
+	defaultColdTime = 3 * time.Second  // a replica that was out of reach may be cold when it is back, where the policy doesn't say for how long
 )
 
 // View is what a box knows of the replicas of its region. It belongs to one
 // actor.
 type View struct {
-	region   string
-	domain   string
-	table    *catalog.Table      // nil until there is a policy
-	replicas map[string]*Replica // by start
-	byName   []*Replica          // in the order of starts
-	closed   map[string]bool
-	pacer    *pacing.Pacer
-	entries  index
-	joined   func(start string) // seam: told of a start that is known from now on
-	left     func(start string) // seam: told of one that is forgotten
-
-	othersFor time.Duration      // what another box told counts so long
-	byWords   bool               // loads are known by the replicas' own words
-	changed   []Belief           // by words, not asked for yet
-	boxes     int                // of the region that callers are told to use
-	usual     map[string]usual   // by service
-	means     map[string]mean    // by service
-	steps     map[string]float64 // of an engine until the next event, by service
+	region    string
+	domain    string
+	table     *catalog.Table      // nil until there is a policy
+	replicas  map[string]*Replica // by start
+	byName    []*Replica          // in the order of starts
+	evacuated map[string]bool
+	pacer     *pacing.Pacer
+	index     index
+	onAdded   func(start string) // seam: told of a start that is known from now on
+	onRemoved func(start string) // seam: told of one that is forgotten
+
+	peerLoadTTL    time.Duration             // what another box told counts so long
+	byReports      bool                      // loads are known by the replicas' own words
+	pendingChanges []Belief                  // by words, not asked for yet
+	activeBoxes    int                       // of the region that callers are told to use
+	typical        map[string]typicalRequest // by service
+	meanLoads      map[string]meanLoad       // by service
+	stepsPerEvent  map[string]float64        // of an engine until the next event, by service
 }
 
 // Option changes a View.
@@ -40,30 +40,30 @@
 
 // WithStarts sets what is told of each start of a replica that is known from now on, and
 // of each that is forgotten.
-func WithStarts(joined, left func(start string)) Option {
+func WithStarts(added, removed func(start string)) Option {
 	return func(v *View) {
-		v.joined = joined
-		v.left = left
+		v.onAdded = added
+		v.onRemoved = removed
 	}
 }
 
 // NewView returns the view of a box in a failure domain of a region.
 func NewView(region, domain string, pacer *pacing.Pacer, opts ...Option) *View {
 	v := &View{
-		region:   region,
-		domain:   domain,
-		replicas: make(map[string]*Replica),
-		closed:   make(map[string]bool),
-		pacer:    pacer,
-		entries:  newIndex(),
-		joined:   func(string) {},
-		left:     func(string) {},
-
-		othersFor: minPeerLoadTTL,
-		boxes:     1,
-		usual:     make(map[string]usual),
-		means:     make(map[string]mean),
-		steps:     make(map[string]float64),
+		region:    region,
+		domain:    domain,
+		replicas:  make(map[string]*Replica),
+		evacuated: make(map[string]bool),
+		pacer:     pacer,
+		index:     newIndex(),
+		onAdded:   func(string) {},
+		onRemoved: func(string) {},
+
+		peerLoadTTL:   minPeerLoadTTL,
+		activeBoxes:   1,
+		typical:       make(map[string]typicalRequest),
+		meanLoads:     make(map[string]meanLoad),
+		stepsPerEvent: make(map[string]float64),
 	}
 	for _, opt := range opts {
 		opt(v)
@@ -81,15 +81,15 @@
 func (v *View) Get(start string) *Replica { return v.replicas[start] }
 
 // Closed says whether the replicas of a failure domain get no work.
-func (v *View) Closed(domain string) bool { return v.closed[domain] }
+func (v *View) Closed(domain string) bool { return v.evacuated[domain] }
 
 // SetTable takes a newer policy in.
 func (v *View) SetTable(t *catalog.Table) {
-	v.entries.stale = v.entries.stale || !sameServices(v.table, t)
+	v.index.stale = v.index.stale || !sameServices(v.table, t)
 	v.table = t
 	for _, r := range v.replicas {
 		r.service = t.Service(r.info.Service)
-		v.chillUntil(r, r.coldUntil) // its service may not have been known when that was said
+		v.limitCold(r, r.coldUntil) // its service may not have been known when that was said
 	}
 }
 
@@ -117,29 +117,29 @@
 // Take brings the view to what the catalog holds. Only what has changed of that since it
 // was called last is looked at.
 func (v *View) Take(c *catalog.Content, now time.Duration) []Belief {
-	ids := v.entries.update(c, v.region)
+	ids := v.index.update(c, v.region)
 	newest := v.newestAt(c, ids)
 	seen := make(map[string]bool, len(ids))
-	var news []Belief
+	var changes []Belief
 	for _, id := range ids {
 		info, ok := c.Replica(id)
 		switch {
 		case !ok || info.Region != v.region:
 		case isSuperseded(info, newest[info.Addr]):
-			v.supersede(info, now)
+			v.applySuperseded(info, now)
 		default:
 			seen[info.Start()] = true
-			news = v.takeReplica(news, info, now)
+			changes = v.applyReplica(changes, info, now)
 		}
 	}
 	for _, id := range ids {
-		for _, r := range v.entries.starts[id] {
-			if r.listed && !seen[r.start] {
+		for _, r := range v.index.byID[id] {
+			if r.listed && !seen[r.incarnation] {
 				v.markUnlisted(r)
 				r.lastSeen = now
-				news = append(news, Belief{
-					About:  r.start,
-					Reason: v.describeEnd(r, newest),
+				changes = append(changes, Belief{
+					About:  r.incarnation,
+					Reason: v.describeRemoval(r, newest),
 					Rev:    c.Newest(),
 				})
 			}
@@ -147,7 +147,7 @@
 	}
 	v.evictUnlisted(now)
 	v.updateUnconfirmed(c)
-	return v.takeClosed(news, c, now)
+	return v.applyEvacuated(changes, c, now)
 }
 
 // newestAt returns the newest entry at each address of some replicas of the region. An
@@ -178,10 +178,10 @@
 	return newest.Born == 0 || info.Born == 0 || newest.Born > info.Born
 }
 
-// takeReplica takes in what is published of one replica.
-func (v *View) takeReplica(news []Belief, info catalog.Replica, now time.Duration) []Belief {
+// applyReplica takes in what is published of one replica.
+func (v *View) applyReplica(changes []Belief, info catalog.Replica, now time.Duration) []Belief {
 	start := info.Start()
-	r, ok := v.known(info, now)
+	r, ok := v.getOrAdd(info, now)
 	changed := info.Revision != r.info.Revision || !ok
 	leaves := info.Leaving && !r.info.Leaving
 	info.Leaving = info.Leaving || r.info.Leaving // a replica that leaves doesn't come back
@@ -190,34 +190,34 @@
 		r.service = v.table.Service(info.Service)
 	}
 	if changed && info.ColdLeft > 0 {
-		v.chill(r, info.ColdLeft.Duration(), now)
+		v.markCold(r, info.ColdLeft.Duration(), now)
 	}
 	if !changed {
-		return news
+		return changes
 	}
 	b := Belief{
 		About:  start,
-		Reason: v.describe(r, ok, leaves),
+		Reason: v.describeChange(r, ok, leaves),
 		Rev:    info.Revision,
 	}
-	if !ok && v.other(r) != nil {
+	if !ok && v.otherIncarnation(r) != nil {
 		b.Addr = info.Addr
 	}
-	return append(news, b)
+	return append(changes, b)
 }
 
-// known returns what is known of a start, and whether anything was.
-func (v *View) known(info catalog.Replica, now time.Duration) (r *Replica, ok bool) {
+// getOrAdd returns what is getOrAdd of a start, and whether anything was.
+func (v *View) getOrAdd(info catalog.Replica, now time.Duration) (r *Replica, ok bool) {
 	start := info.Start()
 	if r, ok = v.replicas[start]; ok {
 		return r, true
 	}
 	r = &Replica{
-		start:    start,
-		info:     catalog.Replica{ID: info.ID},
-		others:   make(map[string]peerLoad),
-		cached:   make(map[string]time.Duration),
-		lastSeen: now,
+		incarnation: start,
+		info:        catalog.Replica{ID: info.ID},
+		peerLoads:   make(map[string]peerLoad),
+		cached:      make(map[string]time.Duration),
+		lastSeen:    now,
 
 		peerSegments: make(map[PartKey]time.Duration),
 	}
@@ -225,21 +225,21 @@
 	return r, false
 }
 
-// supersede takes in what is published of a replica whose address another has by now. It
+// applySuperseded takes in what is published of a replica whose address another has by now. It
 // isn't listed, but should its entry be the newest again, it has not forgotten that it
 // leaves.
-func (v *View) supersede(info catalog.Replica, now time.Duration) {
-	r, _ := v.known(info, now)
+func (v *View) applySuperseded(info catalog.Replica, now time.Duration) {
+	r, _ := v.getOrAdd(info, now)
 	info.Leaving = info.Leaving || r.info.Leaving
 	v.setInfo(r, info)
 }
 
-// describe says what a changed entry means, most important first.
-func (v *View) describe(r *Replica, known, leaves bool) string {
+// describeChange says what a changed entry means, most important first.
+func (v *View) describeChange(r *Replica, known, leaves bool) string {
 	switch {
 	case leaves:
 		return "replica leaving"
-	case !known && v.other(r) != nil:
+	case !known && v.otherIncarnation(r) != nil:
 		return "replica started again"
 	case r.info.ColdLeft > 0:
 		return "replica cold"
@@ -249,64 +249,64 @@
 	return "replica changed"
 }
 
-// chill notes that a replica is cold for so long.
-func (v *View) chill(r *Replica, left, now time.Duration) {
+// markCold notes that a replica is cold for so long.
+func (v *View) markCold(r *Replica, left, now time.Duration) {
 	r.coldUntil = max(r.coldUntil, now+left)
 	clear(r.cached)
 	clear(r.peerSegments)
 	r.sentSegments = nil
-	v.chillUntil(r, r.coldUntil)
+	v.limitCold(r, r.coldUntil)
 }
 
-// chillUntil paces a replica of a service that bounds the requests to cold ones.
-func (v *View) chillUntil(r *Replica, until time.Duration) {
+// limitCold paces a replica of a service that bounds the requests to cold ones.
+func (v *View) limitCold(r *Replica, until time.Duration) {
 	if r.service != nil && r.service.ColdPerSecond > 0 && until > 0 {
 		v.pacer.Cold(r.info.ID, r.service.ColdPerSecond, until)
 	}
 }
 
-// chillReturn notes that a replica which got no work for a while may be cold.
-func (v *View) chillReturn(r *Replica, now time.Duration) {
-	left := returnPace
+// markReturned notes that a replica which got no work for a while may be cold.
+func (v *View) markReturned(r *Replica, now time.Duration) {
+	left := defaultColdTime
 	if r.service != nil && r.service.ColdFor > 0 {
 		left = r.service.ColdFor.Duration()
 	}
-	v.chill(r, left, now)
+	v.markCold(r, left, now)
 }
 
-// takeClosed takes in which failure domains get no work.
-func (v *View) takeClosed(news []Belief, c *catalog.Content, now time.Duration) []Belief {
-	closed := make(map[string]bool)
+// applyEvacuated takes in which failure domains get no work.
+func (v *View) applyEvacuated(changes []Belief, c *catalog.Content, now time.Duration) []Belief {
+	evacuated := make(map[string]bool)
 	for _, d := range c.Evacuated() {
-		closed[d] = true
-		if !v.closed[d] {
-			news = append(news, Belief{
+		evacuated[d] = true
+		if !v.evacuated[d] {
+			changes = append(changes, Belief{
 				About:  d,
 				Reason: "failure domain closed",
 				Rev:    c.Newest(),
 			})
 		}
 	}
-	for d := range v.closed {
-		if !closed[d] {
-			v.reopen(d, now)
-			news = append(news, Belief{
+	for d := range v.evacuated {
+		if !evacuated[d] {
+			v.restoreDomain(d, now)
+			changes = append(changes, Belief{
 				About:  d,
 				Reason: "failure domain open again",
 				Rev:    c.Newest(),
 			})
 		}
 	}
-	v.closed = closed
-	return news
+	v.evacuated = evacuated
+	return changes
 }
 
-// reopen gives the replicas of a failure domain work again, at the pace of cold
+// restoreDomain gives the replicas of a failure domain work again, at the pace of cold
 // ones, for they had none.
-func (v *View) reopen(domain string, now time.Duration) {
+func (v *View) restoreDomain(domain string, now time.Duration) {
 	for _, r := range v.replicas {
 		if r.info.Domain == domain {
-			v.chillReturn(r, now)
+			v.markReturned(r, now)
 		}
 	}
 }
@@ -315,13 +315,13 @@
 // names none, it has none.
 func (v *View) Told(box string, loads []OwnLoad, now time.Duration) {
 	for _, r := range v.replicas {
-		delete(r.others, box)
+		delete(r.peerLoads, box)
 	}
 	for _, l := range loads {
 		if r, ok := v.replicas[l.Replica]; ok {
-			r.others[box] = peerLoad{
+			r.peerLoads[box] = peerLoad{
 				load:   l.Load,
-				expiry: now + v.othersFor,
+				expiry: now + v.peerLoadTTL,
 			}
 			r.recordPeerSegments(l.Kept, now)
 		}
@@ -330,7 +330,7 @@
 
 // OthersFor sets how long what other boxes tell counts from now on: as long as they
 // take to tell it twice, but not less than among few boxes.
-func (v *View) OthersFor(d time.Duration) { v.othersFor = max(d, minPeerLoadTTL) }
+func (v *View) OthersFor(d time.Duration) { v.peerLoadTTL = max(d, minPeerLoadTTL) }
 
 // OwnLoad is one box's work at one replica.
 type OwnLoad struct {
@@ -343,13 +343,13 @@
 func (v *View) Tell(now time.Duration) []OwnLoad {
 	var out []OwnLoad
 	for _, r := range v.byName {
-		if r.own == (Load{}) && now-r.readsAt > prefillWindow {
+		if r.own == (Load{}) && now-r.prefillRateAt > prefillWindow {
 			continue
 		}
-		own := r.currentOwn(now)
+		own := r.currentOwnLoad(now)
 		if own != (Load{}) {
 			out = append(out, OwnLoad{
-				Replica: r.start,
+				Replica: r.incarnation,
 				Load:    own,
 				Kept:    r.sentSegmentKeys(now),
 			})
--- a/placement/word.go
+++ b/placement/word.go
@@ -10,10 +10,10 @@
 // replicas of a region, telling each other what each has there takes more bytes than
 // they may use, so the replicas' words are what they go by.
 const (
-	wordFor    = 4 * time.Second // a word counts so long: that of a busy engine is asked for twice a second, and passed on among boxes within a second
-	begunMost  = 64              // own requests to a replica remembered since its word
-	silentFor  = 2 * time.Second // an engine that didn't answer another box is left out so long, unless it is heard here
-	usualShare = 0.02            // weight of the newest request in the usual one's figures
+	reportTTL       = 4 * time.Second // a word counts so long: that of a busy engine is asked for twice a second, and passed on among boxes within a second
+	maxSentSince    = 64              // own requests to a replica remembered since its word
+	unresponsiveTTL = 2 * time.Second // an engine that didn't answer another box is left out so long, unless it is heard here
+	typicalWeight   = 0.02            // weight of the newest request in the usual one's figures
 )
 
 // Word is what a replica said of its load.
@@ -25,47 +25,47 @@
 	At       time.Duration
 }
 
-// usual is what a request to a service usually holds.
-type usual struct {
+// typicalRequest is what a request to a service usually holds.
+type typicalRequest struct {
 	tokens float64 // of memory
 	unread float64 // prompt tokens to be read
 }
 
 // add takes a request in.
-func (u *usual) add(l Load) {
+func (u *typicalRequest) add(l Load) {
 	if u.tokens == 0 {
 		u.tokens, u.unread = float64(l.Tokens), float64(l.Unread)
 		return
 	}
-	u.tokens += usualShare * (float64(l.Tokens) - u.tokens)
-	u.unread += usualShare * (float64(l.Unread) - u.unread)
+	u.tokens += typicalWeight * (float64(l.Tokens) - u.tokens)
+	u.unread += typicalWeight * (float64(l.Unread) - u.unread)
 }
 
 // ByWords sets whether loads are known by the replicas' own words, as among many
 // boxes, and how many boxes of the region callers are told to use, this one included:
 // each is supposed to send as much as the others.
 func (v *View) ByWords(on bool, boxes int) {
-	v.byWords = on
-	v.boxes = max(boxes, 1)
+	v.byReports = on
+	v.activeBoxes = max(boxes, 1)
 }
 
 // Says takes in a replica's word. It returns false for one that is no later than that
 // known, or of a replica that isn't.
 func (v *View) Says(replica string, w Word) bool {
 	r, ok := v.replicas[replica]
-	if !ok || w.At <= r.word.At {
+	if !ok || w.At <= r.report.At {
 		return false
 	}
-	if w.Silent != r.word.Silent {
-		v.changed = append(v.changed, silence(replica, w.Silent))
+	if w.Silent != r.report.Silent {
+		v.pendingChanges = append(v.pendingChanges, responseChange(replica, w.Silent))
 	}
-	r.word = w
-	r.sent = slices.DeleteFunc(r.sent, func(b begun) bool { return b.at <= w.At })
+	r.report = w
+	r.sentSince = slices.DeleteFunc(r.sentSince, func(b sentRequest) bool { return b.at <= w.At })
 	return true
 }
 
-// silence returns the belief that an engine answers another box no more, or again.
-func silence(replica string, silent bool) Belief {
+// responseChange returns the belief that an engine answers another box no more, or again.
+func responseChange(replica string, silent bool) Belief {
 	out := Belief{
 		About:  replica,
 		Reason: "answers a box again",
@@ -78,26 +78,28 @@
 
 // WordAge returns how old a replica's word is; below 0 where it said nothing of late.
 func (r *Replica) WordAge(now time.Duration) time.Duration {
-	if !r.hasSpoken(now) {
+	if !r.hasReport(now) {
 		return -1
 	}
-	return now - r.word.At
+	return now - r.report.At
 }
 
-// hasSpoken says whether it said something of late.
-func (r *Replica) hasSpoken(now time.Duration) bool { return r.word.At > 0 && now-r.word.At < wordFor }
+// hasReport says whether it said something of late.
+func (r *Replica) hasReport(now time.Duration) bool {
+	return r.report.At > 0 && now-r.report.At < reportTTL
+}
 
 // Changed returns what is believed of replicas since it was last asked, by their words.
 func (v *View) Changed() []Belief {
-	out := v.changed
-	v.changed = nil
+	out := v.pendingChanges
+	v.pendingChanges = nil
 	return out
 }
 
-// silent says whether a replica didn't answer another box of late, and nothing was heard
+// isUnresponsive says whether a replica didn't answer another box of late, and nothing was heard
 // from it here since.
-func (r *Replica) silent(now time.Duration) bool {
-	return r.word.Silent && now-r.word.At < silentFor && r.lastSeen <= r.word.At
+func (r *Replica) isUnresponsive(now time.Duration) bool {
+	return r.report.Silent && now-r.report.At < unresponsiveTTL && r.lastSeen <= r.report.At
 }
 
 // Words returns the words of busy engines that still count, the latest first.
@@ -106,8 +108,8 @@
 	for _, r := range v.byName {
 		if r.listed && r.busy(now) {
 			out = append(out, ReplicaWord{
-				Replica: r.start,
-				Word:    r.word,
+				Replica: r.incarnation,
+				Word:    r.report,
 			})
 		}
 	}
@@ -121,38 +123,38 @@
 	Word
 }
 
-// begun is an own request that a replica's word doesn't have yet.
-type begun struct {
+// sentRequest is an own request that a replica's word doesn't have yet.
+type sentRequest struct {
 	at   time.Duration
 	load Load
 }
 
-// begin notes an own request.
-func (r *Replica) begin(l Load, now time.Duration) {
-	if len(r.sent) >= begunMost {
-		r.sent = r.sent[1:]
+// recordSent notes an own request.
+func (r *Replica) recordSent(l Load, now time.Duration) {
+	if len(r.sentSince) >= maxSentSince {
+		r.sentSince = r.sentSince[1:]
 	}
-	r.sent = append(r.sent, begun{
+	r.sentSince = append(r.sentSince, sentRequest{
 		at:   now,
 		load: l,
 	})
 }
 
-// spoken returns the work at a replica by its last word and what this box sent since;
+// reportedLoad returns the work at a replica by its last word and what this box sent since;
 // false where it said nothing of late.
-func (r *Replica) spoken(u usual, now time.Duration) (l Load, ok bool) {
-	if !r.hasSpoken(now) || r.word.Silent {
+func (r *Replica) reportedLoad(u typicalRequest, now time.Duration) (l Load, ok bool) {
+	if !r.hasReport(now) || r.report.Silent {
 		return Load{}, false
 	}
 	l = Load{
-		Requests: r.word.Requests,
-		Tokens:   cmp.Or(r.word.Tokens, int(float64(r.word.Requests)*u.tokens)),
-		Unread:   int(float64(r.word.Waiting) * u.unread),
+		Requests: r.report.Requests,
+		Tokens:   cmp.Or(r.report.Tokens, int(float64(r.report.Requests)*u.tokens)),
+		Unread:   int(float64(r.report.Waiting) * u.unread),
 	}
-	for _, b := range r.sent {
+	for _, b := range r.sentSince {
 		l = l.plus(b.load)
 	}
-	own := r.currentOwn(now)
+	own := r.currentOwnLoad(now)
 	l.Requests = max(l.Requests, own.Requests)
 	l.Tokens = max(l.Tokens, own.Tokens)
 	l.Unread = max(l.Unread, own.Unread)
@@ -164,32 +166,32 @@
 // boxes go by these, and no less than the mean of its service's then. An engine with less
 // looked best to all boxes until the next words came, and got requests of all of them.
 func (v *View) Load(r *Replica, now time.Duration) Load {
-	if !v.byWords {
+	if !v.byReports {
 		return r.Load(now)
 	}
-	l, ok := r.spoken(v.usual[r.info.Service], now)
+	l, ok := r.reportedLoad(v.typical[r.info.Service], now)
 	if !ok {
 		l = r.Load(now)
 	}
-	m := v.mean(r.info.Service, now)
+	m := v.meanLoad(r.info.Service, now)
 	l.Requests = max(l.Requests, m.Requests)
 	l.Tokens = max(l.Tokens, m.Tokens)
 	l.Unread = max(l.Unread, m.Unread)
 	return l
 }
 
-// mean is the mean of the words of a service's replicas, at a time.
-type mean struct {
+// meanLoad is the meanLoad of the words of a service's replicas, at a time.
+type meanLoad struct {
 	Load
 	at time.Duration
 }
 
-const meanFor = 50 * time.Millisecond // a mean of words counts so long
+const meanLoadTTL = 50 * time.Millisecond // a mean of words counts so long
 
-// mean returns the mean load of a service's replicas by their words. One that said nothing
+// meanLoad returns the meanLoad load of a service's replicas by their words. One that said nothing
 // of late isn't busy.
-func (v *View) mean(service string, now time.Duration) Load {
-	if m, ok := v.means[service]; ok && now-m.at < meanFor && now >= m.at {
+func (v *View) meanLoad(service string, now time.Duration) Load {
+	if m, ok := v.meanLoads[service]; ok && now-m.at < meanLoadTTL && now >= m.at {
 		return m.Load
 	}
 	var sum Load
@@ -198,15 +200,15 @@
 		if r.info.Service != service || !r.listed {
 			continue
 		}
-		if r.silent(now) {
+		if r.isUnresponsive(now) {
 			continue
 		}
 		n++
-		if l, ok := r.spoken(v.usual[service], now); ok {
+		if l, ok := r.reportedLoad(v.typical[service], now); ok {
 			sum = sum.plus(l)
 		}
 	}
-	out := mean{
+	out := meanLoad{
 		at: now,
 	}
 	if n > 0 {
@@ -216,13 +218,13 @@
 			Unread:   sum.Unread / n,
 		}
 	}
-	v.means[service] = out
+	v.meanLoads[service] = out
 	return out.Load
 }
 
-// occupied returns the share of their slots that a service's engines use, by their
+// usedSlotShare returns the share of their slots that a service's engines use, by their
 // words; 0 for other services.
-func (v *View) occupied(service string, now time.Duration) float64 {
+func (v *View) usedSlotShare(service string, now time.Duration) float64 {
 	if v.table == nil {
 		return 0
 	}
@@ -230,5 +232,5 @@
 	if svc == nil || svc.Engine == nil || svc.Engine.Slots <= 0 {
 		return 0
 	}
-	return float64(v.mean(service, now).Requests) / float64(svc.Engine.Slots)
+	return float64(v.meanLoad(service, now).Requests) / float64(svc.Engine.Slots)
 }
