--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -18,63 +18,63 @@
 
 // Written takes in that the request of a choice is written only now.
 func (v *View) Written(c *Choice, now time.Duration) {
-	if c.grant.replica != nil {
-		v.pacer.Sent(c.ID, c.grant.taken, now)
+	if c.reservation.replica != nil {
+		v.pacer.Sent(c.ID, c.reservation.at, now)
 	}
 }
 
 // First takes in that the first byte of an answer came after so long.
 func (v *View) First(c *Choice, took, now time.Duration) {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return
 	}
-	r.seenFirst(took, c.Expect, now)
-	r.answered(now)
-	r.own.Unread -= c.grant.load.Unread
-	c.grant.load.Unread = 0
+	r.recordFirstByte(took, c.Expect, now)
+	r.recordResponse(now)
+	r.own.Unread -= c.reservation.load.Unread
+	c.reservation.load.Unread = 0
 }
 
 // Loaded takes in how many requests the replica itself says it has, this one included.
 func (v *View) Loaded(c *Choice, requests int, now time.Duration) {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return
 	}
-	r.said = told{
+	r.selfReport = peerLoad{
 		load: Load{
 			Requests: max(requests-r.own.Requests, 0),
 		},
-		till: now + saidFor,
+		expiry: now + selfReportTTL,
 	}
 }
 
 // Heard takes in that a replica goes on with an answer.
 func (v *View) Heard(c *Choice, now time.Duration) {
-	if r := c.grant.replica; r != nil {
-		r.heard = now
+	if r := c.reservation.replica; r != nil {
+		r.lastSeen = now
 	}
 }
 
 // Quiet returns how long nothing came from the replica of a choice, to this box,
 // counted from when it was last heard or the request was sent at the latest.
 func (v *View) Quiet(c *Choice, sent, now time.Duration) time.Duration {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return 0
 	}
-	return now - max(r.heard, sent)
+	return now - max(r.lastSeen, sent)
 }
 
 // End counts a request out and takes in what became of it. It returns true when
 // the replica is left out from now on.
-func (v *View) End(c *Choice, result Result, hold, now time.Duration) bool {
-	r := c.grant.replica
+func (v *View) End(c *Choice, result Result, duration, now time.Duration) bool {
+	r := c.reservation.replica
 	if r == nil {
 		return false
 	}
-	c.grant.replica = nil
-	l := c.grant.load
+	c.reservation.replica = nil
+	l := c.reservation.load
 	r.own.Requests -= l.Requests
 	r.own.Tokens -= l.Tokens
 	r.own.Unread -= l.Unread
@@ -82,24 +82,24 @@
 	switch result {
 	case Answered:
 		r.outcomes.Add(false, now)
-		r.took(hold)
-		r.answered(now)
+		r.recordDuration(duration)
+		r.recordResponse(now)
 	case Failed:
 		r.outcomes.Add(true, now)
-		r.answered(now)
+		r.recordResponse(now)
 	case Refused:
 		r.outcomes.Add(true, now) // it has no room, however idle it looks
-		r.answered(now)
+		r.recordResponse(now)
 	case Silent:
-		v.mute(r, now)
+		v.recordNoResponse(r, now)
 	case Unreachable:
 		r.outcomes.Add(true, now)
-		r.failures++
-		if r.failures >= failuresOut {
-			v.leaveOut(r, now)
+		r.connectFailures++
+		if r.connectFailures >= maxConnectFailures {
+			v.eject(r, now)
 		}
 	case Misdirected:
-		v.leaveOut(r, now)
+		v.eject(r, now)
 	case Abandoned:
 	}
 	return !wasOut && r.Out(now)
@@ -108,30 +108,30 @@
 // Muted takes in that a replica is silent towards this box under a request which goes on
 // waiting for it. It returns true when the replica is left out from now on.
 func (v *View) Muted(c *Choice, now time.Duration) bool {
-	r := c.grant.replica
+	r := c.reservation.replica
 	if r == nil {
 		return false
 	}
 	wasOut := r.Out(now)
-	v.mute(r, now)
+	v.recordNoResponse(r, now)
 	return !wasOut && r.Out(now)
 }
 
-// mute counts a request that got nothing more from a replica.
-func (v *View) mute(r *Replica, now time.Duration) {
+// recordNoResponse counts a request that got nothing more from a replica.
+func (v *View) recordNoResponse(r *Replica, now time.Duration) {
 	r.outcomes.Add(true, now)
-	r.muted++
-	if r.muted >= mutedOut && now-r.heard >= mutedFor {
-		v.leaveOut(r, now)
+	r.noResponses++
+	if r.noResponses >= maxNoResponses && now-r.lastSeen >= noResponseTimeout {
+		v.eject(r, now)
 	}
 }
 
-// leaveOut gives a replica no work for a while. When it is back it may be cold,
+// eject gives a replica no work for a while. When it is back it may be cold,
 // so it gets work at the pace of a cold one until it is known better.
-func (v *View) leaveOut(r *Replica, now time.Duration) {
-	r.leaveOut(now)
+func (v *View) eject(r *Replica, now time.Duration) {
+	r.eject(now)
 	if r.service == nil || v.isReplaced(r) {
 		return
 	}
-	v.chillReturn(r, r.out.Until())
+	v.markReturned(r, r.backoff.Until())
 }
