--- a/node/account.go
+++ b/node/account.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	accountLimit = 300 * time.Millisecond // for an answer; a later one tells nothing new
-	silentAfter  = 2                      // questions without an answer until others are told; 32 boxes that found it out by themselves sent three requests each to an engine that had gone dark
+	accountLimit = 300 * time.Millisecond // for an answer
+	silentAfter  = 2                      // consecutive unanswered requests after which an engine is reported as silent
 )
 
-// asked is an engine that this box asks for its account.
+// asked is an engine from which this box requests usage reports.
 type asked struct {
 	start string
 	addr  string
 }
 
-// engines returns the engines that this box asks now. One box asks a busy one on behalf of
-// the others of its region, by rendezvous of those that take callers, which agree on it;
-// while they don't, an engine is asked by two or by none.
+// engines returns the engines from which this box requests usage reports now. One active box
+// of the region, selected by rendezvous hashing, does so for each busy engine. While boxes
+// have different records, an engine may receive requests from two boxes or from none.
 func (s *state) engines(now time.Duration) []asked {
 	here := s.taking[s.settings.Region]
 	if s.roster.TellsLoads() || s.table == nil || !here.has(s.settings.Box) {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// runAccounts asks engines for their accounts again and again until ctx ends.
+// runAccounts starts a task that requests usage reports of engines until ctx is done.
 func (n *Node) runAccounts(ctx context.Context) {
 	if n.adapter.Account == nil {
 		return
@@ -64,7 +64,7 @@
 	})
 }
 
-// askAccount asks an engine for its account.
+// askAccount requests and records the usage report of an engine.
 func (n *Node) askAccount(ctx context.Context, a asked) {
 	ctx, cancel := context.WithTimeout(ctx, accountLimit)
 	defer cancel()
@@ -78,9 +78,8 @@
 	})
 }
 
-// startOf returns which start of a replica gave an account: one that began at a time,
-// where that is said. A later one than was known is taken in, for its entry may be a
-// heartbeat behind.
+// startOf returns the incarnation of a replica that sent a usage report. An incarnation later
+// than the recorded one is applied, since its catalog entry may be a heartbeat late.
 func (s *state) startOf(known string, born int64, now time.Duration) (string, []placement.Belief) {
 	info, svc := s.listed(known)
 	if svc == nil || born == 0 || info.Born == 0 || born == info.Born {
@@ -94,15 +93,15 @@
 	next.Born = born
 	switch {
 	case born < info.Born:
-		return next.Start(), nil // of which nothing is known any more
+		return next.Start(), nil // without a record
 	case born <= s.told[info.ID]:
-		return known, nil // it was overruled
+		return known, nil // the catalog has overruled it
 	}
 	s.told[info.ID] = born
 	return next.Start(), s.take(adopted(info, svc, id), now)
 }
 
-// account takes in an engine's account of a time, or that it gave none.
+// account records an engine's usage report, or that it sent none.
 func (s *state) account(start string, got Account, ok bool, at, now time.Duration) {
 	if ok {
 		delete(s.unanswered, start)
@@ -116,7 +115,7 @@
 	}
 	s.unanswered[start]++
 	if s.unanswered[start] < silentAfter || !s.roster.HeardWithin(placement.AskEvery*silentAfter, now) {
-		return // it may be this box that hears nothing
+		return // this box may be cut off itself
 	}
 	s.view.Says(start, placement.Word{
 		Silent: true,
@@ -124,7 +123,7 @@
 	})
 }
 
-// forgetTold drops which starts engines told that are gone.
+// forgetTold drops the reported incarnations of replicas that have no record.
 func (s *state) forgetTold() {
 	known := make(map[string]bool)
 	for _, r := range s.view.Replicas() {
--- a/node/away.go
+++ b/node/away.go
@@ -13,49 +13,49 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Figures of sending a request to another region.
+// Costs and limits of sending requests to another region. Expected losses are in thousandths
+// of a request's value.
 const (
-	crossing   = 175 * time.Millisecond // there and back, 80 ms each way, and the box there
-	awayPrice  = 30.0                   // thousandths of a request's worth: what its bytes between regions cost
-	awayAll    = 250.0                  // gain in thousandths at which all requests go away; at less, a part of them, for all boxes see the same
-	againPrice = 40.0                   // thousandths that 1,000 shared tokens cost which another region keeps
-	sharedMin  = 1000                   // shared tokens from which a prompt has a home region; fewer aren't worth the way
-	noRoom     = 60 * time.Second       // told as the wait where no replica can take a request
-	roomsFor   = 3 * time.Second        // what a region told counts so long
-	unknownFar = 2 * time.Second        // expected of a region that has told nothing
-	trialFor   = 600 * time.Millisecond // by then a request to another region has a connection, or none
-	failRisk   = 1000.0                 // thousandths at risk where every request to a region fails
+	crossing   = 175 * time.Millisecond // added by the way to another region and back
+	awayPrice  = 30.0                   // cost of the bytes between regions
+	awayAll    = 250.0                  // gain from which all requests are sent to another region; below it a share of them
+	againPrice = 40.0                   // cost of 1,000 shared tokens that are cached in another region
+	sharedMin  = 1000                   // shared tokens from which a prompt has a home region
+	noRoom     = 60 * time.Second       // sent as the wait where no replica can take a request
+	roomsFor   = 3 * time.Second        // TTL of a received capacity
+	unknownFar = 2 * time.Second        // wait assumed for a region that has sent no capacity
+	trialFor   = 600 * time.Millisecond // in which one request probes an unreachable box
+	failRisk   = 1000.0                 // expected loss where every request to a region fails
 )
 
-// far is another region that could take a request.
+// far is another region with capacity for a request.
 type far struct {
 	region string
-	boxes  []*roster.Member  // that may be sent to; the table's
-	all    []*roster.Member  // that take work, and tell of the region; the table's
-	room   placement.Outlook // as its boxes told last
-	risk   float64           // thousandths of the request's worth
+	boxes  []*roster.Member  // targets; owned by the roster
+	all    []*roster.Member  // serving boxes, which send the region's capacity; owned by the roster
+	room   placement.Outlook // by the latest capacity sent
+	risk   float64           // expected loss
 }
 
-// crossed takes in whether a request to a region was answered.
+// crossed records whether a request to a region was answered.
 func (s *state) crossed(region string, ok bool, now time.Duration) {
 	path := s.paths[region]
 	path.Add(!ok, now)
 	s.paths[region] = path
 }
 
-// betterAway says whether a request goes away: the more often the more it gains, for
-// all boxes see the same. It always goes to the home region of its shared parts if
-// that gains anything, for the homes of different parts divide requests by themselves:
-// when a third of them stayed, requests lost 0.013 of their worth more, on 15 paired days.
+// betterAway reports whether a request is sent to another region. The probability grows with
+// the gain, since all boxes see the same difference. Any gain suffices for the home region of
+// its shared segments: the homes of different segments distribute the requests.
 func betterAway(here, there float64, toHome bool, draw func(n int) int) bool {
 	gain := here - there - awayPrice
 	return gain > 0 && (toHome || float64(draw(draws))*awayAll/draws < gain)
 }
 
-// draws is the number of values that one draw may take.
+// draws is the number of values of one random draw.
 const draws = 1000
 
-// others returns the other regions that could take a request, in order.
+// others returns the other regions with capacity for a request, sorted by name.
 func (s *state) others(ask ingress.Ask, now time.Duration) []far {
 	if ask.Relayed {
 		return nil
@@ -92,15 +92,15 @@
 	return out
 }
 
-// mayForward says whether a request may be passed on to a box of another region.
+// mayForward reports whether a request may be forwarded to a box of another region.
 func (s *state) mayForward(ask ingress.Ask, m *roster.Member, now time.Duration) bool {
 	return s.taking[m.Status.Region].has(m.Status.Box) && m.Status.Forward != "" &&
 		!slices.Contains(ask.TriedBoxes, m.Status.Box) && !s.isLost(m, now)
 }
 
-// home returns the region that keeps the shared parts of a prompt: of those that
-// could take it each gets prompts in proportion to its replicas, and all boxes
-// agree. It is empty where the parts aren't worth the way.
+// home returns the region that caches the shared segments of a prompt. Weighted rendezvous
+// hashing gives each region prompts in proportion to its replicas, and all boxes agree. It is
+// empty for a prompt with few shared tokens.
 func (s *state) home(ask ingress.Ask, here placement.Outlook, others []far) string {
 	if ask.Request.Shared() < sharedMin {
 		return ""
@@ -122,8 +122,8 @@
 	return best
 }
 
-// weigh fills in what is at risk in another region, and returns the one with the
-// least; false when there is none.
+// weigh computes the expected loss in other regions and returns the region with the lowest;
+// false when there is none.
 func (s *state) weigh(others []far, ask ingress.Ask, home string, goals placement.Goals, now time.Duration) (far, bool) {
 	var best far
 	for i, f := range others {
@@ -143,7 +143,7 @@
 	return best, len(others) > 0
 }
 
-// riskHere returns what is at risk in this region.
+// riskHere returns the expected loss in this region.
 func (s *state) riskHere(here placement.Outlook, ask ingress.Ask, goals placement.Goals, home string) float64 {
 	risk := here.Risk(goals) + ask.Request.Harm(here.Missing, here.Fewest)
 	if home != "" && home != s.settings.Region {
@@ -154,26 +154,26 @@
 
 // unreached is a box that could not be reached.
 type unreached struct {
-	at    time.Duration   // when that was found out
-	out   absence.Absence // it is not used while it is on
-	trial time.Duration   // when a request was sent to it again
+	at    time.Duration   // time of the failure
+	out   absence.Absence // no requests are sent while it is on
+	trial time.Duration   // time of the last request that probed it
 }
 
-// lose notes that a box could not be reached. It is not used for a time that
-// doubles until it is reached: being heard is not enough, for datagrams come through
-// a cut of one direction.
+// lose records that a box could not be reached. It receives no requests during a back-off that
+// doubles until a request reaches it. A heartbeat doesn't reset the back-off, since datagrams
+// pass a partition in one direction.
 func (s *state) lose(box string, now time.Duration) {
 	u, known := s.lost[box]
 	if known && u.out.On(now) {
-		return // requests that were under way together tell it once
+		return // concurrent requests count once
 	}
 	u.at = now
 	u.out.Begin(now)
 	s.lost[box] = u
 }
 
-// tryAgain notes that a request goes to a box that could not be reached: until it is
-// known what becomes of it, no other one does.
+// tryAgain records that a request probes an unreachable box. No other request is sent there
+// until its result is known.
 func (s *state) tryAgain(box string, now time.Duration) {
 	if u, ok := s.lost[box]; ok {
 		u.trial = now
@@ -181,19 +181,18 @@
 	}
 }
 
-// reached notes that a box was reached.
+// reached records that a box was reached.
 func (s *state) reached(box string) { delete(s.lost, box) }
 
-// isLost says whether a box could not be reached of late, or not since it was last
-// heard.
+// isLost reports whether a box is in back-off, is being probed, or has sent no heartbeat since
+// the last failure.
 func (s *state) isLost(m *roster.Member, now time.Duration) bool {
 	u, ok := s.lost[m.Status.Box]
 	return ok && (u.out.On(now) || m.Heard <= u.at || (u.trial > 0 && now-u.trial < trialFor))
 }
 
-// roomIn returns what a region's boxes told last of a service; false when it has
-// no replica that could take a request. Any of its boxes tells of all of it: where a sixth
-// takes callers, what these told themselves was mostly too old.
+// roomIn returns the latest capacity of a region that any of its boxes sent for a service;
+// false when no replica can take a request.
 func (s *state) roomIn(boxes []*roster.Member, service string, now time.Duration) (out placement.Outlook, ok bool) {
 	newest := time.Duration(-1)
 	for _, m := range boxes {
@@ -217,12 +216,12 @@
 	}
 	if newest < 0 {
 		out.Expect = unknownFar
-		return out, true // nobody told, so it is asked
+		return out, true // without a report a request may be tried
 	}
 	return out, ok
 }
 
-// sendAway returns one of a region's boxes as the target.
+// sendAway returns a random box of a region as the target.
 func sendAway(f far, draw func(n int) int) ingress.Target {
 	box := f.boxes[draw(len(f.boxes))].Status
 	return ingress.Target{
--- a/node/bucket.go
+++ b/node/bucket.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// byteBucket is what a box may send of long answers.
+// byteBucket is a token bucket for the bytes of long answers.
 type byteBucket struct {
 	mu    sync.Mutex
-	rate  float64 // bytes a second
-	burst float64 // bytes at once
+	rate  float64 // bytes per second
+	burst float64 // capacity in bytes
 	left  float64 // bytes; below 0 after an answer that was longer
 	at    time.Duration
 }
 
-// newByteBucket returns a byteBucket of which nothing is taken.
+// newByteBucket returns a full byteBucket.
 func newByteBucket(rate, burst float64) *byteBucket {
 	return &byteBucket{
 		rate:  rate,
@@ -23,7 +23,7 @@
 	}
 }
 
-// take takes room for so many bytes, or returns how long there is none.
+// take takes a number of bytes, or returns the time until the bucket allows the next answer.
 func (b *byteBucket) take(bytes int, now time.Duration) (wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/node/core.go
+++ b/node/core.go
@@ -9,7 +9,7 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// core returns the seams of the path of requests.
+// core returns the functions through which ingress uses the box.
 func (n *Node) core(ctx context.Context) ingress.Core {
 	return ingress.Core{
 		Table:    n.table.Load,
@@ -55,17 +55,16 @@
 	}
 }
 
-// current says whether this box can read what is published, and knows of no newer policy
-// than its own.
+// current reports whether this box can read the catalog and has no record of a newer
+// policy than its own.
 func (n *Node) current() bool {
 	due := 0
 	_ = n.state.Do(func(s *state) { due = s.content.PolicyDue() }) // it fails only when the box has ended
 	return n.storeOK.Load() && due == 0
 }
 
-// behind takes in that a box which passed a request on decides by a policy of a version.
-// One that follows gets it from others, for a reading at each such request would fill its
-// link where the policy is large.
+// behind records the policy version of a box that forwarded a request. A follower fetches
+// a newer policy from other boxes: a read per request would fill its link.
 func (n *Node) behind(version int) {
 	n.state.Post(func(s *state) { s.content.HeardOfPolicy(version) })
 	if !n.follows.Load() {
@@ -73,10 +72,9 @@
 	}
 }
 
-// The accesses to the state below fail only when the box has ended; what they
-// give then is of no use to anybody.
+// Accesses to the state below fail only when the box has ended; their results are unused then.
 
-// place chooses where a request goes and counts it in.
+// place chooses a target for a request and counts the request there.
 func (n *Node) place(ask ingress.Ask) (t ingress.Target) {
 	t.Reason = placement.Nothing
 	_ = n.state.Do(func(s *state) { t = s.place(ask, n.now(), n.draw) })
@@ -89,17 +87,16 @@
 	return t
 }
 
-// tellReads are the prompt tokens of a request which other boxes of the region are
-// told of at once: a tenth of a second of an engine's time, during which another
-// long prompt would make its streams pause.
+// tellReads is the number of unread prompt tokens from which other boxes of the region are
+// notified of a request at once, since two long prompts at one engine delay its streams.
 const tellReads = 2500
 
-// begin counts a request for the budget of retries.
+// begin counts a request for the retry budget.
 func (n *Node) begin(service string) {
 	n.state.Post(func(s *state) { s.budget.Request(service, n.now()) })
 }
 
-// repeat asks the budget whether a request may be sent again.
+// repeat reports whether the retry budget allows another attempt, and takes it.
 func (n *Node) repeat(service string) (ok bool) {
 	_ = n.state.Do(func(s *state) { ok = s.budget.Take(service, s.spenders(n.now()), n.now()) })
 	if ok {
@@ -110,19 +107,19 @@
 	return ok
 }
 
-// written takes in that a request is written only now, a while after its replica was chosen.
+// written records that a request is written only now, later than its replica was chosen.
 func (n *Node) written(c *placement.Choice) {
-	choice := *c // its grant is counted out meanwhile
+	choice := *c // a copy, for its grant ends meanwhile
 	now := n.now()
 	n.state.Post(func(s *state) { s.view.Written(&choice, now) })
 }
 
-// first takes in how long the first byte of an answer took.
+// first records the time to the first byte of an answer.
 func (n *Node) first(c *placement.Choice, took time.Duration) {
 	_ = n.state.Do(func(s *state) { s.view.First(c, took, n.now()) })
 }
 
-// loaded takes in how many requests a replica says it has, and how many of them wait.
+// loaded records the load report in an answer's headers.
 func (n *Node) loaded(c *placement.Choice, requests, waiting int) {
 	_ = n.state.Do(func(s *state) {
 		now := n.now()
@@ -135,31 +132,31 @@
 	})
 }
 
-// streamed takes in how many events a whole stream had, and the caller's guess of its
-// tokens.
+// streamed records the number of events of a complete stream and the caller's estimate of
+// its tokens.
 func (n *Node) streamed(service string, events, guess int) {
 	n.state.Post(func(s *state) { s.view.Streamed(service, events, guess) })
 }
 
-// heard takes in that a replica goes on with an answer.
+// heard records that a replica continues an answer.
 func (n *Node) heard(c *placement.Choice) {
 	_ = n.state.Do(func(s *state) { s.view.Heard(c, n.now()) })
 }
 
-// quiet returns how long a replica has been silent towards this box.
+// quiet returns the time since this box last received anything from a replica.
 func (n *Node) quiet(c *placement.Choice, sent time.Time) (d time.Duration) {
 	_ = n.state.Do(func(s *state) { d = s.view.Quiet(c, sent.Sub(n.started), n.now()) })
 	return d
 }
 
-// other returns where a request would go, without counting it in; false when there is
-// no target.
+// other returns an alternative target without counting the request; false when there is
+// none.
 func (n *Node) other(ask ingress.Ask) (t ingress.Target, found bool) {
 	_ = n.state.Do(func(s *state) { t, found = s.other(ask, n.now(), n.draw) })
 	return t, found
 }
 
-// end counts a request out and takes in what became of it.
+// end records the result of a request and removes it from the count.
 func (n *Node) end(c *placement.Choice, r placement.Result, took time.Duration) {
 	if r == placement.Misdirected {
 		n.misdirected(c.Replica)
@@ -171,7 +168,7 @@
 	}
 }
 
-// muted takes in that a replica is silent under a request that waits on.
+// muted records that a replica has stopped answering under a request that still waits.
 func (n *Node) muted(c *placement.Choice) {
 	out := false
 	_ = n.state.Do(func(s *state) { out = s.view.Muted(c, n.now()) })
@@ -180,7 +177,7 @@
 	}
 }
 
-// outOfReach writes down that a replica is left out.
+// outOfReach records the ejection of a replica.
 func (n *Node) outOfReach(replica string) {
 	n.record(decision.Event{
 		Kind:     decision.Belief,
@@ -189,7 +186,7 @@
 	})
 }
 
-// crossed notes whether a request to another region was answered.
+// crossed records whether a request to another region was answered.
 func (n *Node) crossed(box, region string, ok bool) {
 	n.state.Post(func(s *state) {
 		s.crossed(region, ok, n.now())
@@ -199,7 +196,7 @@
 	})
 }
 
-// boxLost notes that a box could not be reached.
+// boxLost records that a box could not be reached.
 func (n *Node) boxLost(box string) {
 	n.state.Post(func(s *state) { s.lose(box, n.now()) })
 	n.record(decision.Event{
--- a/node/drain.go
+++ b/node/drain.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	acceptFor  = 2500 * time.Millisecond // after the order to stop all requests are still taken: some callers hold an answer to "which box" for three times its time
-	lastCalls  = time.Second             // before the end nothing more is taken: calls take half of that at most, as a rule
-	answerBy   = 250 * time.Millisecond  // before the end, each call that was taken has an answer
-	serveCheck = 50 * time.Millisecond   // between two looks whether another box serves
+	acceptFor  = 2500 * time.Millisecond // after the order to stop, in which requests are accepted: callers keep a directory answer for up to three TTLs
+	lastCalls  = time.Second             // before the end, in which nothing is accepted
+	answerBy   = 250 * time.Millisecond  // between the last answer and the end
+	serveCheck = 50 * time.Millisecond   // between two checks for another serving box
 )
 
-// Leave begins a planned stop: the box is no longer named to callers, finishes
-// what is in flight and ends.
+// Leave begins a planned stop: the directory no longer returns the box, which completes the
+// requests in flight and ends.
 func (n *Node) Leave() {
 	n.once.Do(func() {
 		n.ends.Store(int64(n.now() + n.settings.Bounds.StopWithin - stopEarly))
@@ -31,10 +31,9 @@
 	})
 }
 
-// drain waits for a planned stop. Requests still come for a while, from callers
-// that hold an older answer to "which box". After that only calls are taken, and
-// these only while no other box of the region serves; at last the box finishes what
-// it has.
+// drain waits for a planned stop. At first requests are accepted as before, from callers with
+// an older directory answer. Then the box accepts calls only, and these only while no other
+// box of the region serves. At last it completes the requests in flight.
 func (n *Node) drain(ctx context.Context, cancel context.CancelCauseFunc, servers ...*http.Server) {
 	select {
 	case <-ctx.Done():
@@ -60,9 +59,8 @@
 	cancel(ending.ErrPlanned)
 }
 
-// awaitOther waits until another box of the region serves, or the box has to end.
-// Boxes of a region that are told to stop one soon after the other would otherwise
-// all refuse connections at the same time.
+// awaitOther waits until another box of the region serves, or this one has to end, so that
+// boxes that stop shortly after each other don't all refuse connections.
 func (n *Node) awaitOther(limit context.Context) {
 	last := time.Duration(n.ends.Load()) - lastCalls
 	for limit.Err() == nil && n.now() < last && !n.otherServes() {
@@ -70,7 +68,7 @@
 	}
 }
 
-// otherServes says whether another box of the region serves.
+// otherServes reports whether another box of the region serves.
 func (n *Node) otherServes() (out bool) {
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
 		out = len(s.roster.Serving(s.settings.Region, n.now())) > 0
@@ -78,12 +76,10 @@
 	return out
 }
 
-// takesStreams says whether a stream that comes now will be answered to its end, as
-// far as the box can tell.
+// takesStreams reports whether the box has time to complete a new stream.
 func (n *Node) takesStreams() bool { return !n.closed.Load() }
 
-// answersBy returns the time by which a request that comes now must have its answer,
-// and whether there is one: the box is about to end.
+// answersBy returns the deadline of answers during a planned stop; false when there is none.
 func (n *Node) answersBy() (time.Time, bool) {
 	if !n.leaving.Load() {
 		return time.Time{}, false
--- a/node/dump.go
+++ b/node/dump.go
@@ -19,10 +19,10 @@
 	Policy   int           `json:"policy_version"`
 	Revision int64         `json:"catalog_revision"`
 	AgeS     float64       `json:"catalog_age_s"`
-	LeaseS   float64       `json:"lease_age_s"`   // since the policy surely was the newest; below 0 where that isn't known
-	Follows  bool          `json:"follows"`       // other boxes watch the catalog for this one
-	Taking   bool          `json:"takes_callers"` // callers are told to use it; in a region of many boxes some stand by
-	Sharing  int           `json:"sharing_boxes"` // boxes among which the region's quotas are shared; 0 until all are known
+	LeaseS   float64       `json:"lease_age_s"`   // since the policy was confirmed as the newest; below 0 for never
+	Follows  bool          `json:"follows"`       // other boxes watch the catalog on behalf of this one
+	Taking   bool          `json:"takes_callers"` // active; a region of many boxes has standby boxes
+	Sharing  int           `json:"sharing_boxes"` // boxes that share the region's quotas; 0 until all are recorded
 	Closed   []string      `json:"closed_failure_domains"`
 	Boxes    []BoxDump     `json:"boxes"`
 	Replicas []ReplicaDump `json:"replicas"`
@@ -31,23 +31,22 @@
 	Credit   []CreditDump  `json:"credit"`
 }
 
-// CreditDump is what this box holds of an organisation's quota.
+// CreditDump is the credit that this box holds of an organisation's quota.
 type CreditDump struct {
 	Organisation string  `json:"organisation"`
 	Units        float64 `json:"units"`
 }
 
-// PoisonDump is what is believed of a request under which replicas ended, of which all
-// boxes are told.
+// PoisonDump is the record of a request under which replicas crashed.
 type PoisonDump struct {
 	Digest          string  `json:"digest"`
-	Ends            int     `json:"ends"`                     // of replicas, since a whole answer
-	OnTrial         bool    `json:"on_trial,omitempty"`       // one run of it at a time, until it is known whether replicas survive it
-	QuarantinedForS float64 `json:"quarantined_for_s"`        // how much longer it is turned away; 0 for a suspect
-	AnsweredS       float64 `json:"answered_ago_s,omitempty"` // since a replica last survived it; 0 where none did
+	Ends            int     `json:"ends"`                     // crashes of replicas since its last complete response
+	OnTrial         bool    `json:"on_trial,omitempty"`       // runs one at a time until it is known whether replicas survive it
+	QuarantinedForS float64 `json:"quarantined_for_s"`        // remaining time of its quarantine; 0 for a suspect
+	AnsweredS       float64 `json:"answered_ago_s,omitempty"` // since a replica last survived it; 0 for never
 }
 
-// BoxDump is what is believed of another box.
+// BoxDump is the record of another box.
 type BoxDump struct {
 	Box    string  `json:"box"`
 	Region string  `json:"region"`
@@ -56,7 +55,7 @@
 	AgeS   float64 `json:"age_s"`
 }
 
-// ReplicaDump is what is believed of a replica.
+// ReplicaDump is the record of a replica.
 type ReplicaDump struct {
 	ID       string  `json:"id"`
 	Service  string  `json:"service"`
@@ -70,11 +69,11 @@
 	Unread   int     `json:"unread_tokens"`
 	Failing  float64 `json:"failing"`
 	Slow     float64 `json:"slow"`
-	WordMs   int64   `json:"word_age_ms,omitempty"` // of its own word of its load, where boxes go by these
+	WordMs   int64   `json:"word_age_ms,omitempty"` // of its last load report, where boxes use these
 	Revision int64   `json:"revision"`
 }
 
-// RetryDump is what is left of the budget of retries.
+// RetryDump is the remaining retry budget of a service.
 type RetryDump struct {
 	Service string  `json:"service"`
 	Left    float64 `json:"left"`
@@ -106,7 +105,7 @@
 	return d
 }
 
-// dump fills in what the state holds.
+// dump adds the recorded state.
 func (s *state) dump(d *Dump, now time.Duration) {
 	d.Revision = s.content.Newest()
 	d.Sharing = len(s.sharers(now))
@@ -153,8 +152,7 @@
 	}
 }
 
-// dumpPoison returns what is believed of requests under which replicas ended, in the order
-// of their digests.
+// dumpPoison returns the records of requests under which replicas crashed, by digest.
 func (s *state) dumpPoison(now time.Duration) []PoisonDump {
 	var out []PoisonDump
 	for _, r := range s.poison.Records() {
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -14,7 +14,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// runGossip tells other boxes of this one, and listens to them.
+// runGossip starts the exchange of messages with other boxes.
 func (n *Node) runGossip(ctx context.Context) {
 	for _, conn := range n.listeners.packets {
 		link := roster.NewLink(conn,
@@ -23,7 +23,7 @@
 			roster.WithOther(poison.Mark, func(buf []byte, from net.Addr) { n.hearPoison(buf, from.String()) }))
 		n.links = append(n.links, link)
 	}
-	for _, link := range n.links { // when all are there, for a message that comes is answered
+	for _, link := range n.links { // after all are created, since an answer to a message uses the first
 		n.tasks.Go(func() { link.Run(ctx) })
 	}
 	n.tasks.Go(func() {
@@ -38,8 +38,7 @@
 	n.tasks.Go(func() { n.beat(ctx) })
 }
 
-// beat tells others of this box in each round, and works out again what depends on
-// what is known of them.
+// beat sends heartbeats and updates the state that depends on those of other boxes.
 func (n *Node) beat(ctx context.Context) {
 	n.tellEveryone(true)
 	for ctx.Err() == nil {
@@ -62,8 +61,8 @@
 	}
 }
 
-// noticeSuspension writes down that the machine was suspended. All that is held with a time
-// has grown older by then, as after a freeze.
+// noticeSuspension records a suspension of the machine. Its duration counts in the age of
+// all records.
 func (n *Node) noticeSuspension() {
 	clock.Check()
 	total := clock.Suspended()
@@ -80,7 +79,7 @@
 	})
 }
 
-// tell sends one round of datagrams.
+// tell sends one round of heartbeats.
 func (n *Node) tell() {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		now := n.now()
@@ -92,15 +91,15 @@
 	})
 }
 
-// tellEveryone sends news that can't wait for the next round. With ask the others
-// answer at once.
+// tellEveryone sends the status of this box to all others before the next round. With ask
+// they answer at once.
 func (n *Node) tellEveryone(ask bool) {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		return s.roster.TellEveryone(self, n.now(), ask)
 	})
 }
 
-// tellLoads tells the boxes of the region what this one has at its replicas.
+// tellLoads sends the load of this box at the replicas to the boxes of the region.
 func (n *Node) tellLoads() {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		if !s.roster.TellsLoads() {
@@ -110,7 +109,7 @@
 	})
 }
 
-// send sends what is made of the state and of what this box says of itself now.
+// send sends the datagrams that from makes of the state and of this box's status.
 func (n *Node) send(from func(s *state, self wire.BoxStatus) []roster.Packet) {
 	var out []roster.Packet
 	_ = n.state.Do(func(s *state) { out = from(s, n.self(s)) })
@@ -124,7 +123,7 @@
 	}
 }
 
-// self returns what this box says of itself now.
+// self returns the current status of this box.
 func (n *Node) self(s *state) wire.BoxStatus {
 	out := s.fill(n.status(), n.now())
 	out.ReadMs = n.readMs()
@@ -141,7 +140,7 @@
 	return out
 }
 
-// hear takes a datagram of whole statuses in.
+// hear applies a datagram of full statuses.
 func (n *Node) hear(ctx context.Context, g wire.Gossip) {
 	_ = n.state.Do(func(s *state) { s.hear(g, n.now()) })
 	if g.Ask && g.From.Peers != "" {
@@ -152,20 +151,19 @@
 	n.learn(ctx, g.From, int64(g.From.Catalog))
 }
 
-// hearCompact takes a compact datagram in.
+// hearCompact applies a compact datagram.
 func (n *Node) hearCompact(ctx context.Context, b roster.Compact, from string) {
 	var h roster.Heard
 	_ = n.state.Do(func(s *state) { h = s.hearCompact(b, from, n.now()) })
 	n.post(h.Replies)
 	if !h.Newer {
-		h.Status.ReadMs = 0 // it was so long ago when an earlier compact datagram came
+		h.Status.ReadMs = 0 // it is the age at the time of an earlier datagram
 	}
 	n.learn(ctx, h.Status, max(b.Catalog, b.Newest))
 }
 
-// learn takes in which revision of the catalog a box knows, or has heard of. A box
-// that knows more is asked for it by one that follows others or can't read the
-// catalog itself.
+// learn compares the catalog of another box with the own one. A follower, or a box that can't
+// read the catalog, fetches a newer one from there.
 func (n *Node) learn(ctx context.Context, from wire.BoxStatus, newest int64) {
 	var has copyState
 	var waited time.Duration
@@ -180,18 +178,14 @@
 	switch {
 	case from.Peers != "" && n.pulls(from, has):
 		n.startPull(ctx, from, has)
-	case n.follows.Load(): // boxes of the own region will tell
+	case n.follows.Load(): // boxes of its region will send it
 	default:
 		n.feed.Behind(newest)
 	}
 }
 
-// startPull asks another box for what changed after a revision, unless one is asked
-// already.
-//
-// A question that is for a doubt alone seldom brings anything, and another one to a box
-// that knows more doesn't wait for it: replicas that came back late were not listed for
-// 0.4 s.
+// startPull fetches the changes after a revision from another box, unless a fetch is running.
+// A fetch for unconfirmed removals alone doesn't delay the next one from a newer catalog.
 func (n *Node) startPull(ctx context.Context, from wire.BoxStatus, has copyState) {
 	if !n.pulling.CompareAndSwap(false, true) {
 		return
@@ -199,7 +193,7 @@
 	n.tasks.Go(func() {
 		defer n.pulling.Store(false)
 		if n.pull(ctx, from, has.after) {
-			sleep.For(ctx, busyPause) // another box has it by then
+			sleep.For(ctx, busyPause) // another box may have it by then
 			return
 		}
 		if n.table.Load() != nil && int64(from.Catalog) <= has.newest {
@@ -210,7 +204,7 @@
 	})
 }
 
-// watchMembers writes down boxes that fell silent or came back.
+// watchMembers records boxes that became silent or came back.
 func (n *Node) watchMembers() {
 	type change struct {
 		box  string
@@ -246,8 +240,8 @@
 	}
 }
 
-// watchRegion writes down from when on all boxes of the region are known, without
-// which this box takes no share of a quota, and when that is no longer so.
+// watchRegion records whether all boxes of the region are recorded, without which this box
+// has no allocation of a quota.
 func (n *Node) watchRegion() {
 	var complete, changed bool
 	var sharing int
--- a/node/identity.go
+++ b/node/identity.go
@@ -11,35 +11,34 @@
 )
 
 const (
-	unreadFor     = 3 * time.Second        // after this the catalog is read again, or the replica asked: one that starts is listed sooner, within two heartbeats of 1.2 s
-	identityLimit = 600 * time.Millisecond // two calls within a region, of which one may wait for a slot
-	maxReplaced   = 64                     // ids that wait to be asked about; a region of the users' sizes has fewer replicas that restart together
+	unreadFor     = 3 * time.Second        // age of the catalog from which a misdirected request triggers a check; a started replica is listed sooner
+	identityLimit = 600 * time.Millisecond // for an answer of a replica
+	maxReplaced   = 64                     // ids in the queue
 )
 
-// Identity is what a replica says of itself when it is asked.
+// Identity is the identity that a replica reports.
 type Identity struct {
 	ID       string
-	Born     int64         // when its process started, in Unix milliseconds; 0 where it doesn't say
-	ColdLeft time.Duration // how much longer it is cold; 0 also where it doesn't say
-	Memory   int           // tokens; 0 for a replica that is no engine
+	Born     int64         // start of its process, in Unix milliseconds; 0 for unknown
+	ColdLeft time.Duration // remaining time in which it is cold; 0 also for unknown
+	Memory   int           // in tokens; 0 for a replica that is no engine
 }
 
-// errOtherService says that a replica may belong to another service than the one
-// that had its address before.
+// errOtherService reports that the replica at an address may belong to another service than
+// its predecessor.
 var errOtherService = errors.New("service of the replica can't be told")
 
-// misdirected notes that another replica than the one of an id has its address.
+// misdirected queues a replica whose address belongs to another one now.
 func (n *Node) misdirected(id string) {
 	select {
 	case n.replaced <- id:
-	default: // it is found out at the next request that goes there
+	default: // the next request to the address queues it again
 	}
 }
 
-// runIdentity finds out which replicas have the addresses of others, until ctx ends.
-// Where the catalog can be read, it is read again, if that was not done of late.
-// Where it can't, the replica itself is asked: nothing else would tell before the
-// catalog is back, and a region whose replicas were all restarted would serve nobody.
+// runIdentity starts a task that identifies the replicas at misdirected addresses until ctx is
+// done. If the catalog is unavailable it asks the replica itself, so that a region whose
+// replicas all restarted can still serve.
 func (n *Node) runIdentity(ctx context.Context) {
 	n.tasks.Go(func() {
 		for {
@@ -53,11 +52,12 @@
 	})
 }
 
-// resolve has it found out which replica has the address of another.
+// resolve reads the catalog again if its copy is old, or asks the replica if the catalog is
+// unavailable.
 func (n *Node) resolve(ctx context.Context, old string) {
 	switch {
 	case n.catalogAge() < unreadFor:
-		// the replica is not listed yet, or the watch is about to tell
+		// the replica is not listed yet, or the watch is about to receive it
 	case n.storeOK.Load():
 		n.feed.Behind(n.feed.Known() + 1)
 	default:
@@ -65,7 +65,7 @@
 	}
 }
 
-// identify asks which replica has the address of another.
+// identify asks the replica at the address of another one for its identity.
 func (n *Node) identify(ctx context.Context, old string) {
 	var info catalog.Replica
 	var svc *catalog.Service
@@ -89,7 +89,7 @@
 	}
 }
 
-// listed returns a replica that is listed, and its service; nil for none.
+// listed returns a listed replica and its service; nil for none.
 func (s *state) listed(id string) (catalog.Replica, *catalog.Service) {
 	r := s.view.Get(id)
 	if r == nil || !r.Listed() || s.table == nil {
@@ -98,8 +98,8 @@
 	return r.Info(), s.table.Service(r.Info().Service)
 }
 
-// adopt takes the replica that has another's address into the copy of the catalog,
-// in its place. What is published goes before it as soon as it can be read again.
+// adopt replaces a replica in the copy of the catalog by its successor at the same address.
+// Later reads of the catalog take precedence.
 func (n *Node) adopt(old catalog.Replica, svc *catalog.Service, id Identity) error {
 	if id.ID == old.ID && id.Born <= old.Born {
 		return nil // the other answer came from its predecessor
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// adopted returns the update that puts a start of a replica in the place of another one,
-// of the same id or not.
+// adopted returns the catalog update that replaces a replica by a later incarnation or by
+// another replica.
 func adopted(old catalog.Replica, svc *catalog.Service, id Identity) catalog.Update {
 	now := old
 	now.ID = id.ID
@@ -121,7 +121,7 @@
 	now.Leaving = false
 	now.ColdLeft = catalog.Millis(id.ColdLeft.Milliseconds())
 	if now.ColdLeft == 0 {
-		now.ColdLeft = svc.ColdFor // it has just started, and may be about to say so
+		now.ColdLeft = svc.ColdFor // it has just started
 	}
 	out := catalog.Update{
 		Settled: true,
@@ -139,10 +139,8 @@
 	return out
 }
 
-// provesService says whether what a replica tells of itself shows that it belongs
-// to a service: an address may have been given to a replica of another one. Only
-// the memory of engines tells them apart, and only where no other service has
-// engines of the same.
+// provesService reports whether a replica's identity shows that it belongs to a service. Only
+// the memory size of an engine does, and only if it is unique among the services.
 func (n *Node) provesService(svc *catalog.Service, id Identity) bool {
 	if svc.Engine == nil || id.Memory == 0 || id.Memory != svc.Engine.Memory {
 		return false
--- a/node/node.go
+++ b/node/node.go
@@ -31,85 +31,85 @@
 )
 
 const (
-	memoryShare = 60                     // percent of the limit from which the collector works harder
-	collectAt   = 20                     // percent of growth of the heap between collections: memory is dearer here than processor time
-	neverRead   = time.Hour              // the age of what was never read
-	idleReplica = 20 * time.Second       // a connection to a replica rests so long at most
-	busyTimeout = 30 * time.Second       // silence under a request that can't be sent again: its own time ends it sooner
-	idleBox     = 60 * time.Second       // the same between boxes: a new one takes 160 ms
-	stopEarly   = 400 * time.Millisecond // before the process is killed, it ends by itself
+	memoryShare = 60                     // percent of the memory limit that is given to the collector
+	collectAt   = 20                     // percent of heap growth between collections
+	neverRead   = time.Hour              // age of a catalog that was never read
+	idleReplica = 20 * time.Second       // of a connection to a replica
+	busyTimeout = 30 * time.Second       // on a connection with a request that can't be sent again
+	idleBox     = 60 * time.Second       // of a connection to another box
+	stopEarly   = 400 * time.Millisecond // between the own end of a planned stop and the kill by the platform
 )
 
 // Node is one box.
 type Node struct {
 	settings   Settings
 	adapter    Adapter
-	inc        int // incarnation: higher after each start of the box
+	inc        int // higher after each start of the box
 	started    time.Time
 	log        *decision.Log
 	meter      *meter.Meter
 	system     *cell.System
 	state      *cell.Cell[state]
 	table      atomic.Pointer[catalog.Table]
-	read       atomic.Int64 // when what is published was last read, also by others, in nanoseconds since the start
+	read       atomic.Int64 // when this box or its source last read the catalog, in nanoseconds since the start
 	reads      atomic.Bool  // this box reads the catalog on behalf of others
-	follows    atomic.Bool  // others watch and read it on behalf of this one
-	tellsAge   atomic.Bool  // others need to know how old what this box knows is
+	follows    atomic.Bool  // other boxes watch and read the catalog on behalf of this one
+	tellsAge   atomic.Bool  // this box sends the age of its catalog
 	storeOK    atomic.Bool  // the last call to the store succeeded
 	leaving    atomic.Bool  // a planned stop has begun
-	closed     atomic.Bool  // it is named to no caller any more
+	closed     atomic.Bool  // the directory no longer returns this box
 	ends       atomic.Int64 // when a planned stop is over, in nanoseconds since the start
-	pulling    atomic.Bool  // another box is asked for its catalog
-	refreshing atomic.Bool  // a box that reads for others is asked for its catalog
-	suspects   atomic.Int32 // requests under which replicas ended, of which all boxes are told
+	pulling    atomic.Bool  // a catalog update is being fetched from another box
+	refreshing atomic.Bool  // a catalog update is being fetched from a reader
+	suspects   atomic.Int32 // requests under which replicas crashed, as sent to all boxes
 	served     *poison.Served
-	doubtAsk   atomic.Int64 // until then no box is asked for a doubt alone, in nanoseconds since the start
+	doubtAsk   atomic.Int64 // until then nothing is fetched for unconfirmed removals alone, in nanoseconds since the start
 	replicas   *exchange.Pool
 	boxes      *exchange.Pool
 	store      *exchange.Pool
 	peers      *peer.Pool
-	bulk       *peer.Pool // for what is long, so that nothing waits behind it
+	bulk       *peer.Pool // for long messages, so that short ones don't wait behind them
 	listeners  listeners
 	links      []*roster.Link
-	deliver    func(roster.Packet)                                                          // seam: sends a datagram
-	askBox     func(ctx context.Context, addr string, after int64) (catalog.News, error)    // seam: asks another box for what changed
-	askPolicy  func(ctx context.Context, addr string, have int) (catalog.PolicyNews, error) // seam: asks another box for its policy
-	draw       func(n int) int                                                              // seam: a random number from 0 to n-1
-	jitter     func() float64                                                               // seam: a random number from 0 up to 1
+	deliver    func(roster.Packet)                                                          // sends a datagram; replaced in tests
+	askBox     func(ctx context.Context, addr string, after int64) (catalog.News, error)    // fetches catalog changes from another box; replaced in tests
+	askPolicy  func(ctx context.Context, addr string, have int) (catalog.PolicyNews, error) // fetches the policy from another box; replaced in tests
+	draw       func(n int) int                                                              // returns a random number in [0, n); replaced in tests
+	jitter     func() float64                                                               // returns a random number in [0, 1); replaced in tests
 	feed       *catalog.Feed
 
 	deltas       *catalog.Deltas
-	lease        lease.Lease                                                 // on keys, by what is known of the policy in force
-	proofs       proofSeeker                                                 // of the same
-	askProof     func(ctx context.Context, addr string) (proofAnswer, error) // seam: asks another box how long ago its policy surely was the newest
+	lease        lease.Lease                                                 // on keys, renewed while the policy is confirmed as the newest
+	proofs       proofSeeker                                                 // fetches freshness proofs for the lease
+	askProof     func(ctx context.Context, addr string) (proofAnswer, error) // fetches a freshness proof from another box; replaced in tests
 	quotas       *quotas
-	askBank      func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // seam: asks another box as a bank
-	askDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // seam: asks another region's bank what its callers ask for
+	askBank      func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // requests credit from a quota allocator; replaced in tests
+	askDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // fetches the demand of another region from its allocator; replaced in tests
 	fullAnswers  *fullAnswers
-	policyBucket *byteBucket  // for the policies that this box gives to others
-	seeking      atomic.Bool  // a policy is got from another box; who has set it owns the next
-	seeker       policySeeker // where to get the policy that this box lacks
-	ownReading   ownReading   // of the same; the task that beats owns it
+	policyBucket *byteBucket  // limits the policies that this box sends to others
+	seeking      atomic.Bool  // a policy is being fetched from another box; its setter owns seeker
+	seeker       policySeeker // sources of a missing policy
+	ownReading   ownReading   // when to read a missing policy from the platform; owned by the heartbeat task
 
 	tasks     sync.WaitGroup
-	told      chan struct{} // asks for the settings to be read again
-	bounds    Bounds        // in force; the task that reloads owns it
-	unread    bool          // the settings could not be read last; the same task owns it
-	suspended time.Duration // of the machine, as the log says last; the task that beats owns it
-	replaced  chan string   // ids of replicas whose addresses others have
+	told      chan struct{} // signals a reload of the settings
+	bounds    Bounds        // in force; owned by the reload task
+	unread    bool          // the last reload failed; owned by the reload task
+	suspended time.Duration // of the machine, as last recorded; owned by the heartbeat task
+	replaced  chan string   // ids of replicas whose addresses other replicas have
 	stop      chan struct{} // closed when a planned stop begins
-	once      sync.Once     // for the begin of a planned stop
+	once      sync.Once     // guards the begin of a planned stop
 }
 
-// Option changes a Node.
+// Option configures a Node.
 type Option func(*Node)
 
-// WithOutput sets where the log of decisions is written.
+// WithOutput sets the output of the decision log.
 func WithOutput(w io.Writer) Option {
 	return func(n *Node) { n.log = decision.New(n.settings.Box, w) }
 }
 
-// New returns a box with its listeners open.
+// New returns a box with open listeners.
 func New(s Settings, a Adapter, opts ...Option) (*Node, error) {
 	n := &Node{
 		settings: s,
@@ -129,7 +129,7 @@
 	}
 	n.quotas = n.newQuotas()
 	n.read.Store(-int64(neverRead))
-	n.reads.Store(true) // until others are known
+	n.reads.Store(true) // until there are records of other boxes
 	n.log = decision.New(s.Box, io.Discard)
 	for _, opt := range opts {
 		opt(n)
@@ -146,7 +146,7 @@
 	return n, n.listeners.open(s)
 }
 
-// limitMemory keeps the process well below the size at which it is killed.
+// limitMemory sets the collector's limits for a process that is killed above mb megabytes.
 func limitMemory(mb int) {
 	debug.SetGCPercent(collectAt)
 	if mb > 0 {
@@ -154,10 +154,10 @@
 	}
 }
 
-// now returns the monotonic clock of the box.
+// now returns the time since the start of the box.
 func (n *Node) now() time.Duration { return clock.Since(n.started) }
 
-// Run runs the box until ctx ends, at once, or until a planned stop is over.
+// Run runs the box until ctx is done or a planned stop is complete.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -165,7 +165,7 @@
 	logged := make(chan struct{})
 	go func() {
 		defer close(logged)
-		_ = n.log.Run(logging) // it fails only when the output does, and there is nowhere else to say so
+		_ = n.log.Run(logging) // it fails only when the output does, and there is no other place to report it
 	}()
 	n.build(ctx, cancel)
 	n.record(decision.Event{
@@ -173,7 +173,7 @@
 		Reason: "listening",
 		Detail: n.settings.Callers,
 	})
-	n.runGossip(ctx) // before the feed, whose first news is sent to other boxes
+	n.runGossip(ctx) // before the feed, whose first update is sent to other boxes
 	n.tasks.Go(func() { n.feed.Run(ctx) })
 	n.runReload(ctx)
 	n.runIdentity(ctx)
@@ -193,7 +193,7 @@
 	return ending.Cause(ctx)
 }
 
-// build makes what runs in the box. A broken invariant ends it.
+// build creates the state, the connection pools and the feed. A broken invariant ends the box.
 func (n *Node) build(ctx context.Context, cancel context.CancelCauseFunc) {
 	broken := func(reason any) { cancel(errors.Newf("broken invariant: %v", reason)) }
 	n.system = cell.NewSystem(slog.New(slog.DiscardHandler), broken)
@@ -216,7 +216,7 @@
 	n.askProof = n.callForProof
 	n.askBank = n.callBank
 	n.askDemand = n.callForDemand
-	n.deliver = func(p roster.Packet) { _ = n.links[0].Post(p) } // a datagram may be lost anyway, and the next one follows
+	n.deliver = func(p roster.Packet) { _ = n.links[0].Post(p) } // a lost datagram is superseded by the next one
 	n.feed = n.newFeed(n.adapter.Source(n.store, Report{
 		Call:    n.meter.StoreCall,
 		Bad:     n.badValue,
@@ -224,7 +224,7 @@
 	}))
 }
 
-// newFeed returns what keeps the copy of the catalog current from a source.
+// newFeed returns a feed that keeps the copy of the catalog current.
 func (n *Node) newFeed(source catalog.Source) *catalog.Feed {
 	return catalog.NewFeed(source, n.takeUpdate,
 		catalog.WithHealth(n.storeHealth),
@@ -236,7 +236,7 @@
 		catalog.WithJitter(n.jitter))
 }
 
-// status returns what never changes of this box's status.
+// status returns the constant part of this box's status.
 func (n *Node) status() wire.BoxStatus {
 	return wire.BoxStatus{
 		Box:     n.settings.Box,
@@ -249,18 +249,18 @@
 	}
 }
 
-// forwardAddr is where other boxes pass requests on to this one.
+// forwardAddr returns the address at which other boxes forward requests.
 func (n *Node) forwardAddr() string {
 	return net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.Ports[0]))
 }
 
-// peerAddr is where other boxes talk to this one, by datagram and connection.
+// peerAddr returns the address for datagrams and connections of other boxes.
 func (n *Node) peerAddr() string {
 	return net.JoinHostPort(n.settings.IP, strconv.Itoa(n.settings.Ports[1]))
 }
 
-// boxesAlive returns how many other boxes are believed to be alive; it is read after
-// the box has begun to run.
+// boxesAlive returns the number of other boxes that are considered alive. It must not be
+// called before Run.
 func (n *Node) boxesAlive() (alive int) {
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
 		for m := range s.roster.All() {
@@ -272,17 +272,17 @@
 	return alive
 }
 
-// sharingBoxes returns among how many boxes the quotas of the region are shared; it
-// is read after the box has begun to run.
+// sharingBoxes returns the number of boxes that share the quotas of the region. It must
+// not be called before Run.
 func (n *Node) sharingBoxes() (sharing int) {
 	_ = n.state.Do(func(s *state) { sharing = len(s.sharers(n.now())) }) // it fails only when the box has ended
 	return sharing
 }
 
-// record writes an event to the log of decisions.
+// record writes an event to the decision log.
 func (n *Node) record(e decision.Event) { n.log.Record(e) }
 
-// ingress returns the path of requests.
+// ingress returns the server of callers' requests.
 func (n *Node) ingress(ctx context.Context) *ingress.Server {
 	return ingress.New(n.settings.Box, n.settings.Region, n.adapter.Codec, n.core(ctx), n.replicas, n.boxes)
 }
--- a/node/reload.go
+++ b/node/reload.go
@@ -7,10 +7,9 @@
 	"github.com/havenrudder/havenrudder/decision"
 )
 
-const reloadLook = time.Second // how often it is asked whether the settings have changed
+const reloadLook = time.Second // between two checks for changed settings
 
-// runReload looks now and then whether the settings have changed, for they may
-// do so without a signal.
+// runReload starts a task that polls for changed settings and reloads them on request.
 func (n *Node) runReload(ctx context.Context) {
 	n.tasks.Go(func() {
 		for ctx.Err() == nil {
@@ -27,15 +26,15 @@
 	})
 }
 
-// Reload has the settings read again.
+// Reload requests a reload of the settings.
 func (n *Node) Reload() {
 	select {
 	case n.told <- struct{}{}:
-	default: // they are about to be read
+	default: // a reload is pending
 	}
 }
 
-// reload takes changed settings in. Addresses are those of the start.
+// reload applies changed bounds. All other settings stay as at the start.
 func (n *Node) reload(told bool) {
 	s, err := n.adapter.Reload()
 	n.unread = err != nil
--- a/node/serve.go
+++ b/node/serve.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second       // callers' own bound is shorter; this only frees what they left open
-	idleTimeout   = 90 * time.Second       // callers may use a connection again after most of the policy's time, so this is longer
-	headerBytes   = 64 << 10               // of a request's headers
-	directoryTTL  = 800 * time.Millisecond // of that answer
+	headerTimeout = 10 * time.Second // frees abandoned connections; callers' own timeout is shorter
+	idleTimeout   = 90 * time.Second // longer than callers keep a connection
+	headerBytes   = 64 << 10
+	directoryTTL  = 800 * time.Millisecond
 )
 
-// listeners are the open sockets of a box.
+// listeners are the sockets of a box.
 type listeners struct {
 	callers   net.Listener
 	readiness net.Listener
@@ -33,7 +33,7 @@
 	packets   []net.PacketConn
 }
 
-// open opens all sockets; an address that is empty gets none.
+// open opens the sockets of all addresses that are not empty.
 func (l *listeners) open(s Settings) error {
 	port := func(i int) string { return net.JoinHostPort(s.IP, strconv.Itoa(s.Ports[i])) }
 	wanted := []struct {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// newServer returns a server with the bounds that hold for all of them.
+// newServer returns a server with the common limits.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
@@ -80,8 +80,8 @@
 	}
 }
 
-// serve answers callers, boxes and the platform until ctx ends or a planned stop
-// is over.
+// serve starts the servers for callers, boxes and the platform. They run until ctx is done
+// or a planned stop is complete.
 func (n *Node) serve(ctx context.Context, cancel context.CancelCauseFunc) {
 	path := n.ingress(ctx)
 	callers := newServer(path.Callers())
@@ -119,7 +119,7 @@
 	})
 }
 
-// recordShortage writes down that no connection can be accepted.
+// recordShortage records that no connection can be accepted.
 func (n *Node) recordShortage(l net.Listener, err error) {
 	n.record(decision.Event{
 		Kind:     decision.Lost,
@@ -129,10 +129,10 @@
 	})
 }
 
-// isReady says whether the box can serve callers and will go on.
+// isReady reports whether the box serves callers and has no order to stop.
 func (n *Node) isReady() bool { return n.table.Load() != nil && !n.leaving.Load() }
 
-// which answers which boxes a caller of a host in a region should use.
+// which returns the addresses of the boxes that a caller of a host in a region should use.
 func (n *Node) which(host, region string) (out []string) {
 	if region == "" {
 		region = n.settings.Region
@@ -141,7 +141,7 @@
 	return out
 }
 
-// servingState returns whether the box serves or leaves, empty when it has closed to
+// servingState returns serving or leaving, and the empty state when the box is closed to
 // callers.
 func (n *Node) servingState() wire.ServingState {
 	switch {
@@ -153,7 +153,7 @@
 	return wire.ServingStateServing
 }
 
-// operators serves the figures and the state of the box.
+// operators returns the handler of the metrics and the state of the box.
 func (n *Node) operators() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", n.meter.Handler())
--- a/node/silentdomains.go
+++ b/node/silentdomains.go
@@ -6,8 +6,8 @@
 	"github.com/havenrudder/havenrudder/decision"
 )
 
-// watchDomains writes down which failure domains of the region fell silent as a whole, and
-// which were heard again: callers aren't named boxes of the former.
+// watchDomains records failure domains of the region that became silent as a whole or came
+// back. The directory returns no boxes of silent ones.
 func (n *Node) watchDomains() {
 	var was, silent []string
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
@@ -19,7 +19,7 @@
 	n.recordDomains(without(was, silent), decision.Regained)
 }
 
-// recordDomains writes down what became of failure domains.
+// recordDomains records an event for each failure domain.
 func (n *Node) recordDomains(list []string, kind decision.Kind) {
 	for _, domain := range list {
 		n.record(decision.Event{
@@ -30,7 +30,7 @@
 	}
 }
 
-// without returns what one list has and another one lacks.
+// without returns the elements of list that other lacks.
 func without(list, other []string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(v string) bool { return slices.Contains(other, v) })
 }
--- a/node/state.go
+++ b/node/state.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	fewestSharers = 3             // boxes that a region has at least, as far as quotas are concerned: one that starts while it is cut off knows of none
-	lonelySharers = 4             // the same for a box that has heard of no other, whose region may have a spare one beside the usual three
-	mostSpenders  = 390           // boxes of an installation, as it is designed for
-	noPart        = math.MaxInt32 // boxes among which what is divided leaves none to any
+	fewestSharers = 3             // of a region; a box that starts while it is cut off has a record of none
+	lonelySharers = 4             // the same for a box without a record of another one
+	mostSpenders  = 390           // boxes of the largest installation
+	noPart        = math.MaxInt32 // a divisor that leaves no allocation
 
-	roomsPerReplica = 400 * time.Microsecond // between two looks at what a region can take, for each of its replicas: a look is at all of them
-	roomsMost       = 2 * time.Second        // of it, so that what is told is no older than what counts
+	roomsPerReplica = 400 * time.Microsecond // between two computations of the region's capacity, for each of its replicas
+	roomsMost       = 2 * time.Second        // of it, below the TTL of a received capacity
 )
 
-// state is all that a box believes. It belongs to one actor, and takes the time
-// as an argument.
+// state is the recorded state of a box. It belongs to one actor, and takes the time as an
+// argument.
 type state struct {
 	settings   Settings
 	roster     *roster.Table
@@ -38,25 +38,25 @@
 	budget     *budget.Budget
 	content    *catalog.Content
 	table      *catalog.Table            // nil until a policy is known
-	alive      map[string]bool           // boxes, as the log says last
-	complete   bool                      // all boxes of the region are known, as the log says last
-	silent     []string                  // failure domains that fell silent as a whole, as the log says last
-	paths      map[string]decay.Failures // of requests to other regions
-	lost       map[string]unreached      // boxes
-	asks       map[string]decay.Count    // requests by the name of a bound route
-	lapses     map[string]lapses         // by box: replicas found gone that it has told of
-	taking     map[string]taking         // by region
+	alive      map[string]bool           // boxes, as last logged
+	complete   bool                      // all boxes of the region are recorded, as last logged
+	silent     []string                  // silent failure domains, as last logged
+	paths      map[string]decay.Failures // failures of requests, by region
+	lost       map[string]unreached      // by box
+	asks       map[string]decay.Count    // requests, by the name of a bound route
+	lapses     map[string]lapses         // removals that boxes have sent, by box
+	taking     map[string]taking         // boxes that callers are sent to, by region
 	short      shortNames
-	unanswered map[string]int   // questions for an account in a row, by engine
-	told       map[string]int64 // the latest start that was taken in by an engine's word, by its id
-	seq        int              // of the last status told
-	refreshed  int              // times that a box which watches for others was asked
+	unanswered map[string]int   // consecutive requests for a usage report, by engine
+	told       map[string]int64 // start times from engines' own reports, by replica id
+	seq        int              // of the last status sent
+	refreshed  int              // updates fetched from readers
 	rooms      []wire.ServiceRoom
-	roomsAt    time.Duration // when these were worked out; 0 for never
+	roomsAt    time.Duration // when it was computed; 0 for never
 	poison     *poison.Watch
 }
 
-// newState returns the state of a box that knows nothing yet.
+// newState returns the state of a box without any records.
 func newState(s Settings, self wire.BoxStatus, now time.Duration) *state {
 	pacer := pacing.New(s.Box, coldTerms(s.Bounds), pacing.WithStart(now))
 	short := make(shortNames)
@@ -84,7 +84,7 @@
 	return slices.DeleteFunc(slices.Clone(s.Seeds), func(addr string) bool { return addr == s.Seed })
 }
 
-// coldTerms returns the bounds on requests to cold replicas.
+// coldTerms returns the limits on requests to cold replicas.
 func coldTerms(b Bounds) pacing.Terms {
 	return pacing.Terms{
 		Overage: b.ColdOverage,
@@ -92,7 +92,7 @@
 	}
 }
 
-// retryTerms returns the bounds on repeated requests.
+// retryTerms returns the limits on retries.
 func retryTerms(b Bounds) budget.Terms {
 	return budget.Terms{
 		Ratio:  b.RetryRatio,
@@ -101,11 +101,11 @@
 	}
 }
 
-// take takes an update of the catalog in and returns what changed.
+// take applies a catalog update and returns the changes of the recorded state.
 func (s *state) take(u catalog.Update, now time.Duration) []placement.Belief {
 	var out []placement.Belief
 	taken := s.content.Take(u)
-	known := s.content.Newest() > 0 // a policy from another box may come before the replicas
+	known := s.content.Newest() > 0 // a policy from another box may arrive before the replicas
 	if p := s.content.Policy(); known && p != nil && (s.table == nil || p.Version > s.table.Version()) {
 		s.table = catalog.NewTable(*p)
 		s.view.SetTable(s.table)
@@ -121,7 +121,7 @@
 	return append(out, s.takeView(now)...)
 }
 
-// takeView brings the view of the replicas to what the catalog holds.
+// takeView updates the view of the replicas from the catalog.
 func (s *state) takeView(now time.Duration) []placement.Belief {
 	out := s.view.Take(s.content, now)
 	maps.DeleteFunc(s.unanswered, func(start string, _ int) bool { return s.view.Get(start) == nil })
@@ -131,8 +131,8 @@
 	return out
 }
 
-// settle believes the removals whose time of doubt is over, and returns what changed
-// since it was called last, by engines' words too.
+// settle applies removals whose time to be refuted has expired. It returns the changes since
+// its last call, also those by load reports.
 func (s *state) settle(now time.Duration) []placement.Belief {
 	out := s.view.Changed()
 	if !s.content.Settle() {
@@ -141,35 +141,32 @@
 	return append(out, s.takeView(now)...)
 }
 
-// sharers returns the boxes of the region that may send to its replicas, this one
-// included: also those not heard of for a while, for a box that is cut off from this
-// one may still reach the replicas. There are none until this box knows all of them:
-// with shares among some, boxes that began together sent a cold replica a request
-// each.
+// sharers returns the boxes of the region that may send to its replicas, this one included.
+// Boxes without a recent heartbeat count too: they may still reach the replicas. It returns
+// none until all boxes of the region are recorded, so that boxes that start together don't
+// exceed a shared limit.
 func (s *state) sharers(now time.Duration) []string {
 	since, ok := s.roster.CompleteSince(now)
 	if !ok {
 		return nil
 	}
-	s.view.Pacer().SetStart(since) // what others sent before they knew this box still counts for a window
+	s.view.Pacer().SetStart(since) // other boxes' earlier requests count for a window
 	out := append([]string{s.settings.Box}, s.roster.Sharers(s.settings.Region, now)...)
 	fewest := fewestSharers
 	if len(out) == 1 {
 		fewest = lonelySharers
 	}
 	for n := len(out); n < fewest; n++ {
-		out = append(out, fmt.Sprint("unknown-", n)) // boxes that this one may be cut off from
+		out = append(out, fmt.Sprint("unknown-", n)) // boxes that may be cut off from this one
 	}
 	return out
 }
 
-// spenders returns among how many boxes the repeats beyond the ratio are divided, this one
-// included, or noPart where this one has none of them: those that callers are told to use,
-// of all regions, by who may have sent of late, so that boxes which can't hear each other
-// take the same ones. Divided among all boxes of a large installation no part was a whole
-// repeat. Until a box knows its region it may know of few others, and supposes as many as
-// there can be: 63 boxes that began together, 6 s before their seeds, repeated 674 requests
-// in a window where 168 are allowed, and 66 with this.
+// spenders returns the number of boxes that share the retries beyond the ratio, this one
+// included, or noPart where this box has no allocation. The active boxes of all regions share
+// them: divided among all boxes, an allocation would be below one retry. Silent boxes count
+// for a while, so that boxes that are cut off from each other compute the same number. Until
+// all boxes of the region are recorded, it assumes the largest installation.
 func (s *state) spenders(now time.Duration) int {
 	if _, ok := s.roster.CompleteSince(now); !ok {
 		return max(1+len(s.roster.Sharers("", now)), mostSpenders)
@@ -193,7 +190,7 @@
 	return max(out, fewestSharers)
 }
 
-// hear takes another box's message in.
+// hear applies another box's message.
 func (s *state) hear(g wire.Gossip, now time.Duration) {
 	if s.roster.Hear(g.From, true, now) && g.From.Region == s.settings.Region {
 		loads := make([]placement.OwnLoad, 0, len(g.From.Loads))
@@ -207,7 +204,7 @@
 	}
 }
 
-// hearCompact takes another box's compact datagram in.
+// hearCompact applies another box's compact datagram.
 func (s *state) hearCompact(b roster.Compact, from string, now time.Duration) roster.Heard {
 	h := s.roster.HearCompact(b, from, now)
 	s.hearWords(b.Words, now)
@@ -224,7 +221,7 @@
 	return h
 }
 
-// ownLoad returns what a box says of a replica as placement takes it.
+// ownLoad converts the load that a box has at a replica.
 func ownLoad(replica string, l wire.ReplicaLoad) placement.OwnLoad {
 	return placement.OwnLoad{
 		Replica: replica,
@@ -238,7 +235,7 @@
 	}
 }
 
-// numbers returns keys of parts as they are told.
+// numbers converts segment keys to their wire form.
 func numbers(keys []placement.PartKey) []int {
 	out := make([]int, 0, len(keys))
 	for _, k := range keys {
@@ -247,7 +244,7 @@
 	return out
 }
 
-// partKeys returns what numbers made of keys.
+// partKeys converts segment keys from their wire form.
 func partKeys(list []int) []placement.PartKey {
 	out := make([]placement.PartKey, 0, len(list))
 	for _, n := range list {
@@ -256,7 +253,7 @@
 	return out
 }
 
-// fill adds to a status what changes.
+// fill adds the variable part to a status.
 func (s *state) fill(b wire.BoxStatus, now time.Duration) wire.BoxStatus {
 	s.seq++
 	b.Seq = s.seq
@@ -284,7 +281,7 @@
 	return b
 }
 
-// roomsNow returns what this region's replicas can take, for other regions.
+// roomsNow computes the capacity of this region by service, for other regions.
 func (s *state) roomsNow(now time.Duration) []wire.ServiceRoom {
 	var out []wire.ServiceRoom
 	sharers := s.sharers(now)
@@ -306,11 +303,11 @@
 	return out
 }
 
-// percent is a whole in the unit in which boxes tell shares.
+// percent is a full share on the wire.
 const percent = 100
 
-// place chooses where a request goes: to a replica of this region, or to a box
-// of another one where that puts less of its worth at risk.
+// place chooses a replica of this region, or a box of another region where the expected
+// loss is lower.
 func (s *state) place(ask ingress.Ask, now time.Duration, draw func(n int) int) ingress.Target {
 	if len(ask.Route.Homes) > 0 && !ask.Relayed {
 		s.asked(ask.Route.Name, now)
@@ -349,7 +346,7 @@
 	}
 }
 
-// pick chooses a replica. A request on trial goes where the fewest others on trial run.
+// pick chooses a replica. A request on trial goes to the replica with the fewest other trials.
 func (s *state) pick(ask ingress.Ask, sharers []string, now time.Duration) placement.Choice {
 	if ask.Trial == nil {
 		return s.view.Pick(ask.Request, sharers, now)
@@ -368,8 +365,8 @@
 	}
 }
 
-// other returns a target that was not tried, without counting the request in; false
-// when there is none.
+// other returns a target that was not tried, without counting the request; false when there
+// is none.
 func (s *state) other(ask ingress.Ask, now time.Duration, draw func(n int) int) (ingress.Target, bool) {
 	if ask.Route.Allows(s.settings.Region) {
 		if c := s.view.Next(ask.Request, s.sharers(now), now); c.Reason == placement.None {
@@ -384,6 +381,5 @@
 	return ingress.Target{}, false
 }
 
-// askAgain is when to ask for a target again where nothing says when there will
-// be one: other boxes are heard of, and replicas are listed, at any moment.
+// askAgain is the wait before the next attempt at a placement where no other time is known.
 const askAgain = 40 * time.Millisecond
--- a/node/which.go
+++ b/node/which.go
@@ -9,21 +9,21 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Figures of the regions that are named for a host whose routes have different homes.
+// Limits of the choice of a region for a host whose routes have different homes.
 const (
-	asksHalf = 30 * time.Second // time in which half of the requests seen of a route is forgotten
-	asksMin  = 20.0             // requests seen of a host's bound routes from which their shares are known
-	homeMost = 0.97             // share of them whose data may enter a region that is named; the platform bounds the rest to one in 20
+	asksHalf = 30 * time.Second // half-life of the request count of a route
+	asksMin  = 20.0             // requests for a host's bound routes from which their shares are used
+	homeMost = 0.97             // share of them whose data may enter a region; the platform allows one in 20 that may not
 )
 
-// asked counts a request for a route whose data is bound.
+// asked counts a request for a bound route.
 func (s *state) asked(route string, now time.Duration) {
 	n := s.asks[route]
 	n.Add(1, now, asksHalf)
 	s.asks[route] = n
 }
 
-// forgetRoutes drops what was seen of routes that the policy has no more.
+// forgetRoutes drops the counts of routes that the policy no longer contains.
 func (s *state) forgetRoutes() {
 	known := make(map[string]bool)
 	for _, r := range s.table.Policy().Routes {
@@ -32,9 +32,9 @@
 	maps.DeleteFunc(s.asks, func(route string, _ decay.Count) bool { return !known[route] })
 }
 
-// homeOfMost says whether a region may process the data of a host: of all its routes,
-// or of nearly all requests that this box saw of late for those that are bound. A route
-// that is hardly used then doesn't keep callers from the home of all others.
+// homeOfMost reports whether the data of all routes of a host may enter a region, or that of
+// nearly all recent requests for its bound routes, so that a rarely used route doesn't keep
+// callers from the home of the others.
 func (s *state) homeOfMost(host, region string, now time.Duration) bool {
 	if s.table == nil {
 		return false
@@ -53,12 +53,10 @@
 	return all >= asksMin && allowed >= homeMost*all
 }
 
-// which returns the boxes to name to a caller in a region: the ready ones there.
-// Where there is none, those of regions that the host's data may enter; then
-// those of the region, and of these regions, that are leaving but still take requests;
-// and at last those of all other regions. Boxes of other regions than the caller's get
-// no data that may not enter them: a host whose data is bound, or not known to be
-// free, is named none of them, and its callers keep the answer that they have.
+// which returns the addresses of boxes for a caller in a region, from the first of these
+// groups that has any: serving boxes of the region, serving boxes of the host's home regions,
+// leaving boxes of the region, leaving boxes of the home regions, and, for a host without
+// bound data, serving boxes of all regions. Without any, callers keep their last answer.
 func (s *state) which(host, region string, own wire.ServingState, now time.Duration) []string {
 	serving, leaving := wire.ServingStateServing, wire.ServingStateLeaving
 	near := func(r string) bool { return r == region }
@@ -83,14 +81,12 @@
 	return nil
 }
 
-// maxNamed is the most boxes that one answer to "which box" names.
+// maxNamed is the maximum number of boxes in a directory answer.
 const maxNamed = 64
 
-// named returns where the boxes of some regions in a state take requests. One that
-// has closed to callers says so by telling no address for them; this one's own state
-// is empty then. Boxes of a failure domain that fell silent as a whole are left out:
-// by the time after which a lone box counts as lost, callers were named them for up to
-// 6 s more.
+// named returns the addresses for callers of the boxes in a state and in some regions. A box
+// that is closed to callers sends no such address. Boxes of a silent failure domain are left
+// out, since the timeout of a single box is longer.
 func (s *state) named(own wire.ServingState, now time.Duration, want wire.ServingState, in func(region string) bool) []string {
 	var out []string
 	consider := func(box, region, callers string) {
--- a/node/words.go
+++ b/node/words.go
@@ -10,23 +10,22 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-const mostTaking = 32 // boxes of a region that its callers are told to use
+const mostTaking = 32 // boxes of a region that callers are sent to
 
-// takersOf returns which of a region's boxes its callers are told to use.
+// takersOf returns the active boxes of a region.
 func takersOf(names []string) []string { return rendezvous.Top("callers", names, mostTaking) }
 
-// taking are the boxes that callers of a region are told to use, where it has more of
-// them than mostTaking; nil for all. The others stand by. A box before 98 others sees
-// a hundredth of what its region's replicas do, and tells and is told the more the
-// fewer these are.
+// taking is the set of active boxes of a region with more boxes than mostTaking; nil means
+// all. The others are standby boxes. Each active box sees a larger part of the load of the
+// region's replicas, and boxes exchange fewer reports.
 type taking map[string]bool
 
-// has says whether a box is one of them.
+// has reports whether a box is active.
 func (t taking) has(box string) bool { return t == nil || t[box] }
 
-// chooseTaking works out again which boxes callers are told to use. All boxes that
-// know of the same ones agree, and one box more or less moves one. Those of a failure
-// domain that fell silent as a whole make place for others at once.
+// chooseTaking selects the active boxes of all regions. Boxes with the same records agree,
+// and one box more or less changes one of them. Boxes of a silent failure domain are replaced
+// at once.
 func (s *state) chooseTaking(own wire.ServingState, now time.Duration) {
 	byRegion := make(map[string][]string)
 	silent := s.roster.SilentDomains(now)
@@ -53,8 +52,8 @@
 	s.view.ByWords(!s.roster.TellsLoads(), here)
 }
 
-// tellWords returns what tells other boxes the replicas' words, where boxes are so many
-// that they don't tell each other their loads.
+// tellWords returns the datagrams with the replicas' load reports for other active boxes,
+// where boxes are too many to send each other their own loads.
 func (s *state) tellWords(now time.Duration, draw func(n int) int) []roster.Packet {
 	here := s.taking[s.settings.Region]
 	if s.roster.TellsLoads() || !here.has(s.settings.Box) {
@@ -69,7 +68,7 @@
 	return s.roster.TellWords(s.compactWords(now), addrs, draw)
 }
 
-// compactWords returns the replicas' words as boxes tell them, the latest first.
+// compactWords returns the replicas' load reports in wire form, the latest first.
 func (s *state) compactWords(now time.Duration) []roster.CompactWord {
 	var out []roster.CompactWord
 	for _, w := range s.view.Words(now) {
@@ -85,7 +84,7 @@
 	return out
 }
 
-// hearWords takes in the replicas' words that another box passes on.
+// hearWords records the load reports that another box forwards.
 func (s *state) hearWords(list []roster.CompactWord, now time.Duration) {
 	for _, w := range list {
 		id, ok := s.short[w.Replica]
@@ -102,14 +101,13 @@
 	}
 }
 
-// shortNames are the starts of the region's replicas by the short ids that boxes name them
-// by. They cost no byte more than names of replicas would.
+// shortNames maps the short ids on the wire to the incarnations of the region's replicas.
 type shortNames map[roster.ReplicaID]string
 
-// add takes a start in that is known from now on.
+// add adds an incarnation.
 func (n shortNames) add(start string) { n[roster.ReplicaIDOf(start)] = start }
 
-// drop takes in that a start is forgotten.
+// drop removes an incarnation.
 func (n shortNames) drop(start string) {
 	if id := roster.ReplicaIDOf(start); n[id] == start {
 		delete(n, id)
