--- a/placement/among.go
+++ b/placement/candidates.go
@@ -7,15 +7,16 @@
 	"github.com/havenrudder/havenrudder/common/rendezvous"
 )
 
-// Figures of choosing among a few replicas where many boxes go by the same words of
-// their loads: what looks best to one does to all, until the next words come.
+// Limits on the number of candidates per request. Boxes that share load reports would
+// otherwise all choose the same replica until the next reports arrive.
 const (
-	candidatesByKey      = 2    // replicas that chance gives a request; with 4 more go to the same ones
-	candidatesBySegment  = 2    // and the first ones in the rank of its shared parts
-	reportedRereadFactor = 10.0 // as readAgain: a prompt that goes elsewhere is read there while all boxes think that there is room. At the peak of the replay 95 in 100 requests are in time with it, 84 with 2.5 (TestManyBoxesServeNearlyWhatOneThatKnowsAllDoes, 32 boxes)
+	candidatesByKey      = 2    // replicas ranked by the key of the request, which spreads load
+	candidatesBySegment  = 2    // replicas ranked by its shared segments
+	reportedRereadFactor = 10.0 // with load reports; higher, as many boxes may move a segment to the same idle engine
 )
 
-// rereadFactor returns what reading a shared part costs, in its own time.
+// rereadFactor returns the cost of prefilling a shared segment, as a multiple of its
+// duration.
 func (v *View) rereadFactor() float64 {
 	if v.byReports {
 		return reportedRereadFactor
@@ -23,8 +24,8 @@
 	return defaultRereadFactor
 }
 
-// candidates returns the replicas candidates which the one for a request is chosen: all, or a few
-// where many boxes go by the same words.
+// candidates returns the replicas that are compared for a request: a few where boxes share
+// load reports, otherwise all.
 func (v *View) candidates(req Request, now time.Duration) []*Replica {
 	if !v.byReports {
 		return v.byName
@@ -41,7 +42,8 @@
 	return out
 }
 
-// top returns the n usable replicas with the highest weights for a key, highest first.
+// top returns the n usable replicas with the highest rendezvous scores for a key, highest
+// first.
 func (v *View) top(key string, n int, req Request, now time.Duration) []*Replica {
 	type scored struct {
 		r     *Replica
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// Figures of the room at a replica. Those of engines come from the sheet of the
-// first users' engines.
+// Limits on the load of a replica.
 const (
-	memoryLimit         = 0.97                    // share of memory up to which requests are sent; above it an engine preempts
-	urgentMemoryReserve = 0.45                    // share of memory that the least urgent leave to more urgent ones: where engines are short, requests keep 0.03 more of their worth (three paired days), for the least urgent take most memory
-	memoryPressure      = 0.75                    // share of memory from which more requests cost others
-	memoryPressureCost  = 1500 * time.Millisecond // of a full memory, against an empty one
-	engineQueueLimit    = 0.5                     // requests that may wait at an engine, as a share of its slots
-	plainQueueLimit     = 3.0                     // the same of a plain service, whose queue is four times its slots
+	memoryLimit         = 0.97                    // share of memory above which an engine preempts requests
+	urgentMemoryReserve = 0.45                    // share of memory that the least urgent requests leave free
+	memoryPressure      = 0.75                    // share of memory above which an additional request slows others down
+	memoryPressureCost  = 1500 * time.Millisecond // per request at full memory
+	engineQueueLimit    = 0.5                     // waiting requests per slot of an engine
+	plainQueueLimit     = 3.0                     // waiting requests per slot of a plain service
 )
 
-// preemptionCost returns what one more request costs the others at an engine whose
-// memory is nearly full: it preempts some, and these are read again.
+// preemptionCost returns the expected cost to other requests at an engine whose memory is
+// nearly full. It preempts some of them and prefills their prompts again.
 func (r *Replica) preemptionCost(l Load, req Request) time.Duration {
 	share := r.memoryShare(l, req)
 	if share <= memoryPressure {
@@ -27,7 +26,7 @@
 	return scale(over*over, memoryPressureCost)
 }
 
-// memoryShare returns the share of an engine's memoryShare that is taken with req there.
+// memoryShare returns the share of an engine's memory in use once it has accepted req.
 func (r *Replica) memoryShare(l Load, req Request) float64 {
 	if r.service == nil || r.service.Engine == nil || r.service.Engine.Memory <= 0 {
 		return 0
@@ -35,7 +34,7 @@
 	return float64(l.Tokens+req.Prompt) / float64(r.service.Engine.Memory)
 }
 
-// isFull says whether a replica would make the request wait behind too many.
+// isFull reports whether a replica has no capacity for the request.
 func (r *Replica) isFull(l Load, req Request) bool {
 	slots := float64(r.slots())
 	if r.service != nil && r.service.Engine != nil {
@@ -44,17 +43,17 @@
 	return float64(l.Requests) >= slots*(1+plainQueueLimit)
 }
 
-// isReservedForUrgent says whether what is left of an engine's memory is for more urgent
-// requests. Where others hold less than half of the bound an engine takes any prompt
-// for which it has room, so that the largest are not refused for ever.
+// isReservedForUrgent reports whether the remaining memory of an engine is reserved for
+// more urgent requests. While other requests use less than half of the limit, the engine
+// accepts any prompt that fits, so that large prompts are not refused forever.
 func (r *Replica) isReservedForUrgent(l Load, req Request) bool {
 	bound := memoryLimit - urgentMemoryReserve*req.Rank
 	others := r.memoryShare(l, Request{})
 	return r.memoryShare(l, req) > bound && others > bound/2
 }
 
-// queueWait returns the expected wait for a slot, where a request usually holds
-// one for so long.
+// queueWait returns the expected wait for a slot. If the replica's mean request duration is
+// unknown, it uses typical.
 func (r *Replica) queueWait(l Load, typical time.Duration) time.Duration {
 	slots := r.slots()
 	if l.Requests < slots {
@@ -64,8 +63,7 @@
 	return scale(ahead, cmp.Or(r.duration, typical))
 }
 
-// meanDuration returns the mean time of a request at the service's replicas, which
-// stands for what is not known of one.
+// meanDuration returns the mean request duration at the replicas of a service.
 func (v *View) meanDuration(service string) time.Duration {
 	var sum time.Duration
 	n := 0
--- a/placement/copy.go
+++ b/placement/copy.go
@@ -2,19 +2,16 @@
 
 import "time"
 
-// Figures of copying what an engine keeps of a prompt from another engine. A part of
-// 5,000 tokens is copied in 10 to 30 ms where reading takes 90 to 140, in which all others
-// there wait; without copies the requests of 15 paired days with faults lost 0.018 of
-// their worth more.
+// Limits on copies of cached prompt segments between engines.
 const (
-	copySetupTime  = 5 * time.Millisecond // until a copy begins, by the sheet of an engine that tells it
-	copyLinkShare  = 0.1                  // of the way between two engines that a copy counts on: copies go one after another
-	bitsPerMegabit = 1e6                  // bits in a megabit
-	bitsPerByte    = 8                    // bits in a byte
+	copySetupTime  = 5 * time.Millisecond // until a copy starts transferring
+	copyLinkShare  = 0.1                  // share of the link's bandwidth available to one copy
+	bitsPerMegabit = 1e6
+	bitsPerByte    = 8
 )
 
-// copyTime returns how long it takes to copy tokens of a prompt to an engine from
-// another one; false where it can't or had better read them.
+// copyTime returns the time to copy the cached state of so many prompt tokens to an engine.
+// It returns false if the engine can't copy it or prefills it faster.
 func (r *Replica) copyTime(tokens int) (time.Duration, bool) {
 	if tokens == 0 || r.service == nil || r.service.Engine == nil {
 		return 0, false
@@ -28,9 +25,9 @@
 	return took, took < ReadTime(tokens)
 }
 
-// cacheHolder returns the usable replica that most likely keeps the shared parts of a
-// prompt: the one that is known to have been given most of them, or else the first in
-// their rank, to which all boxes send them. It is nil for none.
+// cacheHolder returns the usable replica that most likely has a prompt's shared segments
+// cached: the one with the fewest missing tokens, or else the preferred one. It returns nil
+// if there is none.
 func (v *View) cacheHolder(req Request, preferred *Replica, now time.Duration) *Replica {
 	best := preferred
 	fewest := req.Shared()
@@ -44,13 +41,12 @@
 		}
 	}
 	if best == nil || best.connectFailures > 0 || best.noResponses > 0 {
-		return nil // it may be lost, and a copy from it would be waited for
+		return nil // it may have crashed, and the copy would stall
 	}
 	return best
 }
 
-// copyFrom returns the address of the replica that shared parts are copied from,
-// empty where they are read.
+// copyFrom returns the address to copy shared segments from, empty if they are prefilled.
 func (w candidate) copyFrom() string {
 	if w.source == nil {
 		return ""
--- a/placement/outlook.go
+++ b/placement/estimate.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Outlook is what a request would meet in a region.
+// Outlook is an estimate of what a request would meet in a region.
 type Outlook struct {
 	Expect  time.Duration // until the first byte
-	Missing int           // shared tokens that would have to be read
-	Unsent  int           // shared tokens that no box is known to have sent there
-	Failing float64       // share of failures of late at the replica that would take it
-	Busy    float64       // share of the time that engines spend on reading prompts
-	Usable  int           // replicas that could take it
-	Fewest  int           // requests in flight at the replica that has the fewest
-	Reason  Reason        // why none takes it now
-	AgeMs   int64         // of what another region told
+	Missing int           // shared tokens to prefill
+	Unsent  int           // shared tokens that no box is recorded to have sent to the replica
+	Failing float64       // recent share of failures at the replica that would receive it
+	Busy    float64       // share of the engines' time spent on prefill
+	Usable  int           // number of replicas that could receive it
+	Fewest  int           // fewest requests in flight at one of them
+	Reason  Reason        // why none can receive it now
+	AgeMs   int64         // age of the report of another region
 }
 
-// Outlook returns what a request would meet here, without counting it in.
+// Outlook estimates what a request would meet in this region, without reserving capacity.
 func (v *View) Outlook(req Request, boxes []string, now time.Duration) Outlook {
 	best, none := v.best(req, boxes, now)
 	out := Outlook{
@@ -39,7 +39,7 @@
 		}
 	}
 	if v.byReports {
-		reads *= v.activeBoxes // nobody tells what the others send
+		reads *= v.activeBoxes // boxes don't report their prefill rates to each other then
 	}
 	if out.Usable > 0 {
 		out.Busy = float64(reads) / (float64(out.Usable) * prefillSpeed * 1000)
--- a/placement/entries.go
+++ b/placement/index.go
@@ -9,20 +9,20 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// sweepInterval is the time between two looks for starts that are to be forgotten.
+// sweepInterval is the time between two sweeps for incarnations to evict.
 const sweepInterval = time.Second
 
-// index is what a view keeps of the catalog beside its replicas, so that a change takes
-// as long as what it changes, however many replicas there are.
+// index holds the catalog's entries by id and by address, so that an update costs time
+// proportional to the number of changed entries.
 type index struct {
-	content     *catalog.Content // of which the rest is
-	seenChanges int              // changes of it that were taken in
-	stale       bool             // all of it is to be looked at again
+	content     *catalog.Content // source of the entries
+	seenChanges int              // number of its changes that are applied
+	stale       bool             // the next update reads all entries
 	addrs       map[string]string
 	idsByAddr   map[string][]string   // ids by address
-	byID        map[string][]*Replica // by id
-	listedCount map[string]int        // replicas by service
-	unlisted    map[string]*Replica   // starts that are not listed
+	byID        map[string][]*Replica // incarnations by id
+	listedCount map[string]int        // number of listed replicas by service
+	unlisted    map[string]*Replica   // incarnations that the catalog no longer holds, or not yet
 	unconfirmed []*Replica
 	sweptAt     time.Duration
 }
@@ -37,8 +37,8 @@
 	}
 }
 
-// update takes in which entries of a region have changed, and returns their ids with those
-// that share an address with them, before or now, in order.
+// update applies the changed entries of a region. It returns the
+// sorted ids of these and of entries that share an address with them, before or after the change.
 func (e *index) update(c *catalog.Content, region string) []string {
 	ids, count, ok := c.Touched(e.seenChanges)
 	if !ok || e.stale || e.content != c {
@@ -66,7 +66,7 @@
 	return slices.Sorted(maps.Keys(affected))
 }
 
-// allIDs returns the ids of allIDs entries and of allIDs that were known.
+// allIDs returns the ids of all entries and of all recorded replicas.
 func (e *index) allIDs(c *catalog.Content) []string {
 	var out []string
 	for _, r := range c.Replicas() {
@@ -78,7 +78,7 @@
 	return slices.Compact(out)
 }
 
-// setAddr takes in the address of an id; empty for none.
+// setAddr sets the address of an id; an empty one removes it.
 func (e *index) setAddr(id, addr string) {
 	old := e.addrs[id]
 	if old == addr {
@@ -98,12 +98,12 @@
 	e.idsByAddr[addr] = append(e.idsByAddr[addr], id)
 }
 
-// position returns where a start is, or belongs, among all in order.
-func (v *View) position(start string) (at int, found bool) {
-	return slices.BinarySearchFunc(v.byName, start, func(r *Replica, start string) int { return cmp.Compare(r.incarnation, start) })
+// position returns the index of an incarnation in byName, or where to insert it.
+func (v *View) position(incarnation string) (at int, found bool) {
+	return slices.BinarySearchFunc(v.byName, incarnation, func(r *Replica, key string) int { return cmp.Compare(r.incarnation, key) })
 }
 
-// add takes in a start that was not known, and isn't listed yet.
+// add records a new incarnation as unlisted.
 func (v *View) add(r *Replica) {
 	v.replicas[r.incarnation] = r
 	at, _ := v.position(r.incarnation)
@@ -113,7 +113,7 @@
 	v.onAdded(r.incarnation)
 }
 
-// remove drops a start that isn't listed.
+// remove deletes the record of an unlisted incarnation.
 func (v *View) remove(r *Replica) {
 	delete(v.replicas, r.incarnation)
 	if at, ok := v.position(r.incarnation); ok {
@@ -128,7 +128,7 @@
 	v.onRemoved(r.incarnation)
 }
 
-// setInfo takes in what is published of a start, listed or not.
+// setInfo updates the published state of an incarnation.
 func (v *View) setInfo(r *Replica, info catalog.Replica) {
 	if r.listed {
 		v.index.listedCount[r.info.Service]--
@@ -137,7 +137,7 @@
 	r.info = info
 }
 
-// markListed takes in that a start is listed as published.
+// markListed records that the catalog holds an incarnation.
 func (v *View) markListed(r *Replica, info catalog.Replica) {
 	v.setInfo(r, info)
 	if r.listed {
@@ -148,14 +148,14 @@
 	delete(v.index.unlisted, r.incarnation)
 }
 
-// markUnlisted takes in that a start is listed no more.
+// markUnlisted records that the catalog no longer holds an incarnation.
 func (v *View) markUnlisted(r *Replica) {
 	r.listed = false
 	v.index.listedCount[r.info.Service]--
 	v.index.unlisted[r.incarnation] = r
 }
 
-// evictUnlisted forgets the starts that have ended and been idle for long.
+// evictUnlisted evicts incarnations that have been unlisted and idle for unlistedTTL.
 func (v *View) evictUnlisted(now time.Duration) {
 	if now-v.index.sweptAt < sweepInterval && now >= v.index.sweptAt {
 		return
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Result is what became of a request at a replica.
+// Result is the outcome of a request at a replica.
 type Result int
 
-// Results.
+// Results of a request.
 const (
-	Answered    Result = iota // a whole answer of its own
-	Failed                    // an answer that says it failed
-	Refused                   // it said that it did not run the request
-	Unreachable               // no connection could be made
-	Silent                    // the request was sent, and no answer or only part of it came
-	Abandoned                 // the caller left or its time was up; says nothing of the replica
+	Answered    Result = iota // complete response
+	Failed                    // response that reports an error
+	Refused                   // response that reports that the request did not run
+	Unreachable               // connection failed
+	Silent                    // no response or an incomplete one
+	Abandoned                 // caller left or deadline passed; no evidence against the replica
 	Misdirected               // another replica has the address
 )
 
-// Written takes in that the request of a choice is written only now.
+// Written records when the request of a choice is written, which may be long after Pick.
 func (v *View) Written(c *Choice, now time.Duration) {
 	if c.reservation.replica != nil {
 		v.pacer.Sent(c.ID, c.reservation.at, now)
 	}
 }
 
-// First takes in that the first byte of an answer came after so long.
+// First records the time until the first byte of a response.
 func (v *View) First(c *Choice, took, now time.Duration) {
 	r := c.reservation.replica
 	if r == nil {
@@ -35,7 +35,7 @@
 	c.reservation.load.Unread = 0
 }
 
-// Loaded takes in how many requests the replica itself says it has, this one included.
+// Loaded records the number of requests that the replica itself reports, this one included.
 func (v *View) Loaded(c *Choice, requests int, now time.Duration) {
 	r := c.reservation.replica
 	if r == nil {
@@ -49,15 +49,15 @@
 	}
 }
 
-// Heard takes in that a replica goes on with an answer.
+// Heard records that a replica continues its response.
 func (v *View) Heard(c *Choice, now time.Duration) {
 	if r := c.reservation.replica; r != nil {
 		r.lastSeen = now
 	}
 }
 
-// Quiet returns how long nothing came from the replica of a choice, to this box,
-// counted from when it was last heard or the request was sent at the latest.
+// Quiet returns the time since this box last received bytes from the replica of a choice,
+// or since it sent the request if that is later.
 func (v *View) Quiet(c *Choice, sent, now time.Duration) time.Duration {
 	r := c.reservation.replica
 	if r == nil {
@@ -66,8 +66,8 @@
 	return now - max(r.lastSeen, sent)
 }
 
-// End counts a request out and takes in what became of it. It returns true when
-// the replica is left out from now on.
+// End releases the load of a choice and records its result. It returns true if this ejects
+// the replica.
 func (v *View) End(c *Choice, result Result, duration, now time.Duration) bool {
 	r := c.reservation.replica
 	if r == nil {
@@ -88,7 +88,7 @@
 		r.outcomes.Add(true, now)
 		r.recordResponse(now)
 	case Refused:
-		r.outcomes.Add(true, now) // it has no room, however idle it looks
+		r.outcomes.Add(true, now) // it has no capacity, though its load looks low
 		r.recordResponse(now)
 	case Silent:
 		v.recordNoResponse(r, now)
@@ -105,8 +105,8 @@
 	return !wasOut && r.Out(now)
 }
 
-// Muted takes in that a replica is silent towards this box under a request which goes on
-// waiting for it. It returns true when the replica is left out from now on.
+// Muted records that a replica doesn't respond to a request that keeps waiting. It returns
+// true if this ejects the replica.
 func (v *View) Muted(c *Choice, now time.Duration) bool {
 	r := c.reservation.replica
 	if r == nil {
@@ -117,7 +117,7 @@
 	return !wasOut && r.Out(now)
 }
 
-// recordNoResponse counts a request that got nothing more from a replica.
+// recordNoResponse records a request without a response.
 func (v *View) recordNoResponse(r *Replica, now time.Duration) {
 	r.outcomes.Add(true, now)
 	r.noResponses++
@@ -126,8 +126,8 @@
 	}
 }
 
-// eject gives a replica no work for a while. When it is back it may be cold,
-// so it gets work at the pace of a cold one until it is known better.
+// eject stops sending to a replica for the back-off. After it the replica may be cold, so
+// it receives requests at the rate of a cold one.
 func (v *View) eject(r *Replica, now time.Duration) {
 	r.eject(now)
 	if r.service == nil || v.isReplaced(r) {
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -8,24 +8,23 @@
 	"github.com/havenrudder/havenrudder/common/rendezvous"
 )
 
-// Figures of what a replica costs. Those of engines come from the sheet of the
-// first users' engines; a replica that differs is found by its outcomes.
+// Parameters of the cost of a replica.
 const (
-	prefillSpeed           = 36.0                    // prompt tokens that an engine reads in a millisecond, with steps in between
-	firstEventTime         = 12 * time.Millisecond   // until an idle engine's first event, the prompt apart
-	stepMsPerKilotoken     = 0.12                    // milliseconds that an event of five tokens takes longer for each 1,000 tokens in memory
+	prefillSpeed           = 36.0                    // prompt tokens that an engine prefills per millisecond
+	firstEventTime         = 12 * time.Millisecond   // until the first event of an idle engine, without prefill
+	stepMsPerKilotoken     = 0.12                    // additional milliseconds per event and 1,000 tokens in memory
 	failureCost            = 1200 * time.Millisecond // of a replica that fails every request
-	preferredDiscount      = 0.9                     // share of a part's reading time that the first in its rank is favoured by: other boxes send it there, and where none has, it costs the same anywhere
-	defaultRereadFactor    = 2.5                     // what reading a shared part costs, in its own time: others wait meanwhile, and reading again has a price; 1.3 served worse on both first sites, 4 no better
-	crossDomainCost        = 3 * time.Millisecond    // of going to another failure domain: bytes there have a price
-	meanAnswerShare        = 0.6                     // of an answer's tokens that a request holds on average while it runs
-	costTolerance          = 500 * time.Microsecond  // costs that differ by less are taken for the same
-	maxPrefillInterference = 400.0                   // thousandths that a stream risks at an engine that reads prompts all the time
-	interferenceTime       = 300 * time.Microsecond  // that a thousandth of a request's worth may cost another request
-	defaultAnswerTokens    = 100                     // tokens of an answer that nothing is known of
+	preferredDiscount      = 0.9                     // share of missing segments that are expected to be cached for other boxes
+	defaultRereadFactor    = 2.5                     // cost of prefilling a shared segment, as a multiple of its duration
+	crossDomainCost        = 3 * time.Millisecond    // traffic between failure domains is charged
+	meanAnswerShare        = 0.6                     // mean share of the answer's tokens in memory while a request runs
+	costTolerance          = 500 * time.Microsecond  // costs that differ by less are equal
+	maxPrefillInterference = 400.0                   // thousandths of a stream's value lost at an engine that is always prefilling
+	interferenceTime       = 300 * time.Microsecond  // cost per thousandth of another request's value
+	defaultAnswerTokens    = 100                     // if the request gives no length
 )
 
-// Reason says why a replica was not chosen, or why none was.
+// Reason is why a replica was not chosen, or why none was.
 type Reason string
 
 // Reasons.
@@ -42,46 +41,46 @@
 	Nothing  Reason = "no replica"
 )
 
-// Choice is the outcome of a decision. When Reason isn't None, there is no
-// replica, and Wait says when there may be one.
+// Choice is the outcome of a decision. If Reason isn't None, there is no replica, and Wait
+// is the time until there may be one.
 type Choice struct {
-	Replica string // its start
-	ID      string // which it answers to
+	Replica string // its incarnation
+	ID      string // id that the replica answers to
 	Addr    string
 	Reason  Reason
 	Wait    time.Duration
 	Expect  time.Duration // until the first byte
-	Missing int           // shared tokens to be read
-	Load    Load          // work at the replica before
+	Missing int           // shared tokens to prefill
+	Load    Load          // load of the replica before this request
 	Reads   int           // prompt tokens that the request adds to it
-	Sharers int           // boxes among which its pace is shared while it is cold; 0 for a warm one
-	AgeMs   int64         // of the oldest belief about other boxes' work
+	Sharers int           // boxes that share its rate limit while it is cold; 0 for a warm one
+	AgeMs   int64         // age of the oldest record of another box's load
 
-	CopyFrom string // address of a replica that may keep shared parts which this one lacks; empty for none
+	CopyFrom string // address of a replica to copy missing segments from; empty for none
 
 	reservation reservation
 }
 
-// reservation is what a choice counted in, and where.
+// reservation is the load that a choice adds to a replica.
 type reservation struct {
-	at      time.Duration // when the choice was made
+	at      time.Duration // when Pick made the choice
 	load    Load
-	replica *Replica // nil once it is counted out
+	replica *Replica // nil once released
 }
 
-// candidate is a candidate with what decides.
+// candidate is a replica with its estimated cost.
 type candidate struct {
 	r       *Replica
-	cost    time.Duration // of which the least decides: the request's own time and what others lose
+	cost    time.Duration // own time of the request and its interference cost
 	expect  time.Duration // until the first byte
-	missing int           // shared tokens to be read
-	unsent  int           // shared tokens that no box is known to have sent there
-	source  *Replica      // that these are copied from; nil where they are read
-	load    Load          // work there before
+	missing int           // shared tokens to prefill
+	unsent  int           // shared tokens that no box is recorded to have sent there
+	source  *Replica      // where to copy missing segments from; nil if they are prefilled
+	load    Load          // before the request
 }
 
-// Pick chooses the replica with the least cost and counts the request in. boxes
-// are the boxes of the region that may be alive, this one included.
+// Pick chooses the replica with the lowest cost and reserves capacity for the request. The
+// boxes are those of the region that may be alive, including this one.
 func (v *View) Pick(req Request, boxes []string, now time.Duration) Choice {
 	best, none := v.best(req, boxes, now)
 	if best.r == nil {
@@ -132,26 +131,26 @@
 	}
 }
 
-// Next returns what Pick would choose, without counting the request in.
+// Next returns what Pick would choose, without reserving capacity.
 func (v *View) Next(req Request, boxes []string, now time.Duration) Choice {
 	best, none := v.best(req, boxes, now)
 	if best.r == nil {
 		return none
 	}
 	return Choice{
-		Replica: best.r.incarnation, // as requests name those that they have tried
+		Replica: best.r.incarnation, // Request.Tried holds incarnations
 		ID:      best.r.info.ID,
 		Addr:    best.r.info.Addr,
 		Expect:  best.expect,
 
 		reservation: reservation{
-			replica: best.r, // with no load: End may be told that it took no connection
+			replica: best.r, // without load, so that End can record a failed connection
 		},
 	}
 }
 
-// best returns the usable replica with the least cost. Where there is none, none
-// says why, and when there may be one.
+// best returns the usable replica with the lowest cost. If there is none, the second result
+// holds the reason and the time until there may be one.
 func (v *View) best(req Request, boxes []string, now time.Duration) (best candidate, none Choice) {
 	preferred := v.preferred(req, now)
 	holder := v.cacheHolder(req, preferred, now)
@@ -164,7 +163,7 @@
 	return best, none
 }
 
-// bestAmong is best of some replicas.
+// bestAmong is best for a list of replicas.
 func (v *View) bestAmong(list []*Replica, req Request, preferred, holder *Replica, typical time.Duration, boxes []string, now time.Duration) (best candidate, none Choice) {
 	none.Reason = Nothing
 	for _, r := range list {
@@ -196,8 +195,8 @@
 	return best, none
 }
 
-// isBetter says whether a candidate is better than another. Of two that are alike
-// the request's key decides, so that requests are spread.
+// isBetter reports whether a candidate is better than another. The request's key breaks
+// ties, so that requests are spread.
 func (w candidate) isBetter(o candidate, req Request) bool {
 	if d := w.cost - o.cost; d > costTolerance || d < -costTolerance {
 		return d < 0
@@ -205,7 +204,7 @@
 	return rendezvous.Score(req.Key, w.r.incarnation) > rendezvous.Score(req.Key, o.r.incarnation)
 }
 
-// addReason keeps the reason that can be waited for in preference to others.
+// addReason records a reason; those with the shortest wait take precedence.
 func (c *Choice) addReason(reason Reason, wait time.Duration) {
 	switch {
 	case wait > 0 && (c.Wait == 0 || wait < c.Wait):
@@ -216,7 +215,7 @@
 	}
 }
 
-// unusable says why a replica may get nothing at all, whatever its load.
+// unusable returns why a replica may receive no request whatever its load, or None.
 func (v *View) unusable(r *Replica, req Request, now time.Duration) Reason {
 	switch {
 	case !r.listed:
@@ -235,8 +234,8 @@
 	return None
 }
 
-// preferred returns the usable replica with the highest weight for the request's
-// shared parts, nil for none. Boxes of one region agree on it without talking.
+// preferred returns the usable replica with the highest rendezvous score for the request's
+// shared segments, nil for none. All boxes of a region compute the same one.
 func (v *View) preferred(req Request, now time.Duration) *Replica {
 	if len(req.Parts) == 0 {
 		return nil
@@ -247,9 +246,8 @@
 	return nil
 }
 
-// evaluate returns what a request would cost at a replica; keeper is the replica that most
-// likely keeps the shared parts, first says that this one is the first in their rank,
-// usual is the service's usualHold.
+// evaluate estimates the cost of a request at a replica. The holder is the result of
+// cacheHolder, typical that of meanDuration.
 func (v *View) evaluate(r *Replica, req Request, holder *Replica, isPreferred bool, typical, now time.Duration) candidate {
 	w := candidate{
 		r:    r,
@@ -268,8 +266,8 @@
 	return w
 }
 
-// evaluateEngine fills in the expected time and the cost at an engine: what the
-// request waits for, and what it costs the requests that run there.
+// evaluateEngine sets the expected time and the cost at an engine, including the
+// interference cost for requests that run there.
 func (v *View) evaluateEngine(w *candidate, req Request, holder *Replica, isPreferred bool, typical, now time.Duration) {
 	w.missing = w.r.missing(req, now)
 	w.unsent = w.missing
@@ -292,11 +290,11 @@
 	w.cost = w.expect + scale(v.rereadFactor()-1, ReadTime(w.missing)) + w.r.preemptionCost(w.load, req) + scale(interference, interferenceTime)
 }
 
-// expectedMissing returns how many shared tokens the first in their rank is expected to lack
-// of those that no box is known to have sent there: it is where boxes send them.
+// expectedMissing estimates how many shared tokens the preferred replica or the cache holder
+// lacks, of those that no box is recorded to have sent there.
 func expectedMissing(unsent int) int { return int((1 - preferredDiscount) * float64(unsent)) }
 
-// ReadTime returns the time that an engine takes to read tokens of prompts.
+// ReadTime returns the time that an engine takes to prefill so many tokens.
 func ReadTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / prefillSpeed * float64(time.Millisecond))
 }
--- a/placement/question.go
+++ b/placement/poll.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Figures of asking engines for their load. What is asked and told follows from the
-// requests under way, however many engines there are.
+// Intervals at which engines are polled for load reports. The number of polls grows with
+// the requests in flight, not with the number of engines.
 const (
-	AskEvery         = 400 * time.Millisecond  // between two looks for engines to ask, and between two questions to a busy one
-	idlePollInterval = 1600 * time.Millisecond // between two questions of a box to an engine that isn't busy, where it has requests
-	busyShare        = 0.125                   // of its slots or memory from which an engine is busy: others need to know before they send there
+	AskEvery         = 400 * time.Millisecond  // between two rounds of polls, and two polls of a busy engine
+	idlePollInterval = 1600 * time.Millisecond // between two polls of an engine that isn't busy
+	busyShare        = 0.125                   // share of its slots or memory above which an engine is busy
 )
 
-// busy says whether other boxes need to know an engine's word.
+// busy reports whether other boxes need an engine's load report.
 func (r *Replica) busy(now time.Duration) bool {
 	if !r.hasReport(now) {
 		return false
@@ -20,10 +20,10 @@
 		r.memoryShare(Load{Tokens: r.report.Tokens}, Request{}) >= busyShare
 }
 
-// Questions returns the engines that this box asks for their load now: busy ones for all
-// boxes, where mine says that it is the one to ask, others where it has requests itself,
-// and those that failed to answer it, by which others are spared finding out.
-func (v *View) Questions(now time.Duration, mine, unanswered func(start string) bool) []*Replica {
+// Questions returns the engines that this box has to poll for load reports now: busy ones
+// if mine reports that this box polls them for the region, others where it has requests
+// itself, and those that failed to respond to it.
+func (v *View) Questions(now time.Duration, mine, unanswered func(incarnation string) bool) []*Replica {
 	var out []*Replica
 	for _, r := range v.byName {
 		if !r.listed || r.service == nil || r.service.Engine == nil {
@@ -37,8 +37,8 @@
 	return out
 }
 
-// isDue says whether an engine is to be asked for its load now.
-func (r *Replica) isDue(now time.Duration, mine, unanswered func(start string) bool) bool {
+// isDue reports whether an engine is to be polled now.
+func (r *Replica) isDue(now time.Duration, mine, unanswered func(incarnation string) bool) bool {
 	since := now - r.lastPoll
 	if r.lastPoll == 0 {
 		since = idlePollInterval
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -271,7 +271,7 @@
 func (c *replay) ask(b int) {
 	now := c.clock.Now()
 	v := c.boxes[b]
-	mine := func(start string) bool { return rendezvous.Top(start, c.names, 1)[0] == c.names[b] }
+	mine := func(incarnation string) bool { return rendezvous.Top(incarnation, c.names, 1)[0] == c.names[b] }
 	for _, r := range v.Questions(now, mine, func(string) bool { return false }) {
 		c.asked++
 		n := 0
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -1,6 +1,6 @@
-// Package placement chooses the replica for a request from what a box knows: its
-// own requests exactly, those of other boxes as they last told, and the outcomes
-// seen. It is pure: time comes in as an argument, and nothing is sent from here.
+// Package placement chooses the replica for a request. It uses the box's own requests, the
+// loads that other boxes and engines report, and the results of earlier requests. It does
+// no I/O, and time is an argument.
 package placement
 
 import (
@@ -13,29 +13,29 @@
 )
 
 const (
-	slownessHalfLife   = 8 * time.Second        // time in which half of a replica's slowness is forgotten
-	slownessWeight     = 0.25                   // weight of the newest observation of slowness
-	maxSlowness        = 2.5                    // bound of one observation, a natural logarithm
-	prefillHalfLife    = 1 * time.Second        // time in which half of a rate of prompts is forgotten: some ten prompts at the peak
-	prefillWindow      = 20 * prefillHalfLife   // after it a rate of prompts is below one token
-	durationWeight     = 0.1                    // weight of the newest time that a request took
-	maxConnectFailures = 2                      // failures to connect in a row until it is left out
-	noResponseTimeout  = 500 * time.Millisecond // and nothing else came from it for so long: requests may be cut together, or reset beside others that are answered
-	maxNoResponses     = 3                      // requests in a row without any answer until it is left out
-	maxCachedSegments  = 512                    // prompt parts remembered of one replica; about its memory over a small part
-	cachedSegmentTTL   = 20 * time.Second       // a part not used for longer has probably given way
-	minPeerLoadTTL     = 1 * time.Second        // what another box told counts so long at least; four of its messages among few boxes
-	selfReportTTL      = 250 * time.Millisecond // a replica's word of its load counts so long: until other boxes told of theirs again
-	defaultDuration    = 40 * time.Millisecond  // of a request where none of the service was answered yet
-	defaultSlots       = 16                     // of a replica that tells none
+	slownessHalfLife   = 8 * time.Second
+	slownessWeight     = 0.25 // of the newest sample
+	maxSlowness        = 2.5  // limit on one sample, a natural logarithm
+	prefillHalfLife    = 1 * time.Second
+	prefillWindow      = 20 * prefillHalfLife   // after it the rate is negligible
+	durationWeight     = 0.1                    // of the newest duration
+	maxConnectFailures = 2                      // consecutive failures until a replica is ejected
+	noResponseTimeout  = 500 * time.Millisecond // without any bytes from the replica until it is ejected
+	maxNoResponses     = 3                      // consecutive requests without a response until a replica is ejected
+	maxCachedSegments  = 512                    // recorded per replica; roughly what fits its memory
+	cachedSegmentTTL   = 20 * time.Second       // a segment unused for longer has probably been evicted
+	minPeerLoadTTL     = 1 * time.Second        // covers four messages among few boxes
+	selfReportTTL      = 250 * time.Millisecond // until other boxes report their load again
+	defaultDuration    = 40 * time.Millisecond  // before any request of the service has completed
+	defaultSlots       = 16                     // of a replica that reports none
 )
 
-// Load is work that one box has at a replica.
+// Load is the work of one box at a replica.
 type Load struct {
 	Requests int // in flight
-	Tokens   int // of memory that they hold or will hold
-	Unread   int // prompt tokens still to be read
-	Reads    int // prompt tokens that are given to it in a second
+	Tokens   int // of memory that they use or will use
+	Unread   int // prompt tokens that await prefill
+	Reads    int // prompt tokens sent per second
 }
 
 // plus returns the sum of two loads.
@@ -48,76 +48,76 @@
 	}
 }
 
-// peerLoad is what another box said of its work at a replica.
+// peerLoad is the load that another box reported.
 type peerLoad struct {
 	load   Load
 	expiry time.Duration
 }
 
-// Replica is what a box knows of one start of a replica.
+// Replica is the state that a box records of one incarnation of a replica.
 type Replica struct {
-	incarnation string // by which all that is believed of it is kept
+	incarnation string
 	info        catalog.Replica
-	service     *catalog.Service // nil while the policy has none of that name
-	listed      bool             // the catalog holds it
-	unconfirmed bool             // it may be gone, and gets nothing new
+	service     *catalog.Service // nil while the policy doesn't define it
+	listed      bool             // in the catalog
+	unconfirmed bool             // removal from the catalog is unconfirmed
 	own         Load
 	peerLoads   map[string]peerLoad // by box
-	selfReport  peerLoad            // requests of others, by the replica's own word
-	report      Word                // the last one, by whatever box
-	sentSince   []sentRequest       // since then
-	lastPoll    time.Duration       // when this box asked it for its load last; 0 for never
-
-	coldUntil       time.Duration   // as far as is known
-	connectFailures int             // failures to connect in a row
-	noResponses     int             // requests without any answer in a row
-	backoff         absence.Absence // it gets no work while it is on
+	selfReport  peerLoad            // requests of other boxes, by its latest response
+	report      Word                // the latest, whichever box polled it
+	sentSince   []sentRequest       // requests of this box that the report doesn't include
+	lastPoll    time.Duration       // last poll by this box; 0 for none
+
+	coldUntil       time.Duration
+	connectFailures int             // consecutive failures to connect
+	noResponses     int             // consecutive requests without a response
+	backoff         absence.Absence // while it is ejected
 	outcomes        decay.Failures
-	slowness        float64 // natural logarithm of times to the first byte over the expected ones
+	slowness        float64 // natural logarithm of the time to the first byte over the expected one
 	slownessAt      time.Duration
-	prefillRate     float64 // prompt tokens a second that this box gives it, at readsAt
+	prefillRate     float64 // prompt tokens per second from this box, at prefillRateAt
 	prefillRateAt   time.Duration
-	duration        time.Duration // smoothed time of a request; 0 when not known
-	lastSeen        time.Duration // when bytes last came from it
+	duration        time.Duration // moving average of a request's duration; 0 if unknown
+	lastSeen        time.Duration // when this box last received bytes from it
 	cached          map[string]time.Duration
-	sentSegments    []sentSegment             // prompts that this box gave it of late, as it tells others
-	peerSegments    map[PartKey]time.Duration // parts that other boxes had it read, and when they told so
+	sentSegments    []sentSegment             // recently sent by this box, for gossip
+	peerSegments    map[PartKey]time.Duration // sent by other boxes, by time of their message
 }
 
-// Start returns the name of the replica's start, which no other process has.
+// Start returns the incarnation of the replica, which is unique to its process.
 func (r *Replica) Start() string { return r.incarnation }
 
-// ID returns the id that the replica answers to, which other starts of it have too.
+// ID returns the id of the replica, which all its incarnations share.
 func (r *Replica) ID() string { return r.info.ID }
 
-// Info returns what is published of the replica.
+// Info returns the published state of the replica.
 func (r *Replica) Info() catalog.Replica { return r.info }
 
-// Listed says whether the catalog holds it.
+// Listed reports whether the catalog holds the replica.
 func (r *Replica) Listed() bool { return r.listed }
 
-// Own returns this box's work there.
+// Own returns this box's load at the replica.
 func (r *Replica) Own() Load { return r.own }
 
-// currentPrefillRate returns the prompt tokens a second that this box gives it.
+// currentPrefillRate returns the prompt tokens per second that this box sends.
 func (r *Replica) currentPrefillRate(now time.Duration) float64 {
 	return r.prefillRate * decay.Left(now-r.prefillRateAt, prefillHalfLife)
 }
 
-// recordPrefill counts prompt tokens that this box gives it.
+// recordPrefill records prompt tokens that this box sends.
 func (r *Replica) recordPrefill(tokens int, now time.Duration) {
 	r.prefillRate = r.currentPrefillRate(now) + float64(tokens)*math.Ln2/prefillHalfLife.Seconds()
 	r.prefillRateAt = now
 }
 
-// currentOwnLoad returns this box's work there, as it tells others.
+// currentOwnLoad returns this box's load with its current prefill rate.
 func (r *Replica) currentOwnLoad(now time.Duration) Load {
 	l := r.own
 	l.Reads = int(r.currentPrefillRate(now))
 	return l
 }
 
-// Load returns all work there, as believed at now.
+// Load returns the load of all boxes at the replica, as recorded at now.
 func (r *Replica) Load(now time.Duration) Load {
 	l := r.currentOwnLoad(now)
 	for _, o := range r.peerLoads {
@@ -131,15 +131,15 @@
 	return l
 }
 
-// Failing returns the share of failures among its outcomes of late.
+// Failing returns the recent share of failures.
 func (r *Replica) Failing(now time.Duration) float64 { return r.outcomes.Share(now) }
 
-// Slow returns how much longer than expected it takes; 1 for as expected.
+// Slow returns the ratio of its actual to its expected times to the first byte, at least 1.
 func (r *Replica) Slow(now time.Duration) float64 {
 	return math.Exp(r.slowness * decay.Left(now-r.slownessAt, slownessHalfLife))
 }
 
-// Out says whether it is left out at now because it could not be reached.
+// Out reports whether the replica is ejected at now.
 func (r *Replica) Out(now time.Duration) bool { return r.backoff.On(now) }
 
 // slots returns how many requests the replica runs at once.
@@ -153,8 +153,8 @@
 	return defaultSlots
 }
 
-// missing returns the tokens of shared parts that have to be read there. Only a
-// beginning of the prompt can be kept.
+// missing returns the tokens of shared segments that the replica has to prefill. Only a
+// prefix of the prompt can be cached.
 func (r *Replica) missing(req Request, now time.Duration) int {
 	if r.isCachedPerPeers(req, now) {
 		return 0
@@ -171,7 +171,7 @@
 	return n
 }
 
-// recordCached remembers that parts were read there.
+// recordCached records that the replica prefills segments.
 func (r *Replica) recordCached(parts []Part, now time.Duration) {
 	if len(r.cached) > maxCachedSegments {
 		r.evictCached(now)
@@ -181,8 +181,8 @@
 	}
 }
 
-// evictCached makes room: it forgets parts that were not used of late, or all
-// where that is not enough.
+// evictCached evicts segments that were not used recently, or all of them if too many
+// remain.
 func (r *Replica) evictCached(now time.Duration) {
 	for id, at := range r.cached {
 		if now-at > cachedSegmentTTL/2 {
@@ -194,15 +194,15 @@
 	}
 }
 
-// eject leaves the replica out for a time that doubles until it answers.
-// Requests that were under way together count once.
+// eject starts a back-off that doubles until the replica responds. Requests that fail
+// together count once.
 func (r *Replica) eject(now time.Duration) {
 	if !r.Out(now) {
 		r.backoff.Begin(now)
 	}
 }
 
-// recordResponse takes in that bytes came from it.
+// recordResponse records that the replica sent bytes.
 func (r *Replica) recordResponse(now time.Duration) {
 	r.lastSeen = now
 	r.connectFailures = 0
@@ -210,8 +210,7 @@
 	r.backoff = absence.Absence{}
 }
 
-// recordFirstByte takes in how long the first byte of an answer took, against the
-// expected time.
+// recordFirstByte updates the slowness from a time to the first byte.
 func (r *Replica) recordFirstByte(took, expected, now time.Duration) {
 	if took <= 0 || expected <= 0 {
 		return
@@ -223,7 +222,7 @@
 	r.slownessAt = now
 }
 
-// recordDuration takes in how long a request that was answered recordDuration.
+// recordDuration updates the average duration from a completed request.
 func (r *Replica) recordDuration(duration time.Duration) {
 	if r.duration == 0 {
 		r.duration = duration
--- a/placement/word.go
+++ b/placement/report.go
@@ -6,32 +6,31 @@
 	"time"
 )
 
-// Figures of a replica's own word of its load. Where many boxes stand before the
-// replicas of a region, telling each other what each has there takes more bytes than
-// they may use, so the replicas' words are what they go by.
+// Limits on load reports of engines. They replace the loads that boxes report to each other
+// where a region has too many boxes for those to fit the bandwidth limit.
 const (
-	reportTTL       = 4 * time.Second // a word counts so long: that of a busy engine is asked for twice a second, and passed on among boxes within a second
-	maxSentSince    = 64              // own requests to a replica remembered since its word
-	unresponsiveTTL = 2 * time.Second // an engine that didn't answer another box is left out so long, unless it is heard here
-	typicalWeight   = 0.02            // weight of the newest request in the usual one's figures
+	reportTTL       = 4 * time.Second // covers several polls of a busy engine
+	maxSentSince    = 64              // requests recorded per replica
+	unresponsiveTTL = 2 * time.Second // for which an engine that failed to respond to another box is ejected
+	typicalWeight   = 0.02            // of the newest request
 )
 
-// Word is what a replica said of its load.
+// Word is a load report of an engine.
 type Word struct {
-	Requests int  // that it has, of all boxes
-	Waiting  int  // of them, those that have not begun to run
-	Tokens   int  // of memory that they hold; 0 where it doesn't say
-	Silent   bool // it didn't answer, and the rest says nothing
+	Requests int  // of all boxes
+	Waiting  int  // of these, not yet running
+	Tokens   int  // of memory in use; 0 if unknown
+	Silent   bool // the engine didn't respond; the other fields are not set
 	At       time.Duration
 }
 
-// typicalRequest is what a request to a service usually holds.
+// typicalRequest is the average load of a service's requests.
 type typicalRequest struct {
 	tokens float64 // of memory
-	unread float64 // prompt tokens to be read
+	unread float64 // prompt tokens to prefill
 }
 
-// add takes a request in.
+// add updates the average.
 func (u *typicalRequest) add(l Load) {
 	if u.tokens == 0 {
 		u.tokens, u.unread = float64(l.Tokens), float64(l.Unread)
@@ -41,16 +40,15 @@
 	u.unread += typicalWeight * (float64(l.Unread) - u.unread)
 }
 
-// ByWords sets whether loads are known by the replicas' own words, as among many
-// boxes, and how many boxes of the region callers are told to use, this one included:
-// each is supposed to send as much as the others.
+// ByWords sets whether the view uses load reports of engines, and the number of boxes of
+// the region that callers use, including this one. Each is assumed to send equally much.
 func (v *View) ByWords(on bool, boxes int) {
 	v.byReports = on
 	v.activeBoxes = max(boxes, 1)
 }
 
-// Says takes in a replica's word. It returns false for one that is no later than that
-// known, or of a replica that isn't.
+// Says records a load report. It returns false if the replica is unknown or the report
+// isn't newer than the recorded one.
 func (v *View) Says(replica string, w Word) bool {
 	r, ok := v.replicas[replica]
 	if !ok || w.At <= r.report.At {
@@ -64,7 +62,8 @@
 	return true
 }
 
-// responseChange returns the belief that an engine answers another box no more, or again.
+// responseChange returns the change that an engine stopped or resumed responding to another
+// box.
 func responseChange(replica string, silent bool) Belief {
 	out := Belief{
 		About:  replica,
@@ -76,7 +75,7 @@
 	return out
 }
 
-// WordAge returns how old a replica's word is; below 0 where it said nothing of late.
+// WordAge returns the age of a replica's load report, negative if there is no valid one.
 func (r *Replica) WordAge(now time.Duration) time.Duration {
 	if !r.hasReport(now) {
 		return -1
@@ -84,25 +83,25 @@
 	return now - r.report.At
 }
 
-// hasReport says whether it said something of late.
+// hasReport reports whether the load report is still valid.
 func (r *Replica) hasReport(now time.Duration) bool {
 	return r.report.At > 0 && now-r.report.At < reportTTL
 }
 
-// Changed returns what is believed of replicas since it was last asked, by their words.
+// Changed returns the changes by load reports since the last call.
 func (v *View) Changed() []Belief {
 	out := v.pendingChanges
 	v.pendingChanges = nil
 	return out
 }
 
-// isUnresponsive says whether a replica didn't answer another box of late, and nothing was heard
-// from it here since.
+// isUnresponsive reports whether a replica recently failed to respond to another box, and
+// this box has received nothing from it since.
 func (r *Replica) isUnresponsive(now time.Duration) bool {
 	return r.report.Silent && now-r.report.At < unresponsiveTTL && r.lastSeen <= r.report.At
 }
 
-// Words returns the words of busy engines that still count, the latest first.
+// Words returns the valid load reports of busy engines, latest first.
 func (v *View) Words(now time.Duration) []ReplicaWord {
 	var out []ReplicaWord
 	for _, r := range v.byName {
@@ -117,19 +116,19 @@
 	return out
 }
 
-// ReplicaWord is the word of a replica.
+// ReplicaWord is the load report of a replica.
 type ReplicaWord struct {
 	Replica string
 	Word
 }
 
-// sentRequest is an own request that a replica's word doesn't have yet.
+// sentRequest is a request of this box that the last load report doesn't include.
 type sentRequest struct {
 	at   time.Duration
 	load Load
 }
 
-// recordSent notes an own request.
+// recordSent records a request of this box.
 func (r *Replica) recordSent(l Load, now time.Duration) {
 	if len(r.sentSince) >= maxSentSince {
 		r.sentSince = r.sentSince[1:]
@@ -140,8 +139,8 @@
 	})
 }
 
-// reportedLoad returns the work at a replica by its last word and what this box sent since;
-// false where it said nothing of late.
+// reportedLoad returns the last reported load plus the requests that this box sent since.
+// It returns false without a valid report.
 func (r *Replica) reportedLoad(u typicalRequest, now time.Duration) (l Load, ok bool) {
 	if !r.hasReport(now) || r.report.Silent {
 		return Load{}, false
@@ -162,9 +161,9 @@
 	return l, true
 }
 
-// Load returns all work at a replica, as believed at now: by its own word where many
-// boxes go by these, and no less than the mean of its service's then. An engine with less
-// looked best to all boxes until the next words came, and got requests of all of them.
+// Load returns the load of all boxes at a replica, as recorded at now. With load reports it
+// is at least the mean of the service's replicas: otherwise all boxes would choose the
+// replica with the lowest report until the next one arrives.
 func (v *View) Load(r *Replica, now time.Duration) Load {
 	if !v.byReports {
 		return r.Load(now)
@@ -180,16 +179,16 @@
 	return l
 }
 
-// meanLoad is the meanLoad of the words of a service's replicas, at a time.
+// meanLoad is the mean reported load of a service's replicas at a time.
 type meanLoad struct {
 	Load
 	at time.Duration
 }
 
-const meanLoadTTL = 50 * time.Millisecond // a mean of words counts so long
+const meanLoadTTL = 50 * time.Millisecond
 
-// meanLoad returns the meanLoad load of a service's replicas by their words. One that said nothing
-// of late isn't busy.
+// meanLoad returns the mean reported load of a service's replicas. Those without a valid
+// report count as idle.
 func (v *View) meanLoad(service string, now time.Duration) Load {
 	if m, ok := v.meanLoads[service]; ok && now-m.at < meanLoadTTL && now >= m.at {
 		return m.Load
@@ -222,8 +221,8 @@
 	return out.Load
 }
 
-// usedSlotShare returns the share of their slots that a service's engines use, by their
-// words; 0 for other services.
+// usedSlotShare returns the share of slots in use at a service's engines, 0 for other
+// services.
 func (v *View) usedSlotShare(service string, now time.Duration) float64 {
 	if v.table == nil {
 		return 0
--- a/placement/kept.go
+++ b/placement/segment.go
@@ -7,30 +7,28 @@
 	"github.com/havenrudder/havenrudder/common/short"
 )
 
-// Figures of telling other boxes of the region which shared parts a replica was given.
-// Without that a box knows only what it sent itself, and prompts are read again, or
-// copied from a replica that doesn't keep them: where a region has two boxes, 1.29 million
-// of 7.5 million shared tokens of a day were read again without it, and 0.98 with it.
+// Limits on gossip about the prompt segments that replicas have cached. Without it, a box
+// prefills or copies segments that a replica has cached for other boxes.
 const (
-	minSegmentTokens    = 1000            // shared tokens of a prompt from which it is told: fewer are read in 30 ms
-	segmentGossipWindow = 4 * time.Second // for which it is told again and again, for a datagram may be lost and not all boxes are told at once
-	maxSentSegments     = 32              // prompts told of one replica; the newest
+	minSegmentTokens    = 1000            // shorter shared prompts are cheap to prefill
+	segmentGossipWindow = 4 * time.Second // repeated in case datagrams are lost
+	maxSentSegments     = 32              // per replica
 )
 
-// PartKey is the short form of a shared part between boxes. Two parts of 500 share one
-// with a chance of 3 in 100,000; then a prompt is read that was thought to be kept.
+// PartKey is the hash that identifies a shared segment between boxes. A collision costs
+// only a redundant prefill.
 type PartKey uint32
 
-// KeyOf returns the short form of a part.
+// KeyOf returns the key of a segment.
 func KeyOf(part string) PartKey { return PartKey(short.Of(part)) }
 
-// sentSegment is a prompt's last shared part that this box had a replica read, and when.
+// sentSegment is the last shared segment of a prompt that this box sent, and when.
 type sentSegment struct {
 	key PartKey
 	at  time.Duration
 }
 
-// recordSentSegment remembers that the replica was given a prompt, to tell others.
+// recordSentSegment records the last segment of a sent prompt for gossip.
 func (r *Replica) recordSentSegment(req Request, now time.Duration) {
 	if req.Shared() < minSegmentTokens {
 		return
@@ -46,7 +44,7 @@
 	})
 }
 
-// sentSegmentKeys returns the short forms of the parts that this box had it read of late.
+// sentSegmentKeys returns the keys of the segments that this box sent recently.
 func (r *Replica) sentSegmentKeys(now time.Duration) []PartKey {
 	var out []PartKey
 	for _, g := range r.sentSegments {
@@ -57,7 +55,7 @@
 	return out
 }
 
-// recordPeerSegments takes in which parts another box had the replica read of late.
+// recordPeerSegments records the segments that another box sent to the replica recently.
 func (r *Replica) recordPeerSegments(keys []PartKey, now time.Duration) {
 	if len(r.peerSegments) > maxCachedSegments {
 		clear(r.peerSegments)
@@ -67,8 +65,8 @@
 	}
 }
 
-// isCachedPerPeers says whether another box told that it had the replica read the shared
-// parts of a prompt.
+// isCachedPerPeers reports whether another box recently sent the shared segments of a
+// prompt to the replica.
 func (r *Replica) isCachedPerPeers(req Request, now time.Duration) bool {
 	if len(r.peerSegments) == 0 || req.Shared() < minSegmentTokens {
 		return false
--- a/placement/steps.go
+++ b/placement/steps.go
@@ -5,18 +5,16 @@
 	"math"
 )
 
-// Figures of learning how many steps of an engine make one event of a service's streams:
-// five on the users' first installations, nine on the largest. With five taken for nine
-// a prompt was thought to make pauses of 370 ms where they are 650, beyond the aim of 600.
+// Parameters for learning how many engine steps one event of a service's streams takes.
 const (
-	stepsPerEventWeight = 0.05 // of the newest stream; callers' guesses are off by half as much again as a rule
+	stepsPerEventWeight = 0.05 // of the newest stream; length hints of callers vary widely
 	minStepsPerEvent    = 1.0
 	maxStepsPerEvent    = 32.0
-	minStreamEvents     = 4 // of a stream that says anything about it
+	minStreamEvents     = 4 // shorter streams are ignored
 )
 
-// Streamed takes in that a whole stream had so many events, where the caller had guessed
-// so many tokens. Guesses are right in the median.
+// Streamed updates the steps per event from a complete stream and the length in tokens that
+// the caller had hinted.
 func (v *View) Streamed(service string, events, guess int) {
 	if events < minStreamEvents || guess <= 0 {
 		return
@@ -26,7 +24,7 @@
 	v.stepsPerEvent[service] = math.Exp(old + stepsPerEventWeight*(sample-old))
 }
 
-// Steps returns how many steps of an engine make an event of a service's streams.
+// Steps returns the number of engine steps per event of a service's streams.
 func (v *View) Steps(service string) float64 {
 	return cmp.Or(v.stepsPerEvent[service], defaultStepsPerEvent)
 }
--- a/placement/doubt.go
+++ b/placement/unconfirmed.go
@@ -2,13 +2,12 @@
 
 import "github.com/havenrudder/havenrudder/catalog"
 
-// maxUnconfirmedShare is the share of a service's replicas in doubt up to which they get nothing
-// new. Where more are, the publisher was away and most of them will come back.
+// maxUnconfirmedShare is the share of a service's replicas with unconfirmed removal up to
+// which these receive no requests. If more are affected, the publisher has likely failed,
+// not the replicas.
 const maxUnconfirmedShare = 0.1
 
-// updateUnconfirmed takes in which replicas may be gone, though that is not believed yet. A
-// request to one that is gone for good costs a try, and one that serves on without
-// being listed must not get any.
+// updateUnconfirmed marks the replicas whose removal from the catalog is unconfirmed.
 func (v *View) updateUnconfirmed(c *catalog.Content) {
 	e := &v.index
 	for _, r := range e.unconfirmed {
--- a/placement/view.go
+++ b/placement/view.go
@@ -8,39 +8,38 @@
 )
 
 const (
-	unlistedTTL     = 30 * time.Second // a replica that is gone and idle is forgotten after this
-	defaultColdTime = 3 * time.Second  // a replica that was out of reach may be cold when it is back, where the policy doesn't say for how long
+	unlistedTTL     = 30 * time.Second // until an idle replica that is no longer listed is evicted
+	defaultColdTime = 3 * time.Second  // after an ejection or evacuation, unless the service defines it
 )
 
-// View is what a box knows of the replicas of its region. It belongs to one
-// actor.
+// View is what a box has on record of the replicas of its region. Its methods must not be
+// called concurrently.
 type View struct {
 	region    string
 	domain    string
-	table     *catalog.Table      // nil until there is a policy
-	replicas  map[string]*Replica // by start
-	byName    []*Replica          // in the order of starts
+	table     *catalog.Table      // nil until the first policy
+	replicas  map[string]*Replica // by incarnation
+	byName    []*Replica          // sorted by incarnation
 	evacuated map[string]bool
 	pacer     *pacing.Pacer
 	index     index
-	onAdded   func(start string) // seam: told of a start that is known from now on
-	onRemoved func(start string) // seam: told of one that is forgotten
+	onAdded   func(incarnation string) // seam
+	onRemoved func(incarnation string) // seam
 
-	peerLoadTTL    time.Duration             // what another box told counts so long
-	byReports      bool                      // loads are known by the replicas' own words
-	pendingChanges []Belief                  // by words, not asked for yet
-	activeBoxes    int                       // of the region that callers are told to use
+	peerLoadTTL    time.Duration             // for which the report of another box is valid
+	byReports      bool                      // use load reports of engines instead of those of boxes
+	pendingChanges []Belief                  // not yet returned by Changed
+	activeBoxes    int                       // boxes of the region that callers use
 	typical        map[string]typicalRequest // by service
 	meanLoads      map[string]meanLoad       // by service
-	stepsPerEvent  map[string]float64        // of an engine until the next event, by service
+	stepsPerEvent  map[string]float64        // by service
 }
 
-// Option changes a View.
+// Option configures a View.
 type Option func(*View)
 
-// WithStarts sets what is told of each start of a replica that is known from now on, and
-// of each that is forgotten.
-func WithStarts(added, removed func(start string)) Option {
+// WithStarts sets the callbacks for incarnations that are recorded or evicted.
+func WithStarts(added, removed func(incarnation string)) Option {
 	return func(v *View) {
 		v.onAdded = added
 		v.onRemoved = removed
@@ -71,29 +70,29 @@
 	return v
 }
 
-// Pacer returns what bounds the requests to cold replicas.
+// Pacer returns the rate limit on requests to cold replicas.
 func (v *View) Pacer() *pacing.Pacer { return v.pacer }
 
-// Replicas returns all replicas known, in the order of their starts.
+// Replicas returns all recorded replicas, sorted by incarnation.
 func (v *View) Replicas() []*Replica { return v.byName }
 
-// Get returns a replica by its start, nil for none of that.
-func (v *View) Get(start string) *Replica { return v.replicas[start] }
+// Get returns the replica of an incarnation, nil for none.
+func (v *View) Get(incarnation string) *Replica { return v.replicas[incarnation] }
 
-// Closed says whether the replicas of a failure domain get no work.
+// Closed reports whether a failure domain is evacuated.
 func (v *View) Closed(domain string) bool { return v.evacuated[domain] }
 
-// SetTable takes a newer policy in.
+// SetTable applies a new policy.
 func (v *View) SetTable(t *catalog.Table) {
 	v.index.stale = v.index.stale || !sameServices(v.table, t)
 	v.table = t
 	for _, r := range v.replicas {
 		r.service = t.Service(r.info.Service)
-		v.limitCold(r, r.coldUntil) // its service may not have been known when that was said
+		v.limitCold(r, r.coldUntil) // its service may have been undefined when it became cold
 	}
 }
 
-// sameServices says whether two policies name the same services.
+// sameServices reports whether two policies define the same services.
 func sameServices(a, b *catalog.Table) bool {
 	if a == nil || len(a.Policy().Services) != len(b.Policy().Services) {
 		return false
@@ -106,16 +105,15 @@
 	return true
 }
 
-// Belief is a change of what is believed.
+// Belief is a change of recorded state.
 type Belief struct {
-	About  string // a replica, by its start, or failure domain
-	Reason string // what is believed of it now
-	Rev    int64  // revision of what is published that says so
-	Addr   string // of a replica that has started again: connections there may be of the start before
+	About  string // incarnation of a replica, or failure domain
+	Reason string // what changed
+	Rev    int64  // catalog revision of the change
+	Addr   string // address of a new incarnation; open connections may lead to an earlier one
 }
 
-// Take brings the view to what the catalog holds. Only what has changed of that since it
-// was called last is looked at.
+// Take applies the changes of the catalog since the last call.
 func (v *View) Take(c *catalog.Content, now time.Duration) []Belief {
 	ids := v.index.update(c, v.region)
 	newest := v.newestAt(c, ids)
@@ -150,9 +148,8 @@
 	return v.applyEvacuated(changes, c, now)
 }
 
-// newestAt returns the newest entry at each address of some replicas of the region. An
-// entry of a service that no policy names may be another writer's, and takes nobody's
-// address.
+// newestAt returns the latest entry at each address, among those with ids. It ignores
+// entries of undefined services, which may come from other writers.
 func (v *View) newestAt(c *catalog.Content, ids []string) map[string]catalog.Replica {
 	out := make(map[string]catalog.Replica, len(ids))
 	for _, id := range ids {
@@ -167,10 +164,9 @@
 	return out
 }
 
-// isSuperseded says whether a newer entry has the address of a replica. A replica that starts
-// again may do so under a new id while the entry of the old one has not lapsed; requests to
-// the old one would come back misdirected. A copy of its entry, which tells of no later start,
-// doesn't count.
+// isSuperseded reports whether a later entry has the address of a replica. A replica may
+// restart under a new id before its old entry expires; requests to the old id would be
+// misdirected. An entry that gives no later start time is a copy and doesn't count.
 func isSuperseded(info, newest catalog.Replica) bool {
 	if newest.Revision <= info.Revision {
 		return false
@@ -178,13 +174,13 @@
 	return newest.Born == 0 || info.Born == 0 || newest.Born > info.Born
 }
 
-// applyReplica takes in what is published of one replica.
+// applyReplica applies the entry of one replica.
 func (v *View) applyReplica(changes []Belief, info catalog.Replica, now time.Duration) []Belief {
-	start := info.Start()
+	incarnation := info.Start()
 	r, ok := v.getOrAdd(info, now)
 	changed := info.Revision != r.info.Revision || !ok
 	leaves := info.Leaving && !r.info.Leaving
-	info.Leaving = info.Leaving || r.info.Leaving // a replica that leaves doesn't come back
+	info.Leaving = info.Leaving || r.info.Leaving // leaving is final
 	v.markListed(r, info)
 	if v.table != nil {
 		r.service = v.table.Service(info.Service)
@@ -196,7 +192,7 @@
 		return changes
 	}
 	b := Belief{
-		About:  start,
+		About:  incarnation,
 		Reason: v.describeChange(r, ok, leaves),
 		Rev:    info.Revision,
 	}
@@ -206,14 +202,14 @@
 	return append(changes, b)
 }
 
-// getOrAdd returns what is getOrAdd of a start, and whether anything was.
+// getOrAdd returns the record of an incarnation and whether it existed.
 func (v *View) getOrAdd(info catalog.Replica, now time.Duration) (r *Replica, ok bool) {
-	start := info.Start()
-	if r, ok = v.replicas[start]; ok {
+	incarnation := info.Start()
+	if r, ok = v.replicas[incarnation]; ok {
 		return r, true
 	}
 	r = &Replica{
-		incarnation: start,
+		incarnation: incarnation,
 		info:        catalog.Replica{ID: info.ID},
 		peerLoads:   make(map[string]peerLoad),
 		cached:      make(map[string]time.Duration),
@@ -225,16 +221,15 @@
 	return r, false
 }
 
-// applySuperseded takes in what is published of a replica whose address another has by now. It
-// isn't listed, but should its entry be the newest again, it has not forgotten that it
-// leaves.
+// applySuperseded applies the entry of a replica whose address another one has. The replica
+// isn't listed, but its Leaving flag is kept in case its entry becomes the latest again.
 func (v *View) applySuperseded(info catalog.Replica, now time.Duration) {
 	r, _ := v.getOrAdd(info, now)
 	info.Leaving = info.Leaving || r.info.Leaving
 	v.setInfo(r, info)
 }
 
-// describeChange says what a changed entry means, most important first.
+// describeChange returns what changed in an entry, by precedence.
 func (v *View) describeChange(r *Replica, known, leaves bool) string {
 	switch {
 	case leaves:
@@ -249,7 +244,7 @@
 	return "replica changed"
 }
 
-// markCold notes that a replica is cold for so long.
+// markCold records that a replica is cold for a time.
 func (v *View) markCold(r *Replica, left, now time.Duration) {
 	r.coldUntil = max(r.coldUntil, now+left)
 	clear(r.cached)
@@ -258,14 +253,14 @@
 	v.limitCold(r, r.coldUntil)
 }
 
-// limitCold paces a replica of a service that bounds the requests to cold ones.
+// limitCold starts the rate limit of a cold replica, if its service defines one.
 func (v *View) limitCold(r *Replica, until time.Duration) {
 	if r.service != nil && r.service.ColdPerSecond > 0 && until > 0 {
 		v.pacer.Cold(r.info.ID, r.service.ColdPerSecond, until)
 	}
 }
 
-// markReturned notes that a replica which got no work for a while may be cold.
+// markReturned records that a replica that received no requests for a while may be cold.
 func (v *View) markReturned(r *Replica, now time.Duration) {
 	left := defaultColdTime
 	if r.service != nil && r.service.ColdFor > 0 {
@@ -274,7 +269,7 @@
 	v.markCold(r, left, now)
 }
 
-// applyEvacuated takes in which failure domains get no work.
+// applyEvacuated updates which failure domains are evacuated.
 func (v *View) applyEvacuated(changes []Belief, c *catalog.Content, now time.Duration) []Belief {
 	evacuated := make(map[string]bool)
 	for _, d := range c.Evacuated() {
@@ -301,8 +296,7 @@
 	return changes
 }
 
-// restoreDomain gives the replicas of a failure domain work again, at the pace of cold
-// ones, for they had none.
+// restoreDomain ends the evacuation of a failure domain. Its replicas may be cold.
 func (v *View) restoreDomain(domain string, now time.Duration) {
 	for _, r := range v.replicas {
 		if r.info.Domain == domain {
@@ -311,8 +305,8 @@
 	}
 }
 
-// Told takes in all that another box says of its work at replicas. Where it
-// names none, it has none.
+// Told records the loads that another box reports. The box has none at replicas that it
+// leaves out.
 func (v *View) Told(box string, loads []OwnLoad, now time.Duration) {
 	for _, r := range v.replicas {
 		delete(r.peerLoads, box)
@@ -328,18 +322,18 @@
 	}
 }
 
-// OthersFor sets how long what other boxes tell counts from now on: as long as they
-// take to tell it twice, but not less than among few boxes.
+// OthersFor sets for how long the reports of other boxes are valid, at least
+// minPeerLoadTTL.
 func (v *View) OthersFor(d time.Duration) { v.peerLoadTTL = max(d, minPeerLoadTTL) }
 
-// OwnLoad is one box's work at one replica.
+// OwnLoad is the load of one box at one replica.
 type OwnLoad struct {
-	Replica string // its start
+	Replica string // its incarnation
 	Load    Load
-	Kept    []PartKey // last shared parts of the prompts that it was given of late
+	Kept    []PartKey // last shared segments of recently sent prompts
 }
 
-// Tell returns this box's work at every replica where it has any.
+// Tell returns this box's loads, for its reports to other boxes.
 func (v *View) Tell(now time.Duration) []OwnLoad {
 	var out []OwnLoad
 	for _, r := range v.byName {
