--- a/placement/candidates.go
+++ b/placement/candidates.go
@@ -21,7 +21,7 @@
 	if v.byReports {
 		return reportedRereadFactor
 	}
-	return defaultRereadFactor
+	return rereadFactor
 }
 
 // candidates returns the replicas that are compared for a request: a few where boxes share
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if v.byReports {
-		reads *= v.activeBoxes // boxes don't report their prefill rates to each other then
+		reads *= v.boxes // boxes don't report their prefill rates to each other then
 	}
 	if out.Usable > 0 {
 		out.Busy = float64(reads) / (float64(out.Usable) * prefillSpeed * 1000)
--- a/placement/index.go
+++ b/placement/index.go
@@ -16,12 +16,12 @@
 // proportional to the number of changed entries.
 type index struct {
 	content     *catalog.Content // source of the entries
-	seenChanges int              // number of its changes that are applied
+	applied     int              // number of its changes that are applied
 	stale       bool             // the next update reads all entries
 	addrs       map[string]string
 	idsByAddr   map[string][]string   // ids by address
 	byID        map[string][]*Replica // incarnations by id
-	listedCount map[string]int        // number of listed replicas by service
+	listed      map[string]int        // number of listed replicas by service
 	unlisted    map[string]*Replica   // incarnations that the catalog no longer holds, or not yet
 	unconfirmed []*Replica
 	sweptAt     time.Duration
@@ -29,23 +29,23 @@
 
 func newIndex() index {
 	return index{
-		addrs:       make(map[string]string),
-		idsByAddr:   make(map[string][]string),
-		byID:        make(map[string][]*Replica),
-		listedCount: make(map[string]int),
-		unlisted:    make(map[string]*Replica),
+		addrs:     make(map[string]string),
+		idsByAddr: make(map[string][]string),
+		byID:      make(map[string][]*Replica),
+		listed:    make(map[string]int),
+		unlisted:  make(map[string]*Replica),
 	}
 }
 
 // update applies the changed entries of a region. It returns the
 // sorted ids of these and of entries that share an address with them, before or after the change.
 func (e *index) update(c *catalog.Content, region string) []string {
-	ids, count, ok := c.Touched(e.seenChanges)
+	ids, applied, ok := c.Touched(e.applied)
 	if !ok || e.stale || e.content != c {
 		ids = e.allIDs(c)
 	}
 	e.content = c
-	e.seenChanges = count
+	e.applied = applied
 	e.stale = false
 	affected := make(map[string]bool, len(ids))
 	addSharing := func(addr string) {
@@ -100,7 +100,7 @@
 
 // position returns the index of an incarnation in byName, or where to insert it.
 func (v *View) position(incarnation string) (at int, found bool) {
-	return slices.BinarySearchFunc(v.byName, incarnation, func(r *Replica, key string) int { return cmp.Compare(r.incarnation, key) })
+	return slices.BinarySearchFunc(v.byName, incarnation, func(r *Replica, incarnation string) int { return cmp.Compare(r.incarnation, incarnation) })
 }
 
 // add records a new incarnation as unlisted.
@@ -131,8 +131,8 @@
 // setInfo updates the published state of an incarnation.
 func (v *View) setInfo(r *Replica, info catalog.Replica) {
 	if r.listed {
-		v.index.listedCount[r.info.Service]--
-		v.index.listedCount[info.Service]++
+		v.index.listed[r.info.Service]--
+		v.index.listed[info.Service]++
 	}
 	r.info = info
 }
@@ -144,14 +144,14 @@
 		return
 	}
 	r.listed = true
-	v.index.listedCount[info.Service]++
+	v.index.listed[info.Service]++
 	delete(v.index.unlisted, r.incarnation)
 }
 
 // markUnlisted records that the catalog no longer holds an incarnation.
 func (v *View) markUnlisted(r *Replica) {
 	r.listed = false
-	v.index.listedCount[r.info.Service]--
+	v.index.listed[r.info.Service]--
 	v.index.unlisted[r.incarnation] = r
 }
 
--- a/placement/loss.go
+++ b/placement/loss.go
@@ -45,14 +45,14 @@
 // engine. An engine prefills a prompt in chunks, one between two steps, and a chunk takes
 // longer the more of the prompt precedes it.
 const (
-	chunkTokens          = 2048
-	chunkTime            = 58 * time.Millisecond  // of a chunk at the start of a prompt
-	contextTime          = 1500 * time.Nanosecond // additional time per token that precedes the chunk
-	stepTime             = 8 * time.Millisecond   // of a step with some thirty requests
-	defaultStepsPerEvent = 5.0                    // until learned from the service's streams
-	otherPrefillTime     = 4 * time.Millisecond   // prefill of other prompts in defaultStepsPerEvent steps, per running request
-	gapLossStart         = 0.85                   // share of the latency target above which streams may be late
-	lateStreamLoss       = 300.0                  // thousandths of its value that a late stream loses
+	chunkTokens      = 2048
+	chunkTime        = 58 * time.Millisecond  // of a chunk at the start of a prompt
+	contextTime      = 1500 * time.Nanosecond // additional time per token that precedes the chunk
+	stepTime         = 8 * time.Millisecond   // of a step with some thirty requests
+	defaultSteps     = 5.0                    // until learned from the service's streams
+	otherPrefillTime = 4 * time.Millisecond   // prefill of other prompts in defaultSteps steps, per running request
+	gapLossStart     = 0.85                   // share of the latency target above which streams may be late
+	lateStreamLoss   = 300.0                  // thousandths of its value that a late stream loses
 )
 
 // longestGap estimates the longest gap between two events of a stream while the engine
@@ -61,7 +61,7 @@
 	chunks := min(float64(unread)/chunkTokens, steps)
 	context := max(float64(prompt)-steps*chunkTokens/2, float64(prompt)/2)
 	chunk := chunkTime + scale(context, contextTime)
-	others := scale(float64(running)*steps/defaultStepsPerEvent, otherPrefillTime)
+	others := scale(float64(running)*steps/defaultSteps, otherPrefillTime)
 	return scale(steps, stepTime) + scale(chunks, chunk) + others
 }
 
@@ -72,7 +72,7 @@
 	if req.Gap <= 0 || req.Prompt == 0 {
 		return 0
 	}
-	steps := cmp.Or(req.Steps, defaultStepsPerEvent)
+	steps := cmp.Or(req.Steps, defaultSteps)
 	share := float64(longestGap(req.Prompt, missing+req.Own(), running, steps)) / float64(req.Gap)
 	return lateStreamLoss * min(max((share-gapLossStart)/(1-gapLossStart), 0), 1) * float64(running)
 }
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -15,7 +15,7 @@
 	stepMsPerKilotoken     = 0.12                    // additional milliseconds per event and 1,000 tokens in memory
 	failureCost            = 1200 * time.Millisecond // of a replica that fails every request
 	preferredDiscount      = 0.9                     // share of missing segments that are expected to be cached for other boxes
-	defaultRereadFactor    = 2.5                     // cost of prefilling a shared segment, as a multiple of its duration
+	rereadFactor           = 2.5                     // cost of prefilling a shared segment, as a multiple of its duration
 	crossDomainCost        = 3 * time.Millisecond    // traffic between failure domains is charged
 	meanAnswerShare        = 0.6                     // mean share of the answer's tokens in memory while a request runs
 	costTolerance          = 500 * time.Microsecond  // costs that differ by less are equal
@@ -109,9 +109,9 @@
 		best.r.recordCached(req.Parts, now)
 		best.r.recordSentSegment(req, now)
 		best.r.recordPrefill(g.load.Unread, now)
-		u := v.typical[req.Service]
+		u := v.typicalLoad[req.Service]
 		u.add(g.load)
-		v.typical[req.Service] = u
+		v.typicalLoad[req.Service] = u
 	}
 	best.r.recordSent(g.load, now)
 	best.r.own = best.r.own.plus(g.load)
@@ -153,18 +153,18 @@
 // holds the reason and the time until there may be one.
 func (v *View) best(req Request, boxes []string, now time.Duration) (best candidate, none Choice) {
 	preferred := v.preferred(req, now)
-	holder := v.cacheHolder(req, preferred, now)
+	cacheHolder := v.cacheHolder(req, preferred, now)
 	typical := v.meanDuration(req.Service)
 	list := v.candidates(req, now)
-	best, none = v.bestAmong(list, req, preferred, holder, typical, boxes, now)
+	best, none = v.bestAmong(list, req, preferred, cacheHolder, typical, boxes, now)
 	if best.r == nil && len(list) < len(v.byName) {
-		return v.bestAmong(v.byName, req, preferred, holder, typical, boxes, now)
+		return v.bestAmong(v.byName, req, preferred, cacheHolder, typical, boxes, now)
 	}
 	return best, none
 }
 
 // bestAmong is best for a list of replicas.
-func (v *View) bestAmong(list []*Replica, req Request, preferred, holder *Replica, typical time.Duration, boxes []string, now time.Duration) (best candidate, none Choice) {
+func (v *View) bestAmong(list []*Replica, req Request, preferred, cacheHolder *Replica, typical time.Duration, boxes []string, now time.Duration) (best candidate, none Choice) {
 	none.Reason = Nothing
 	for _, r := range list {
 		if r.info.Service != req.Service {
@@ -176,7 +176,7 @@
 			reason = Paced
 			wait = v.pacer.Next(r.info.ID, boxes, now) - now
 		}
-		w := v.evaluate(r, req, holder, r == preferred, typical, now)
+		w := v.evaluate(r, req, cacheHolder, r == preferred, typical, now)
 		if reason == None && r.isFull(w.load, req) {
 			reason = Full
 			wait = r.queueWait(w.load, typical)
@@ -246,9 +246,9 @@
 	return nil
 }
 
-// evaluate estimates the cost of a request at a replica. The holder is the result of
-// cacheHolder, typical that of meanDuration.
-func (v *View) evaluate(r *Replica, req Request, holder *Replica, isPreferred bool, typical, now time.Duration) candidate {
+// evaluate estimates the cost of a request at a replica. cacheHolder and typical are the results of the methods
+// cacheHolder and meanDuration.
+func (v *View) evaluate(r *Replica, req Request, cacheHolder *Replica, isPreferred bool, typical, now time.Duration) candidate {
 	w := candidate{
 		r:    r,
 		load: v.Load(r, now),
@@ -257,7 +257,7 @@
 		w.expect = scale(r.Slow(now), r.queueWait(w.load, typical)+cmp.Or(r.duration, typical))
 		w.cost = w.expect
 	} else {
-		v.evaluateEngine(&w, req, holder, isPreferred, typical, now)
+		v.evaluateEngine(&w, req, cacheHolder, isPreferred, typical, now)
 	}
 	w.cost += scale(r.Failing(now), failureCost)
 	if r.info.Domain != v.domain {
@@ -268,19 +268,19 @@
 
 // evaluateEngine sets the expected time and the cost at an engine, including the
 // interference cost for requests that run there.
-func (v *View) evaluateEngine(w *candidate, req Request, holder *Replica, isPreferred bool, typical, now time.Duration) {
+func (v *View) evaluateEngine(w *candidate, req Request, cacheHolder *Replica, isPreferred bool, typical, now time.Duration) {
 	w.missing = w.r.missing(req, now)
 	w.unsent = w.missing
-	copyTime := time.Duration(0)
+	copyDuration := time.Duration(0)
 	switch took, ok := w.r.copyTime(w.missing); {
-	case ok && holder != nil && holder != w.r:
-		copyTime = took
-		w.source = holder
-		w.missing = expectedMissing(holder.missing(req, now))
+	case ok && cacheHolder != nil && cacheHolder != w.r:
+		copyDuration = took
+		w.source = cacheHolder
+		w.missing = expectedMissing(cacheHolder.missing(req, now))
 	case isPreferred && w.missing > 0:
 		w.missing = expectedMissing(w.missing)
 	}
-	wait := ReadTime(w.load.Unread) + w.r.queueWait(w.load, typical) + copyTime
+	wait := ReadTime(w.load.Unread) + w.r.queueWait(w.load, typical) + copyDuration
 	step := time.Duration(stepMsPerKilotoken * float64(w.load.Tokens) / 1000 * float64(time.Millisecond))
 	w.expect = scale(w.r.Slow(now), firstEventTime+step+wait+ReadTime(w.missing+req.Own()))
 	interference := req.Harm(w.missing, w.load.Requests)
--- a/placement/poll.go
+++ b/placement/poll.go
@@ -12,7 +12,7 @@
 
 // busy reports whether other boxes need an engine's load report.
 func (r *Replica) busy(now time.Duration) bool {
-	if !r.hasReport(now) {
+	if !r.fresh(now) {
 		return false
 	}
 	return r.report.Silent || r.report.Waiting > 0 ||
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -24,7 +24,7 @@
 	maxNoResponses     = 3                      // consecutive requests without a response until a replica is ejected
 	maxCachedSegments  = 512                    // recorded per replica; roughly what fits its memory
 	cachedSegmentTTL   = 20 * time.Second       // a segment unused for longer has probably been evicted
-	minPeerLoadTTL     = 1 * time.Second        // covers four messages among few boxes
+	peerLoadTTL        = 1 * time.Second        // covers four messages among few boxes
 	selfReportTTL      = 250 * time.Millisecond // until other boxes report their load again
 	defaultDuration    = 40 * time.Millisecond  // before any request of the service has completed
 	defaultSlots       = 16                     // of a replica that reports none
@@ -65,7 +65,7 @@
 	peerLoads   map[string]peerLoad // by box
 	selfReport  peerLoad            // requests of other boxes, by its latest response
 	report      Word                // the latest, whichever box polled it
-	sentSince   []sentRequest       // requests of this box that the report doesn't include
+	unreported  []unreported        // requests of this box that the report doesn't include
 	lastPoll    time.Duration       // last poll by this box; 0 for none
 
 	coldUntil       time.Duration
@@ -160,11 +160,11 @@
 		return 0
 	}
 	n := 0
-	cached := true
+	isCached := true
 	for _, p := range req.Parts {
 		at, ok := r.cached[p.ID]
-		cached = cached && ok && now-at < cachedSegmentTTL
-		if !cached {
+		isCached = isCached && ok && now-at < cachedSegmentTTL
+		if !isCached {
 			n += p.Tokens
 		}
 	}
--- a/placement/report.go
+++ b/placement/report.go
@@ -10,7 +10,7 @@
 // where a region has too many boxes for those to fit the bandwidth limit.
 const (
 	reportTTL       = 4 * time.Second // covers several polls of a busy engine
-	maxSentSince    = 64              // requests recorded per replica
+	maxUnreported   = 64              // requests recorded per replica
 	unresponsiveTTL = 2 * time.Second // for which an engine that failed to respond to another box is ejected
 	typicalWeight   = 0.02            // of the newest request
 )
@@ -24,14 +24,14 @@
 	At       time.Duration
 }
 
-// typicalRequest is the average load of a service's requests.
-type typicalRequest struct {
+// typicalLoad is the average load of a service's requests.
+type typicalLoad struct {
 	tokens float64 // of memory
 	unread float64 // prompt tokens to prefill
 }
 
 // add updates the average.
-func (u *typicalRequest) add(l Load) {
+func (u *typicalLoad) add(l Load) {
 	if u.tokens == 0 {
 		u.tokens, u.unread = float64(l.Tokens), float64(l.Unread)
 		return
@@ -44,7 +44,7 @@
 // the region that callers use, including this one. Each is assumed to send equally much.
 func (v *View) ByWords(on bool, boxes int) {
 	v.byReports = on
-	v.activeBoxes = max(boxes, 1)
+	v.boxes = max(boxes, 1)
 }
 
 // Says records a load report. It returns false if the replica is unknown or the report
@@ -58,7 +58,7 @@
 		v.pendingChanges = append(v.pendingChanges, responseChange(replica, w.Silent))
 	}
 	r.report = w
-	r.sentSince = slices.DeleteFunc(r.sentSince, func(b sentRequest) bool { return b.at <= w.At })
+	r.unreported = slices.DeleteFunc(r.unreported, func(b unreported) bool { return b.at <= w.At })
 	return true
 }
 
@@ -77,14 +77,14 @@
 
 // WordAge returns the age of a replica's load report, negative if there is no valid one.
 func (r *Replica) WordAge(now time.Duration) time.Duration {
-	if !r.hasReport(now) {
+	if !r.fresh(now) {
 		return -1
 	}
 	return now - r.report.At
 }
 
-// hasReport reports whether the load report is still valid.
-func (r *Replica) hasReport(now time.Duration) bool {
+// fresh reports whether the load report is still valid.
+func (r *Replica) fresh(now time.Duration) bool {
 	return r.report.At > 0 && now-r.report.At < reportTTL
 }
 
@@ -122,18 +122,18 @@
 	Word
 }
 
-// sentRequest is a request of this box that the last load report doesn't include.
-type sentRequest struct {
+// unreported is a request of this box that the last load report doesn't include.
+type unreported struct {
 	at   time.Duration
 	load Load
 }
 
 // recordSent records a request of this box.
 func (r *Replica) recordSent(l Load, now time.Duration) {
-	if len(r.sentSince) >= maxSentSince {
-		r.sentSince = r.sentSince[1:]
+	if len(r.unreported) >= maxUnreported {
+		r.unreported = r.unreported[1:]
 	}
-	r.sentSince = append(r.sentSince, sentRequest{
+	r.unreported = append(r.unreported, unreported{
 		at:   now,
 		load: l,
 	})
@@ -141,8 +141,8 @@
 
 // reportedLoad returns the last reported load plus the requests that this box sent since.
 // It returns false without a valid report.
-func (r *Replica) reportedLoad(u typicalRequest, now time.Duration) (l Load, ok bool) {
-	if !r.hasReport(now) || r.report.Silent {
+func (r *Replica) reportedLoad(u typicalLoad, now time.Duration) (l Load, ok bool) {
+	if !r.fresh(now) || r.report.Silent {
 		return Load{}, false
 	}
 	l = Load{
@@ -150,7 +150,7 @@
 		Tokens:   cmp.Or(r.report.Tokens, int(float64(r.report.Requests)*u.tokens)),
 		Unread:   int(float64(r.report.Waiting) * u.unread),
 	}
-	for _, b := range r.sentSince {
+	for _, b := range r.unreported {
 		l = l.plus(b.load)
 	}
 	own := r.currentOwnLoad(now)
@@ -168,7 +168,7 @@
 	if !v.byReports {
 		return r.Load(now)
 	}
-	l, ok := r.reportedLoad(v.typical[r.info.Service], now)
+	l, ok := r.reportedLoad(v.typicalLoad[r.info.Service], now)
 	if !ok {
 		l = r.Load(now)
 	}
@@ -203,7 +203,7 @@
 			continue
 		}
 		n++
-		if l, ok := r.reportedLoad(v.typical[service], now); ok {
+		if l, ok := r.reportedLoad(v.typicalLoad[service], now); ok {
 			sum = sum.plus(l)
 		}
 	}
--- a/placement/steps.go
+++ b/placement/steps.go
@@ -7,10 +7,10 @@
 
 // Parameters for learning how many engine steps one event of a service's streams takes.
 const (
-	stepsPerEventWeight = 0.05 // of the newest stream; length hints of callers vary widely
-	minStepsPerEvent    = 1.0
-	maxStepsPerEvent    = 32.0
-	minStreamEvents     = 4 // shorter streams are ignored
+	stepsWeight     = 0.05 // of the newest stream; length hints of callers vary widely
+	minSteps        = 1.0
+	maxSteps        = 32.0
+	minStreamEvents = 4 // shorter streams are ignored
 )
 
 // Streamed updates the steps per event from a complete stream and the length in tokens that
@@ -19,12 +19,10 @@
 	if events < minStreamEvents || guess <= 0 {
 		return
 	}
-	sample := math.Log(min(max(float64(guess)/float64(events), minStepsPerEvent), maxStepsPerEvent))
+	sample := math.Log(min(max(float64(guess)/float64(events), minSteps), maxSteps))
 	old := math.Log(v.Steps(service))
-	v.stepsPerEvent[service] = math.Exp(old + stepsPerEventWeight*(sample-old))
+	v.steps[service] = math.Exp(old + stepsWeight*(sample-old))
 }
 
 // Steps returns the number of engine steps per event of a service's streams.
-func (v *View) Steps(service string) float64 {
-	return cmp.Or(v.stepsPerEvent[service], defaultStepsPerEvent)
-}
+func (v *View) Steps(service string) float64 { return cmp.Or(v.steps[service], defaultSteps) }
--- a/placement/unconfirmed.go
+++ b/placement/unconfirmed.go
@@ -25,6 +25,6 @@
 	}
 	for _, r := range e.unconfirmed {
 		s := r.info.Service
-		r.unconfirmed = float64(count[s]) <= maxUnconfirmedShare*float64(e.listedCount[s])
+		r.unconfirmed = float64(count[s]) <= maxUnconfirmedShare*float64(e.listed[s])
 	}
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -26,23 +26,23 @@
 	onAdded   func(incarnation string) // seam
 	onRemoved func(incarnation string) // seam
 
-	peerLoadTTL    time.Duration             // for which the report of another box is valid
-	byReports      bool                      // use load reports of engines instead of those of boxes
-	pendingChanges []Belief                  // not yet returned by Changed
-	activeBoxes    int                       // boxes of the region that callers use
-	typical        map[string]typicalRequest // by service
-	meanLoads      map[string]meanLoad       // by service
-	stepsPerEvent  map[string]float64        // by service
+	peerLoadTTL    time.Duration          // for which the report of another box is valid
+	byReports      bool                   // use load reports of engines instead of those of boxes
+	pendingChanges []Belief               // not yet returned by Changed
+	boxes          int                    // boxes of the region that callers use
+	typicalLoad    map[string]typicalLoad // by service
+	meanLoads      map[string]meanLoad    // by service
+	steps          map[string]float64     // by service
 }
 
 // Option configures a View.
 type Option func(*View)
 
 // WithStarts sets the callbacks for incarnations that are recorded or evicted.
-func WithStarts(added, removed func(incarnation string)) Option {
+func WithStarts(onAdded, onRemoved func(incarnation string)) Option {
 	return func(v *View) {
-		v.onAdded = added
-		v.onRemoved = removed
+		v.onAdded = onAdded
+		v.onRemoved = onRemoved
 	}
 }
 
@@ -58,11 +58,11 @@
 		onAdded:   func(string) {},
 		onRemoved: func(string) {},
 
-		peerLoadTTL:   minPeerLoadTTL,
-		activeBoxes:   1,
-		typical:       make(map[string]typicalRequest),
-		meanLoads:     make(map[string]meanLoad),
-		stepsPerEvent: make(map[string]float64),
+		peerLoadTTL: peerLoadTTL,
+		boxes:       1,
+		typicalLoad: make(map[string]typicalLoad),
+		meanLoads:   make(map[string]meanLoad),
+		steps:       make(map[string]float64),
 	}
 	for _, opt := range opts {
 		opt(v)
@@ -323,8 +323,8 @@
 }
 
 // OthersFor sets for how long the reports of other boxes are valid, at least
-// minPeerLoadTTL.
-func (v *View) OthersFor(d time.Duration) { v.peerLoadTTL = max(d, minPeerLoadTTL) }
+// the constant peerLoadTTL.
+func (v *View) OthersFor(d time.Duration) { v.peerLoadTTL = max(d, peerLoadTTL) }
 
 // OwnLoad is the load of one box at one replica.
 type OwnLoad struct {
