--- a/placement/report.go
+++ b/placement/report.go
@@ -9,7 +9,7 @@
 // Limits on load reports of engines. They replace the loads that boxes report to each other
 // where a region has too many boxes for those to fit the bandwidth limit.
 const (
-	reportTTL       = 4 * time.Second // covers several polls of a busy engine
+	loadTTL         = 4 * time.Second // of a load report; covers several polls of a busy engine
 	maxUnreported   = 64              // requests recorded per replica
 	unresponsiveTTL = 2 * time.Second // for which an engine that failed to respond to another box is ejected
 	typicalWeight   = 0.02            // of the newest request
@@ -84,9 +84,7 @@
 }
 
 // fresh reports whether the load report is still valid.
-func (r *Replica) fresh(now time.Duration) bool {
-	return r.report.At > 0 && now-r.report.At < reportTTL
-}
+func (r *Replica) fresh(now time.Duration) bool { return r.report.At > 0 && now-r.report.At < loadTTL }
 
 // Changed returns the changes by load reports since the last call.
 func (v *View) Changed() []Belief {
