--- a/placement/address_test.go
+++ b/placement/address_test.go
@@ -10,8 +10,7 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// at returns a replica of the engine's service with an id at an address, as published at a
-// revision.
+// at returns a replica of the engine service.
 func at(id, addr string, revision int64) catalog.Replica {
 	r := replicas("engine", 1)[0]
 	r.ID = id
@@ -20,9 +19,8 @@
 	return r
 }
 
-// A replica that crashed was back at its address under a new id, while the entry of the old
-// one had not lapsed. The old id stayed in use for up to 4 s: each request that went there
-// came back misdirected, 421 of them on a day on which a row of replicas did so.
+// Guards against requests to an id whose address a replica with a new id has taken over,
+// which come back misdirected until the old entry expires.
 func TestAnIdWhoseAddressAnotherHasGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", at("old", "127.0.0.1:1", 1))
@@ -49,7 +47,7 @@
 	is.Equal(len(seen), 3)
 }
 
-// Another writer's entry may name a service that nobody has, and the address of a replica.
+// Guards against an entry of another writer that takes over the address of a replica.
 func TestAnEntryOfAServiceThatIsNotKnownTakesNoAddress(t *testing.T) {
 	is := is.New(t)
 	foreign := at("foreign", "127.0.0.1:1", 2)
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -13,9 +13,9 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-const mostCold = 6 // a second, from 2 a second x 1.5 + 3
+const mostCold = 6 // per second: 2 x 1.5 + 3
 
-// sent lets boxes send as much as they may for some seconds and returns when.
+// sent has boxes send as many requests as allowed and returns the times of sending.
 func sent(boxes []*box, names []string, service string, from, until time.Duration) []time.Duration {
 	var out []time.Duration
 	for now := from; now < until; now += 10 * time.Millisecond {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// most returns the most sends in a second.
+// most returns the maximum number of sends within a second.
 func most(sends []time.Duration) int {
 	out := 0
 	for i := range sends {
@@ -61,7 +61,7 @@
 		}
 		cold := sent(boxes, names, "plain", start, start+5*time.Second)
 		is.True(most(cold) <= mostCold)
-		is.True(len(cold) >= 5) // it gets some work
+		is.True(len(cold) >= 5)
 		warm := sent(boxes, names, "plain", start+5*time.Second, start+6*time.Second)
 		is.True(len(warm) > 10*mostCold)
 	}
@@ -166,7 +166,7 @@
 			if c.Reason != placement.None {
 				continue
 			}
-			late = 240*time.Millisecond - late // each second connection is late
+			late = 240*time.Millisecond - late // every second connection is late
 			b.Written(&c, now+late)
 			written = append(written, now+late)
 			b.End(&c, placement.Answered, time.Millisecond, now+late)
--- a/placement/copy_test.go
+++ b/placement/copy_test.go
@@ -10,9 +10,10 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-const fastLink = 400_000 // Mbit/s, over which a shared part is copied in a small part of the time that reading takes
+const fastLink = 400_000 // Mbit/s; a copy is much faster than prefill
 
-// copying returns a policy whose engines copy what they keep, over a link that fast.
+// copying returns a policy with engines that copy cached segments over a link of this
+// speed.
 func copying(mbps float64) catalog.Policy {
 	p := policy()
 	p.Version = 2
@@ -22,7 +23,8 @@
 	return p
 }
 
-// crowd has another box tell so much work at a replica that the next goes elsewhere.
+// crowd records enough load of another box that the next request is sent to another
+// replica.
 func (b *box) crowd(replica string, now time.Duration) {
 	b.Told("b", []placement.OwnLoad{{
 		Replica: replica,
@@ -45,14 +47,14 @@
 	b := newBox("a", "hall", replicas("engine", 3)...)
 	b.SetTable(catalog.NewTable(copying(fastLink)))
 	first := b.picked(askShared("manual", "r-1"), start)
-	is.Equal(first.CopyFrom, "") // none keeps them yet
+	is.Equal(first.CopyFrom, "") // none has them cached
 	b.crowd(first.Replica, start)
 	second := b.picked(askShared("manual", "r-2"), start)
 	is.True(second.Replica != first.Replica)
 	is.Equal(second.CopyFrom, first.Addr)
-	is.Equal(second.Reads, prompt-shared) // only its own part is read
+	is.Equal(second.Reads, prompt-shared) // its shared segment is copied
 	third := b.picked(askShared("manual", "r-3"), start)
-	is.Equal(third.CopyFrom, "") // it has them by now, or is where they are
+	is.Equal(third.CopyFrom, "") // the replica has them cached
 }
 
 func TestSharedPartsAreReadWhereACopyIsSlowerOrNotToBeHad(t *testing.T) {
--- a/placement/export_test.go
+++ b/placement/export_test.go
@@ -1,7 +1,7 @@
 package placement
 
-// LookAgain has all that the catalog holds looked at when it is taken next.
+// LookAgain makes the next Take read all entries.
 func (v *View) LookAgain() { v.index.stale = true }
 
-// Doubtful says whether a replica gets nothing new since it may be gone.
+// Doubtful reports whether the removal of the replica is unconfirmed.
 func (r *Replica) Doubtful() bool { return r.unconfirmed }
--- a/placement/fuzz_test.go
+++ b/placement/fuzz_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	actions = 120 // in one run
+	actions = 120 // per run
 	known   = 3   // replicas of each service
 )
 
-// open is a request that was counted in.
+// open is a request that Pick accepted and End hasn't released.
 type open struct {
 	choice placement.Choice
 	load   placement.Load
 }
 
-// region is a box, what is published to it, and what it has to count.
+// region is a box with its catalog and the expected loads.
 type region struct {
 	*rapid.T
 	*box
@@ -60,7 +60,7 @@
 	r.publish(r.now, r.evacuated, all...)
 	for id := range r.left {
 		if r.Get(id) == nil {
-			delete(r.left, id) // forgotten, a long time after
+			delete(r.left, id) // evicted
 		}
 	}
 }
@@ -84,13 +84,13 @@
 	info := catalog.Replica{
 		ID:       id,
 		Service:  id[:len(id)-2],
-		Addr:     fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*known).Draw(r.T, "address")), // at times that of another
+		Addr:     fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*known).Draw(r.T, "address")), // sometimes that of another
 		Domain:   rapid.SampledFrom([]string{"hall", "attic"}).Draw(r.T, "domain"),
 		Region:   "north",
 		Slots:    rapid.IntRange(0, 4).Draw(r.T, "slots"),
 		Leaving:  rapid.IntRange(0, 5).Draw(r.T, "leaving") == 0,
 		ColdLeft: catalog.Millis(rapid.SampledFrom([]int{0, 0, 300, 3000}).Draw(r.T, "cold")),
-		Revision: r.rev + 1, // as it is published below
+		Revision: r.rev + 1, // the next revision
 	}
 	if info.Leaving {
 		r.left[id] = true
@@ -160,7 +160,7 @@
 	})
 }
 
-// superseded says whether a newer entry has the address of a replica.
+// superseded reports whether a newer entry has the address of a replica.
 func (r *region) superseded(info catalog.Replica) bool {
 	for _, other := range r.published {
 		if other.Addr == info.Addr && other.Revision > info.Revision {
@@ -170,7 +170,7 @@
 	return false
 }
 
-// mayServe checks that a replica may be chosen for a request.
+// mayServe checks that a choice is allowed.
 func (r *region) mayServe(c placement.Choice, req placement.Request) {
 	info, listed := r.published[c.Replica]
 	switch {
@@ -217,7 +217,7 @@
 	if isOut := r.Get(o.choice.Replica).Out(r.now); told != (isOut && !wasOut) {
 		r.Fatalf("told %v; out before: %v, after: %v", told, wasOut, isOut)
 	}
-	r.End(&o.choice, result, 0, r.now) // counts nothing a second time
+	r.End(&o.choice, result, 0, r.now) // no effect the second time
 }
 
 func (r *region) told() {
@@ -236,7 +236,7 @@
 	}).Draw(r.T, "time")
 }
 
-// check compares what is counted with the requests that are open.
+// check compares the recorded loads with the open requests.
 func (r *region) check() {
 	want := make(map[string]placement.Load)
 	for _, o := range r.open {
--- a/placement/incarnation_test.go
+++ b/placement/incarnation_test.go
@@ -16,7 +16,7 @@
 	secondBorn = firstBorn + 60_000
 )
 
-// started returns the only replica of a service, of a start.
+// started returns an incarnation of the only replica of a service.
 func started(service string, born int64) catalog.Replica {
 	r := replicas(service, 1)[0]
 	r.Born = born
@@ -24,9 +24,8 @@
 	return r
 }
 
-// A replica that crashed was back under its id before its entry went. What a box
-// believed of the process that was gone it went on believing of the new one: prompts
-// that it had read, a load, failures, silence, and that it was leaving.
+// Guards against state of a crashed process that is applied to the next incarnation under
+// the same id.
 func TestNothingIsBelievedOfAStartThatWasBelievedOfTheOneBefore(t *testing.T) {
 	for name, teach := range map[string]func(b *box, replica string, now time.Duration){
 		"prompts that it was given": func(b *box, _ string, now time.Duration) {
@@ -106,10 +105,10 @@
 			is.Equal(got.Slow(now), want.Slow(now))
 			is.Equal(got.WordAge(now), want.WordAge(now))
 			is.True(!got.Out(now))
-			choice := b.Pick(askShared("manual", "r-1"), alone, now+time.Minute) // by then nothing is paced
+			choice := b.Pick(askShared("manual", "r-1"), alone, now+time.Minute) // after all rate limits
 			is.Equal(choice.Reason, placement.None)
 			is.Equal(choice.Replica, next.Start())
-			is.Equal(choice.ID, "engine-0") // which it answers to
+			is.Equal(choice.ID, "engine-0") // the id
 			plain := fresh.Pick(askShared("manual", "r-1"), alone, now+time.Minute)
 			is.Equal(choice.Reads, plain.Reads)
 			is.Equal(choice.Expect, plain.Expect)
@@ -130,12 +129,12 @@
 	for i := range under {
 		b.End(&under[i], placement.Silent, time.Second, now)
 	}
-	is.Equal(b.Get(under[0].Replica).Own(), placement.Load{}) // they are counted out where they were counted in
+	is.Equal(b.Get(under[0].Replica).Own(), placement.Load{}) // released at the incarnation that received them
 	got := b.Get(next.Start())
 	is.Equal(got.Own(), placement.Load{})
 	is.True(!got.Out(now))
 	is.Equal(got.Failing(now), 0.0)
-	is.Equal(len(sent([]*box{b}, alone, "plain", now, now+time.Second)), 100) // and it isn't paced
+	is.Equal(len(sent([]*box{b}, alone, "plain", now, now+time.Second)), 100) // not rate-limited
 }
 
 func TestAStartThatWasTriedDoesntStandForTheNext(t *testing.T) {
@@ -161,12 +160,12 @@
 	}
 	b.Says(started("engine", firstBorn).Start(), word)
 	is.True(b.Get(next.Start()).WordAge(now) < 0)
-	is.True(!b.Says("engine-0", word)) // of no start
+	is.True(!b.Says("engine-0", word)) // not an incarnation
 	is.True(b.Says(next.Start(), word))
 }
 
-// Boxes hear of a new start at different times, and those that have not yet send to the
-// same process by the name of the old one.
+// Guards against a cold replica that receives twice its rate because boxes learn of its new
+// incarnation at different times.
 func TestAColdReplicaThatStartedAgainIsPacedForBoxesThatKnowEitherStart(t *testing.T) {
 	is := is.New(t)
 	cold := func(born int64) catalog.Replica {
@@ -205,9 +204,8 @@
 	is.True(b.Pacer().IsCold("plain-0", now))
 }
 
-// The watch over silence asks where a request would go and leaves those out that take no
-// connection. It was told their ids, while what was tried is held against starts, so that it
-// was told the same dark one again and again.
+// Guards against Next returning an id: Tried holds incarnations, so the same unreachable
+// replica would be returned again.
 func TestWhereARequestWouldGoIsNamedByItsStart(t *testing.T) {
 	is := is.New(t)
 	replica := started("plain", firstBorn)
@@ -219,7 +217,7 @@
 	is.Equal(b.Next(req, alone, start).Reason, placement.Tried)
 }
 
-// That it took no connection counts as for one that was chosen, but it had nothing counted in.
+// Guards against End releasing load that Next did not reserve.
 func TestOneThatOnlyWouldHaveBeenChosenMayBeFoundUnreachable(t *testing.T) {
 	is := is.New(t)
 	replica := started("plain", firstBorn)
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -14,8 +14,8 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// publishedAs is one of few ids with one of few addresses, in either region, of services
-// that a policy names or not.
+// publishedAs draws an entry with one of a few ids and addresses, in either region, of a
+// defined or undefined service.
 func publishedAs(t *rapid.T, revision int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
@@ -29,7 +29,7 @@
 	}
 }
 
-// update is anything that a box may be told at a revision.
+// update draws an update at a revision.
 func update(t *rapid.T, revision int64) catalog.Update {
 	u := catalog.Update{
 		Revision: revision,
@@ -58,7 +58,7 @@
 	return u
 }
 
-// believed is what a view holds of each start that is listed.
+// believed returns the recorded state of the listed incarnations.
 func believed(v *placement.View) []string {
 	var out []string
 	for _, r := range v.Replicas() {
@@ -96,8 +96,7 @@
 	})
 }
 
-// fleetOf returns a content and a view of as many replicas, half of them in the view's
-// region.
+// fleetOf returns a catalog of n replicas and a view of the region that holds half of them.
 func fleetOf(n int) (*catalog.Content, *placement.View) {
 	content := catalog.NewContent()
 	view := placement.NewView("north", "hall", pacing.New("box", terms))
@@ -117,7 +116,7 @@
 	return content, view
 }
 
-// numbered is one of many replicas.
+// numbered returns the i-th replica.
 func numbered(i int, revision int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       fmt.Sprintf("engine-%06d", i),
@@ -130,7 +129,7 @@
 	}
 }
 
-// change has one of the replicas change at a revision.
+// change updates one replica.
 func change(content *catalog.Content, i int, revision int64) {
 	replica := numbered(i, revision)
 	content.Take(catalog.Update{
@@ -143,8 +142,7 @@
 	})
 }
 
-// changes has a replica after the other of n change, and returns what n changes allocate
-// on average.
+// changes returns the mean allocations for a change of one among n replicas.
 func changes(n int) (objects, bytes uint64) {
 	const changes = 500
 	content, view := fleetOf(n)
@@ -160,18 +158,17 @@
 	return (after.Mallocs - before.Mallocs) / changes, (after.TotalAlloc - before.TotalAlloc) / changes
 }
 
-// Each change of one replica had a box copy and sort all of them: with 6,000 replicas,
-// of which some hundred change within seconds, that alone took a small box all its time.
+// Guards against a cost per change that grows with the number of replicas.
 func TestAChangeOfOneReplicaTakesNoMoreAmongManyReplicas(t *testing.T) {
 	is := is.New(t)
 	fewObjects, fewBytes := changes(600)
 	manyObjects, manyBytes := changes(12_000)
 	t.Logf("for a change of 600 replicas %d allocations of %d bytes, of 12,000 %d of %d", fewObjects, fewBytes, manyObjects, manyBytes)
 	is.True(10*manyObjects <= 12*fewObjects)
-	is.True(manyBytes <= 2*fewBytes) // the lists of all grow by copying themselves
+	is.True(manyBytes <= 2*fewBytes) // slices of all replicas grow by copying
 }
 
-// BenchmarkAChange is the time that a change of one replica among 6,000 takes.
+// BenchmarkAChange measures a change of one replica among 6,000.
 func BenchmarkAChange(b *testing.B) {
 	content, view := fleetOf(6000)
 	b.ResetTimer()
@@ -181,7 +178,7 @@
 	}
 }
 
-// BenchmarkAnAnswer is the time that telling another box of one change takes.
+// BenchmarkAnAnswer measures the query for a single change.
 func BenchmarkAnAnswer(b *testing.B) {
 	content, _ := fleetOf(6000)
 	b.ResetTimer()
@@ -190,7 +187,7 @@
 	}
 }
 
-// BenchmarkAStart is the time that a box takes to take 6,000 replicas in.
+// BenchmarkAStart measures the initial read of 6,000 replicas.
 func BenchmarkAStart(b *testing.B) {
 	for range b.N {
 		fleetOf(6000)
--- a/placement/loss_test.go
+++ b/placement/loss_test.go
@@ -10,7 +10,7 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-const mostRisk = 2000.0 // an answer of no use, in thousandths
+const mostRisk = 2000.0 // for a useless answer, in thousandths
 
 func TestRiskIsWithinBoundsAndRisesWithTheWaitAndTheWork(t *testing.T) {
 	anyTime := rapid.Int64Range(0, int64(20*time.Second))
@@ -57,9 +57,9 @@
 	is.Equal(risk(10*time.Millisecond, 0.01), 0.0)
 	is.True(risk(2*time.Second, 0) >= 500)
 	is.True(risk(0, 3) >= 500)
-	is.True(risk(6*time.Second, 0) > risk(4*time.Second, 0)) // of no use is worse than late
+	is.True(risk(6*time.Second, 0) > risk(4*time.Second, 0)) // a useless answer is worse than a late one
 	is.Equal(placement.Outlook{
 		Expect: time.Hour,
 		Busy:   9,
-	}.Risk(placement.Goals{}), 0.0) // nothing is aimed at
+	}.Risk(placement.Goals{}), 0.0) // no targets
 }
--- a/placement/outcome_test.go
+++ b/placement/outcome_test.go
@@ -25,7 +25,7 @@
 	is.True(b.Get("steady-0").Out(start))
 	now := start
 	var before time.Duration
-	for range 8 { // it is left out ever longer, up to a bound
+	for range 8 { // the back-off grows up to a bound
 		away := now
 		for b.Get("steady-0").Out(now) {
 			is.Equal(pick(b, "steady", placement.Answered, now).Reason, placement.Out)
@@ -40,7 +40,7 @@
 		now += 100 * time.Millisecond
 	}
 	is.Equal(pick(b, "steady", placement.Answered, now).Replica, "steady-0")
-	is.Equal(fail(b, "steady", placement.Unreachable, now), sends) // as at first
+	is.Equal(fail(b, "steady", placement.Unreachable, now), sends) // the back-off is reset
 }
 
 func TestAnotherReplicaServesWhileOneIsLeftOut(t *testing.T) {
@@ -70,7 +70,7 @@
 		if b.End(&open[i], placement.Unreachable, 0, start) {
 			told++
 		}
-		is.True(!b.End(&open[i], placement.Unreachable, 0, start)) // it is counted out already
+		is.True(!b.End(&open[i], placement.Unreachable, 0, start)) // already released
 	}
 	is.Equal(told, 1)
 }
@@ -78,14 +78,14 @@
 func TestSilenceLeavesAReplicaOutAfterSome(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
-	now := start + 10*time.Second // it was listed long ago, and nothing came since
+	now := start + 10*time.Second // long after it was listed
 	sends := fail(b, "steady", placement.Silent, now)
 	is.True(sends >= 2 && sends <= 6) // a single request may have met a restart
 	is.True(b.Get("steady-0").Failing(now) > 0)
 }
 
-// Seen on the users' bench: connections that were cut together, and resets beside
-// answers, had replicas left out that answered all the time.
+// Guards against the ejection of replicas that respond while some connections to them are
+// cut or reset.
 func TestAReplicaThatAnsweredJustNowIsNotTakenForDead(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
@@ -93,12 +93,12 @@
 	for range 20 {
 		is.Equal(pick(b, "steady", placement.Answered, now).Reason, placement.None)
 		now += 50 * time.Millisecond
-		for range 5 { // cut together
+		for range 5 { // all at once
 			is.Equal(pick(b, "steady", placement.Silent, now).Reason, placement.None)
 		}
 		now += 50 * time.Millisecond
 	}
-	is.True(b.Get("steady-0").Failing(now) > 0.3) // it is used less where there is another
+	is.True(b.Get("steady-0").Failing(now) > 0.3) // it receives fewer requests if there is another
 }
 
 func TestAnAnswerBetweenSilencesKeepsAReplicaIn(t *testing.T) {
@@ -125,7 +125,7 @@
 	is.Equal(b.Get("steady-0").Failing(start), 0.0)
 }
 
-// A replica that refuses looks idle, so it would be sent more and more.
+// Guards against more requests to a replica that refuses them and therefore looks idle.
 func TestAReplicaThatRefusesIsUsedLessButNotLeftOut(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 2)...)
@@ -159,7 +159,7 @@
 		is.True(r.Failing(start) <= 1)
 		before = r.Failing(start)
 	}
-	is.True(!r.Out(start)) // it answers, after all
+	is.True(!r.Out(start)) // it still responds
 	is.Equal(pick(b, "steady", placement.Abandoned, start).Replica, "steady-1")
 	is.True(r.Failing(start+3*time.Second) < before)
 	is.True(r.Failing(start+longOn) < 0.001)
@@ -201,7 +201,7 @@
 	is.Equal(b.Quiet(&c, sent, sent+2*time.Second), time.Duration(0))
 	b.End(&c, placement.Answered, time.Second, sent+3*time.Second)
 	is.Equal(b.Quiet(&c, sent, sent+time.Hour), time.Duration(0))
-	b.Heard(&c, start) // of a request that ended: nothing happens
+	b.Heard(&c, start) // no effect after End
 	b.First(&c, time.Second, start)
 }
 
@@ -214,7 +214,7 @@
 	b.First(&c, time.Second, start)
 	is.Equal(r.Own().Unread, 0)
 	is.True(r.Own().Tokens > 0)
-	b.First(&c, time.Second, start) // told twice
+	b.First(&c, time.Second, start) // repeated
 	is.Equal(r.Own().Unread, 0)
 	b.End(&c, placement.Answered, time.Second, start)
 	is.Equal(r.Own(), placement.Load{})
@@ -239,15 +239,15 @@
 	b.Told("c", work(2), start)
 	is.Equal(r.Load(start).Requests, 5)
 	is.Equal(r.Load(start).Tokens, 50)
-	is.Equal(r.Own(), placement.Load{}) // it isn't this box's
-	b.Told("b", work(1), start)         // in place of what it told before
+	is.Equal(r.Own(), placement.Load{}) // unaffected
+	b.Told("b", work(1), start)         // replaces the first report
 	is.Equal(r.Load(start).Requests, 3)
 	c := b.Pick(askShared("manual", "k"), alone, start)
 	for b.Get(c.Replica) != r {
 		c = b.Pick(askShared("manual", "k"), alone, start)
 	}
 	is.True(r.Load(start).Requests > 3)
-	b.Told("b", nil, start) // it names none, so it has none
+	b.Told("b", nil, start) // no load at any replica
 	is.Equal(r.Load(start).Requests, 2+r.Own().Requests)
 	is.Equal(r.Load(start+time.Minute).Requests, r.Own().Requests)
 }
@@ -267,12 +267,12 @@
 	is.Equal(r.Load(start).Requests, 4)
 	b.Loaded(&c, 6, start)
 	is.Equal(r.Load(start).Requests, 6)
-	is.Equal(r.Load(start).Tokens, 30) // of that it says nothing
+	is.Equal(r.Load(start).Tokens, 30) // not in the response
 	is.Equal(r.Load(start+time.Second/2).Requests, 4)
-	b.Loaded(&c, 0, start) // it said so before it took this one
+	b.Loaded(&c, 0, start) // reported before this request arrived
 	is.Equal(r.Load(start).Requests, 1)
 	b.End(&c, placement.Answered, time.Millisecond, start)
-	b.Loaded(&c, 9, start) // it is counted out
+	b.Loaded(&c, 9, start) // no effect after End
 	is.Equal(r.Load(start).Requests, 0)
 }
 
@@ -311,7 +311,7 @@
 	req.Tried = []string{"steady-1"}
 	for i := range 3 {
 		c := b.Pick(req, alone, start)
-		is.Equal(b.Muted(&c, start+time.Second), i == 2) // the third in a row without any answer
+		is.Equal(b.Muted(&c, start+time.Second), i == 2) // third consecutive request without a response
 	}
 	is.True(b.Get("steady-0").Out(start + time.Second))
 	is.True(!b.Get("steady-1").Out(start + time.Second))
--- a/placement/pick_test.go
+++ b/placement/pick_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// fail sends requests until the only replica of a service is left out.
+// fail sends requests until the only replica of a service is ejected, and returns their
+// number.
 func fail(b *box, service string, result placement.Result, now time.Duration) int {
 	for n := range 10 {
 		c := b.Pick(ask(service, fmt.Sprint(n)), alone, now)
@@ -150,7 +151,7 @@
 	}
 	all := replicas("plain", 2)
 	is.Equal(abouts(b.publish(start, nil, all...)), []string{"plain-0", "plain-1"})
-	is.Equal(abouts(b.publish(start, nil, all...)), nil) // nothing is new
+	is.Equal(abouts(b.publish(start, nil, all...)), nil)
 	all[1].Leaving = true
 	all[1].Revision = 2
 	is.Equal(abouts(b.publish(start, nil, all...)), []string{"plain-1"})
@@ -179,9 +180,9 @@
 		}
 		used[want]++
 	}
-	is.Equal(len(used), 6) // parts are spread over all
+	is.Equal(len(used), 6) // segments are spread over all
 	for _, n := range used {
-		is.True(n < 30) // and none has half of them
+		is.True(n < 30) // and no replica has half of them
 	}
 }
 
@@ -210,7 +211,7 @@
 	is.True(first.Missing >= again.Missing)
 	is.True(again.Expect < first.Expect || first.Missing == 0)
 	late := b.Pick(askShared("manual", "3"), alone, start+longOn)
-	is.True(late.Missing > 0) // it has given way
+	is.True(late.Missing > 0) // evicted
 }
 
 func TestAHotPartSpreadsWhenItsFirstReplicaIsCrowded(t *testing.T) {
@@ -277,11 +278,11 @@
 		}
 		got[c.Replica]++
 	}
-	is.True(got["plain-0"] >= 8 && got["plain-0"] <= 100) // its slots at least
+	is.True(got["plain-0"] >= 8 && got["plain-0"] <= 100) // at least its slots
 	is.Equal(got["plain-0"], got["plain-1"])
 }
 
-// The key of a request is there to spread requests that share nothing.
+// Guards against sending all requests without shared segments to the same replica.
 func TestIdleReplicasShareRequestsWithoutSharedParts(t *testing.T) {
 	for _, service := range []string{"plain", "engine"} {
 		t.Run(service, func(t *testing.T) {
--- a/placement/rank_test.go
+++ b/placement/rank_test.go
@@ -15,7 +15,7 @@
 	req.Prompt = 80_000 // of 100,000
 	req.Rank = 1
 	is.Equal(b.Pick(req, alone, start).Reason, placement.None)
-	is.Equal(b.Pick(req, alone, start).Reason, placement.Full) // there is no room for two
+	is.Equal(b.Pick(req, alone, start).Reason, placement.Full) // no capacity for two
 }
 
 func TestALargePromptOfTheLeastUrgentWaitsWhereOthersHoldMuch(t *testing.T) {
--- a/placement/region_test.go
+++ b/placement/region_test.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	start  = time.Minute    // of the tests' clock; pacers have started long before
-	longOn = 10 * time.Hour // later than anything that is remembered
-	prompt = 4000           // tokens of a usual prompt
-	shared = 3000           // of them in a shared part
+	start  = time.Minute    // of the test clock; long after pacers started
+	longOn = 10 * time.Hour // later than all timeouts
+	prompt = 4000           // tokens of a typical prompt
+	shared = 3000           // of these in a shared segment
 )
 
-// terms are the bound on cold replicas, as the platform's example has it.
+// terms limit the requests to cold replicas.
 var terms = pacing.Terms{
 	Overage: 1.5,
 	Slack:   3,
 }
 
-// policy holds a service of engines, a plain one and one without a cold rate.
+// policy returns a policy with a service of engines, a plain one and one without a limit on
+// requests to cold replicas.
 func policy() catalog.Policy {
 	return catalog.Policy{
 		Version: 1,
@@ -61,7 +62,7 @@
 	return out
 }
 
-// box is a view with the catalog it follows.
+// box is a view with its catalog.
 type box struct {
 	*placement.View
 	content *catalog.Content
@@ -78,7 +79,7 @@
 	return b
 }
 
-// publish replaces all that is published.
+// publish replaces the catalog's content and applies it.
 func (b *box) publish(now time.Duration, evacuated []string, all ...catalog.Replica) []placement.Belief {
 	b.rev++
 	b.content.Take(catalog.Update{
@@ -93,10 +94,10 @@
 	return b.Take(b.content, now)
 }
 
-// alone is the list of boxes of a region with one box.
+// alone lists the boxes of a region with a single box.
 var alone = []string{"a"}
 
-// ask returns a request of a service with its own key.
+// ask returns a request of a service.
 func ask(service, key string) placement.Request {
 	return placement.Request{
 		Service: service,
@@ -104,7 +105,7 @@
 	}
 }
 
-// askShared returns a request whose prompt begins with a shared part.
+// askShared returns a request whose prompt starts with a shared segment.
 func askShared(part, key string) placement.Request {
 	return placement.Request{
 		Service: "engine",
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -14,22 +14,22 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// Figures of the engines in the replay, by the sheet of the users' large installation.
+// Parameters of the engines in the replay.
 const (
 	replayEngines  = 52
 	replaySlots    = 32
 	replayMemory   = 232_000 // tokens
-	replayChunk    = 2048    // prompt tokens read in a step
-	replayReadRate = 38.7    // of these in a millisecond
-	replayStride   = 9       // tokens of an event
+	replayChunk    = 2048    // prompt tokens prefilled per step
+	replayReadRate = 38.7    // prompt tokens per millisecond
+	replayStride   = 9       // tokens per event
 	replayStep     = 5470 * time.Microsecond
-	replayStepMore = 12 * time.Microsecond // for each request that runs
+	replayStepMore = 12 * time.Microsecond // per running request
 )
 
-// replayKind is a kind of request.
+// replayKind is a class of requests.
 type replayKind struct {
-	rate     float64 // a second, all boxes together
-	shared   int     // tokens of the part that requests of one subject share
+	rate     float64 // per second, all boxes together
+	shared   int     // tokens of the segment that requests of one subject share
 	own      int
 	out      int
 	subjects int
@@ -38,7 +38,7 @@
 	rank     float64
 }
 
-// replayKinds are the long prompts and the long answers of a region at its peak.
+// replayKinds are the long prompts and the long answers of a region at peak load.
 var replayKinds = []replayKind{
 	{
 		rate:     210,
@@ -61,19 +61,19 @@
 	},
 }
 
-const replayGap = 600 * time.Millisecond // between events that is aimed at
+const replayGap = 600 * time.Millisecond // latency target between events
 
-// knowledge is what boxes know of each other's requests.
+// knowledge is how boxes learn of each other's requests.
 type knowledge int
 
 const (
-	blind   knowledge = iota // nothing
-	loads                    // each tells all others what it has, four times a second
-	byWords                  // the words of all engines, as they spread by a beat's datagrams
-	byNeed                   // the words that boxes ask for and tell each other
+	blind   knowledge = iota // not at all
+	loads                    // each sends its own loads to all others, four times a second
+	byWords                  // load reports of all engines, with the delay of gossip
+	byNeed                   // load reports of polled engines, gossiped while busy
 )
 
-// replay is a region: boxes before engines, in virtual time.
+// replay simulates the boxes and engines of a region in virtual time.
 type replay struct {
 	rnd     *rand.Rand
 	clock   virtual.Clock
@@ -81,23 +81,23 @@
 	boxes   []*placement.View
 	names   []string
 	know    knowledge
-	load    float64 // factor of the rates
+	load    float64 // factor of the request rates
 	owed    int
 	inTime  int
 	late    int
 	refused int
-	again   int // shared tokens read though some engine keeps them
+	again   int // shared tokens prefilled although some engine has them cached
 	seen    map[string]bool
-	worst   int // most requests seen at an engine
-	asked   int // questions to engines
-	told    int // words told to other boxes
+	worst   int // most requests at one engine
+	asked   int // polls of engines
+	told    int // load reports sent to other boxes
 }
 
 func newReplay(seed uint64, boxes int, know knowledge, load float64) *replay {
 	return newReplayOf(seed, replayEngines, boxes, know, load)
 }
 
-// newReplayOf is a replay of so many engines.
+// newReplayOf returns a replay with so many engines.
 func newReplayOf(seed uint64, engines, boxes int, know knowledge, load float64) *replay {
 	c := &replay{
 		rnd:  rand.New(rand.NewPCG(seed, 3)),
@@ -146,7 +146,7 @@
 	return c
 }
 
-// play lets requests come for a time.
+// play runs the replay for a time.
 func (c *replay) play(d time.Duration) {
 	for i := range replayKinds {
 		c.arrive(&replayKinds[i])
@@ -156,7 +156,7 @@
 	for _, e := range c.engines {
 		for _, r := range e.runs {
 			if r.first && r.pause <= replayGap && c.clock.Now()-r.last <= replayGap {
-				c.inTime++ // as far as it is known
+				c.inTime++ // on time so far
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 	})
 }
 
-// send has a box choose an engine for a request.
+// send has a random box choose an engine for a request.
 func (c *replay) send(k *replayKind) {
 	b := c.rnd.IntN(len(c.boxes))
 	part := fmt.Sprint(k.shared, "-", c.rnd.IntN(k.subjects))
@@ -208,7 +208,7 @@
 	c.engines[n].take(c, r)
 }
 
-// token makes a token of a request's answer, and says whether it was the last.
+// token generates a token of an answer and returns true for the last one.
 func (c *replay) token(r *replayRun) (done bool) {
 	r.made++
 	if (r.made%replayStride != 0 || r.made > 0) && r.made < 0 {
@@ -220,7 +220,7 @@
 		v.First(&r.choice, c.clock.Now()-r.start, c.clock.Now())
 		r.pause = 0
 		if c.clock.Now()-r.start > r.kind.goal {
-			r.pause = time.Hour // late already
+			r.pause = time.Hour // already late
 		}
 	} else {
 		r.pause = max(r.pause, c.clock.Now()-r.last)
@@ -266,8 +266,7 @@
 	}
 }
 
-// ask has a box ask the engines that it needs to, and tell the others what they need to
-// know.
+// ask has a box poll engines and gossip the reports of busy ones.
 func (c *replay) ask(b int) {
 	now := c.clock.Now()
 	v := c.boxes[b]
@@ -279,14 +278,14 @@
 		v.Says(r.Start(), c.word(n))
 	}
 	for _, w := range v.Words(now) {
-		if w.At == now { // it is the one that asked; others pass it on
+		if w.At == now { // only the box that polled starts the gossip
 			c.told++
 			c.spread(w.Replica, w.Word)
 		}
 	}
 }
 
-// word returns what an engine says now.
+// word returns the load report of an engine.
 func (c *replay) word(n int) placement.Word {
 	e := c.engines[n]
 	tokens := 0
@@ -301,7 +300,7 @@
 	}
 }
 
-// spread takes an engine's word to all boxes, as datagrams to two boxes at each beat do.
+// spread sends a load report to all boxes with the delay of gossip.
 func (c *replay) spread(id string, w placement.Word) {
 	rounds := math.Log(float64(len(c.boxes))) / math.Log(3)
 	for _, v := range c.boxes {
@@ -310,13 +309,11 @@
 	}
 }
 
-// share returns the part of all requests that was served in time.
+// share returns the share of requests that were on time.
 func (c *replay) share() float64 { return float64(c.inTime) / float64(c.owed) }
 
-// The load of a region at its peak. Among 32 and 98 boxes that tell each other nothing
-// some engines got twice what others did; those that sought the least loaded engine by
-// what all of them knew went to the same ones, and read shared parts there again: 0.72 of
-// all requests were in time, where one box that knew all had 0.97.
+// Guards against boxes that all choose the same engine from the same reports, or overload
+// one without reports, at the peak load of a region.
 func TestManyBoxesServeNearlyWhatOneThatKnowsAllDoes(t *testing.T) {
 	const d = 12 * time.Second
 	for _, load := range []float64{0.8, 1} {
@@ -335,7 +332,7 @@
 			}
 			got := play("words", boxes, byWords)
 			if boxes > 32 {
-				continue // callers are told to use fewer
+				continue // callers use fewer boxes
 			}
 			if got.share() < alone.share()-0.05 {
 				t.Errorf("%d boxes serve %.3f in time, one that knows all %.3f", boxes, got.share(), alone.share())
@@ -347,8 +344,7 @@
 	}
 }
 
-// Boxes that ask and tell only what is needed serve as much, over eight seeds, as single
-// ones differ by 0.02 whatever is known.
+// Guards against a loss of service when only the reports of busy engines are gossiped.
 func TestWordsOfBusyEnginesAloneServeNearlyWhatOneThatKnowsAllDoes(t *testing.T) {
 	const seeds = 8
 	mean := func(boxes int, know knowledge) float64 {
@@ -370,9 +366,7 @@
 	}
 }
 
-// The same load before more and more engines, so that each has less of it: 32 boxes that
-// asked each engine twice and a half a second asked 2,600 of them 6,500 times a second for
-// 140 requests.
+// Guards against polls that grow with the number of engines at the same load.
 func TestQuestionsToEnginesFollowTheRequestsNotTheEngines(t *testing.T) {
 	const d = 8 * time.Second
 	asked := make(map[int]float64)
--- a/placement/replayengine_test.go
+++ b/placement/replayengine_test.go
@@ -23,14 +23,14 @@
 
 // replayEngine runs requests in steps.
 type replayEngine struct {
-	wait  []*replayRun // not read whole yet, in order
+	wait  []*replayRun // awaiting prefill, in order
 	runs  []*replayRun
-	kept  map[string]time.Duration // parts, and when they were last used
-	used  int                      // tokens of them
-	steps bool                     // a step is under way
+	kept  map[string]time.Duration // cached segments by time of last use
+	used  int                      // tokens of cached segments
+	steps bool                     // a step is in progress
 }
 
-// take lets a request in.
+// take accepts a request.
 func (e *replayEngine) take(c *replay, r *replayRun) {
 	if _, ok := e.kept[r.part]; !ok {
 		r.unread += r.kind.shared
@@ -39,7 +39,7 @@
 		}
 		c.seen[r.part] = true
 		e.used += r.kind.shared
-		for e.used > replayMemory/2 { // the rest is for what runs
+		for e.used > replayMemory/2 { // the rest is for running requests
 			e.forget()
 		}
 	}
@@ -52,7 +52,7 @@
 	}
 }
 
-// forget drops the part that was not used for longest.
+// forget evicts the least recently used segment.
 func (e *replayEngine) forget() {
 	oldest := ""
 	for p, at := range e.kept {
@@ -66,7 +66,7 @@
 	delete(e.kept, oldest)
 }
 
-// step makes a token for each request that runs, and reads a piece of those that wait.
+// step generates a token for each running request and prefills a chunk of waiting ones.
 func (e *replayEngine) step(c *replay) {
 	if len(e.wait)+len(e.runs) == 0 {
 		e.steps = false
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -10,7 +10,7 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// says has an engine's word reach the box.
+// says records a load report.
 func (b *box) says(replica string, requests, waiting int, at time.Duration) bool {
 	return b.Says(replica, placement.Word{
 		Requests: requests,
@@ -20,7 +20,7 @@
 	})
 }
 
-// loadOf returns what a choice of the replica finds there.
+// loadOf returns the load that Pick reads for a replica.
 func (b *box) loadOf(replica string, now time.Duration) placement.Load {
 	req := askShared("part", "request")
 	for n := range 1000 {
@@ -41,13 +41,13 @@
 	is.True(b.says("engine-0", 3, 1, start))
 	is.Equal(b.loadOf("engine-0", start+time.Millisecond).Requests, 3)
 	c := b.Pick(askShared("part", "k"), alone, start+2*time.Millisecond)
-	is.True(b.loadOf("engine-0", start+3*time.Millisecond).Requests >= 4) // the word doesn't have it yet
-	is.True(!b.says("engine-0", 9, 0, start))                             // no later word
+	is.True(b.loadOf("engine-0", start+3*time.Millisecond).Requests >= 4) // not in the report yet
+	is.True(!b.says("engine-0", 9, 0, start))                             // not newer
 	is.True(!b.says("other", 9, 0, start+time.Second))
 	is.True(b.says("engine-0", 2, 0, start+100*time.Millisecond))
-	is.Equal(b.loadOf("engine-0", start+101*time.Millisecond).Requests, 2) // this one has it
+	is.Equal(b.loadOf("engine-0", start+101*time.Millisecond).Requests, 2) // included in the report
 	b.End(&c, placement.Answered, time.Millisecond, start+102*time.Millisecond)
-	is.Equal(b.loadOf("engine-0", start+10*time.Second).Requests, 0) // too old
+	is.Equal(b.loadOf("engine-0", start+10*time.Second).Requests, 0) // expired
 }
 
 func TestWordsAreToldTheLatestFirstWhileTheyCount(t *testing.T) {
@@ -62,8 +62,8 @@
 	is.Equal(list[1].Requests, 3)
 }
 
-// An engine with less than the mean looked best to all boxes until the next words came,
-// and got requests of all of them.
+// Guards against boxes that all choose the engine with the lowest report until the next one
+// arrives.
 func TestAnEngineWithLittleToDoIsNoBetterThanTheMean(t *testing.T) {
 	is := is.New(t)
 	all := replicas("engine", 40)
@@ -87,7 +87,7 @@
 		b.says(c.Replica, 6, 0, start+time.Millisecond+time.Duration(n))
 	}
 	is.True(got["engine-0"] <= 40) // four times its part, not all
-	is.True(got["engine-1"] <= 10) // it has more than the mean
+	is.True(got["engine-1"] <= 10) // above the mean
 }
 
 func TestARegionWhoseSlotsAreTakenIsBusy(t *testing.T) {
@@ -117,7 +117,7 @@
 		b.End(&c, placement.Answered, time.Millisecond, start+time.Millisecond)
 	}
 	is.Equal(b.Outlook(ask("engine", "k"), alone, start+time.Second).Usable, 1)
-	is.Equal(b.Outlook(ask("engine", "k"), alone, start+3*time.Second).Usable, 2) // the word is old
+	is.Equal(b.Outlook(ask("engine", "k"), alone, start+3*time.Second).Usable, 2) // the report is too old
 	silent.At = start + 4*time.Second
 	req := ask("engine", "k")
 	req.Tried = []string{"engine-1"}
@@ -125,7 +125,7 @@
 	is.Equal(c.Replica, "engine-0")
 	b.Says("engine-0", silent)
 	b.First(&c, time.Millisecond, silent.At+time.Millisecond)
-	is.Equal(b.Outlook(ask("engine", "k"), alone, silent.At+2*time.Millisecond).Usable, 2) // it is only the other box that can't hear it
+	is.Equal(b.Outlook(ask("engine", "k"), alone, silent.At+2*time.Millisecond).Usable, 2) // only the other box gets no response
 	is.True(b.says("engine-0", 1, 0, silent.At+time.Second))
 	is.Equal(len(b.Changed()), 1)
 }
--- a/placement/segment_test.go
+++ b/placement/segment_test.go
@@ -11,7 +11,7 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// told returns what a box tells of the prompts that its replicas were given.
+// told returns the segments by replica that a box reports to others.
 func told(b *box, now time.Duration) map[string][]placement.PartKey {
 	out := make(map[string][]placement.PartKey)
 	for _, l := range b.Tell(now) {
@@ -29,12 +29,12 @@
 	b.Pick(askShared("manual", "r-2"), alone, start+time.Second)
 	small := askShared("leaflet", "r-3")
 	small.Parts[0].Tokens = 100
-	b.Pick(small, alone, start+time.Second) // not worth a word
+	b.Pick(small, alone, start+time.Second) // too short to report
 	is.Equal(told(b, start+time.Second), map[string][]placement.PartKey{
 		"engine-0": {placement.KeyOf("manual")},
 	})
 	is.Equal(len(told(b, start+5*time.Second)), 1)
-	is.Equal(len(told(b, start+6*time.Second)), 0) // all have heard it by now
+	is.Equal(len(told(b, start+6*time.Second)), 0) // no longer gossiped
 }
 
 func TestABoxTellsTheNewestPromptsOnly(t *testing.T) {
@@ -63,7 +63,7 @@
 		Kept:    []placement.PartKey{placement.KeyOf("manual")},
 	}}, start)
 	at := start + time.Second
-	is.Equal(b.picked(askShared("manual", "r-2"), at).Replica, all[other].ID) // though another is the first in rank
+	is.Equal(b.picked(askShared("manual", "r-2"), at).Replica, all[other].ID) // not the preferred one
 	b.crowd(all[other].ID, at)
 	spilled := b.picked(askShared("manual", "r-3"), at)
 	is.True(spilled.Replica != all[other].ID)
@@ -84,5 +84,5 @@
 	all[0].ColdLeft = 1000
 	all[0].Revision = 2
 	b.publish(start, nil, all...)
-	is.Equal(b.Outlook(askShared("manual", "r-1"), alone, start).Unsent, shared) // it came back without
+	is.Equal(b.Outlook(askShared("manual", "r-1"), alone, start).Unsent, shared) // a cold replica has none cached
 }
--- a/placement/steps_test.go
+++ b/placement/steps_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 1)...)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	is.Equal(b.Steps("engine"), 5.0) // until anything is known
+	is.Equal(b.Steps("engine"), 5.0) // the default
 	for range 300 {
 		events := 4 + rnd.IntN(60)
 		guess := 9 * float64(events) * math.Exp(0.5*rnd.NormFloat64()) // right in the median
@@ -23,14 +23,13 @@
 	is.True(b.Steps("engine") < 10.8)
 	is.Equal(b.Steps("other"), 5.0)
 	known := b.Steps("engine")
-	b.Streamed("engine", 2, 1000) // too short to say anything
-	b.Streamed("engine", 20, 0)   // nobody guessed
+	b.Streamed("engine", 2, 1000) // too short
+	b.Streamed("engine", 20, 0)   // no hint
 	is.Equal(b.Steps("engine"), known)
 }
 
-// Where an event takes nine steps of an engine, two prompts of 9,000 tokens between two
-// events are a pause of 0.65 s, which the streams that aim at 0.6 s lost; with five steps
-// the same prompts were thought to do no harm.
+// Guards against too low an interference cost at engines whose events take more steps than
+// the default.
 func TestALongPromptHarmsStreamsWhoseEventsTakeMoreSteps(t *testing.T) {
 	is := is.New(t)
 	req := askShared("part", "k")
--- a/placement/unconfirmed_test.go
+++ b/placement/unconfirmed_test.go
@@ -9,7 +9,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// lapse has the catalog miss replicas just after an outage.
+// lapse applies an unsettled snapshot with only the given replicas.
 func (b *box) lapse(left ...catalog.Replica) {
 	b.rev++
 	b.content.Take(catalog.Update{
