--- a/placement/address_test.go
+++ b/placement/address_test.go
@@ -30,7 +30,7 @@
 	is.Equal(news[1].About, "old")
 	is.Equal(news[1].Reason, "replica's address has another")
 	for i := range 10 {
-		c := b.Pick(ask("engine", fmt.Sprint(i)), alone, start)
+		c := b.Pick(newRequest("engine", fmt.Sprint(i)), alone, start)
 		is.Equal(c.ID, "new")
 		b.End(&c, placement.Answered, 0, start)
 	}
@@ -41,7 +41,7 @@
 	b := newBox("a", "hall", at("one", "127.0.0.1:1", 1), at("two", "127.0.0.1:2", 2), at("three", "127.0.0.1:2", 2))
 	seen := make(map[string]bool)
 	for i := range 30 {
-		c := b.Pick(ask("engine", fmt.Sprint(i)), alone, start)
+		c := b.Pick(newRequest("engine", fmt.Sprint(i)), alone, start)
 		seen[c.ID] = true
 	}
 	is.Equal(len(seen), 3)
@@ -54,7 +54,7 @@
 	foreign.Service = "nobody's"
 	b := newBox("a", "hall", at("real", "127.0.0.1:1", 1))
 	b.publish(start, nil, at("real", "127.0.0.1:1", 1), foreign)
-	c := b.Pick(ask("engine", "k"), alone, start)
+	c := b.Pick(newRequest("engine", "k"), alone, start)
 	is.Equal(c.ID, "real")
 }
 
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -13,14 +13,14 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-const mostCold = 6 // per second: 2 x 1.5 + 3
+const maxColdSends = 6 // per second: 2 x 1.5 + 3
 
-// sent has boxes send as many requests as allowed and returns the times of sending.
-func sent(boxes []*box, names []string, service string, from, until time.Duration) []time.Duration {
+// sendAll has boxes send as many requests as allowed and returns the times of sending.
+func sendAll(boxes []*box, names []string, service string, from, until time.Duration) []time.Duration {
 	var out []time.Duration
 	for now := from; now < until; now += 10 * time.Millisecond {
 		for i, b := range boxes {
-			c := b.Pick(ask(service, fmt.Sprint(now, i)), names, now)
+			c := b.Pick(newRequest(service, fmt.Sprint(now, i)), names, now)
 			if c.Reason == placement.None {
 				out = append(out, now)
 				b.End(&c, placement.Answered, time.Millisecond, now)
@@ -30,8 +30,8 @@
 	return out
 }
 
-// most returns the maximum number of sends within a second.
-func most(sends []time.Duration) int {
+// maxPerSecond returns the maximum number of sends within a second.
+func maxPerSecond(sends []time.Duration) int {
 	out := 0
 	for i := range sends {
 		n := 0
@@ -59,58 +59,58 @@
 		for _, name := range names {
 			boxes = append(boxes, newBox(name, "hall", coldReplica(5000)))
 		}
-		cold := sent(boxes, names, "plain", start, start+5*time.Second)
-		is.True(most(cold) <= mostCold)
+		cold := sendAll(boxes, names, "plain", start, start+5*time.Second)
+		is.True(maxPerSecond(cold) <= maxColdSends)
 		is.True(len(cold) >= 5)
-		warm := sent(boxes, names, "plain", start+5*time.Second, start+6*time.Second)
-		is.True(len(warm) > 10*mostCold)
+		warm := sendAll(boxes, names, "plain", start+5*time.Second, start+6*time.Second)
+		is.True(len(warm) > 10*maxColdSends)
 	}
 }
 
-func TestAPacedReplicaTellsWhenToAskAgain(t *testing.T) {
+func TestARateLimitedReplicaReturnsAWait(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", coldReplica(60_000))
 	now := start
 	for range 50 {
-		c := b.Pick(ask("plain", "k"), alone, now)
+		c := b.Pick(newRequest("plain", "k"), alone, now)
 		if c.Reason == placement.None {
 			b.End(&c, placement.Answered, time.Millisecond, now)
 			continue
 		}
 		is.Equal(c.Reason, placement.Paced)
 		is.True(c.Wait > 0)
-		is.Equal(b.Outlook(ask("plain", "k"), alone, now).Reason, placement.Paced)
+		is.Equal(b.Outlook(newRequest("plain", "k"), alone, now).Reason, placement.Paced)
 		now += c.Wait
-		c = b.Pick(ask("plain", "k"), alone, now)
+		c = b.Pick(newRequest("plain", "k"), alone, now)
 		is.Equal(c.Reason, placement.None)
 		b.End(&c, placement.Answered, time.Millisecond, now)
 	}
 	is.True(now > start)
 }
 
-func TestWorkGoesToWarmReplicasWhileOneIsPaced(t *testing.T) {
+func TestRequestsGoToWarmReplicasWhileOneIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	all := append([]catalog.Replica{coldReplica(5000)}, replicas("plain", 2)[1])
 	b := newBox("a", "hall", all...)
 	got := map[string]int{}
 	for n := range 200 {
 		now := start + time.Duration(n)*5*time.Millisecond
-		c := b.Pick(ask("plain", fmt.Sprint(n)), alone, now)
+		c := b.Pick(newRequest("plain", fmt.Sprint(n)), alone, now)
 		is.Equal(c.Reason, placement.None)
 		got[c.Replica]++
 		b.End(&c, placement.Answered, time.Millisecond, now)
 	}
-	is.True(got["plain-0"] <= mostCold)
+	is.True(got["plain-0"] <= maxColdSends)
 	is.Equal(got["plain-0"]+got["plain-1"], 200)
 }
 
-func TestAServiceWithoutAColdRateIsNotPaced(t *testing.T) {
+func TestAServiceWithoutAColdRateIsNotRateLimited(t *testing.T) {
 	is := is.New(t)
 	r := replicas("steady", 1)[0]
 	r.ColdLeft = 5000
 	r.Revision = 2
 	b := newBox("a", "hall", r)
-	is.Equal(len(sent([]*box{b}, alone, "steady", start, start+time.Second)), 100)
+	is.Equal(len(sendAll([]*box{b}, alone, "steady", start, start+time.Second)), 100)
 }
 
 func TestReplicasOfAReopenedDomainAreCold(t *testing.T) {
@@ -118,22 +118,22 @@
 	all := replicas("plain", 1)
 	b := newBox("a", "hall", all...)
 	b.publish(start, []string{"hall"}, all...)
-	is.Equal(len(sent([]*box{b}, alone, "plain", start, start+time.Second)), 0)
+	is.Equal(len(sendAll([]*box{b}, alone, "plain", start, start+time.Second)), 0)
 	b.publish(start+time.Second, nil, all...)
-	is.True(most(sent([]*box{b}, alone, "plain", start+time.Second, start+4*time.Second)) <= mostCold)
+	is.True(maxPerSecond(sendAll([]*box{b}, alone, "plain", start+time.Second, start+4*time.Second)) <= maxColdSends)
 }
 
-func TestAReplicaThatWasOutOfReachIsColdWhenItIsBack(t *testing.T) {
+func TestAnEjectedReplicaIsColdAfterItsBackoff(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("plain", 1)...)
-	fail(b, "plain", placement.Unreachable, start)
-	sends := sent([]*box{b}, alone, "plain", start, start+3*time.Second)
+	failUntilEjected(b, "plain", placement.Unreachable, start)
+	sends := sendAll([]*box{b}, alone, "plain", start, start+3*time.Second)
 	is.True(len(sends) > 0)
-	is.True(most(sends) <= mostCold)
+	is.True(maxPerSecond(sends) <= maxColdSends)
 }
 
 // A replica may be published before the policy with its service.
-func TestAColdReplicaListedBeforeItsServiceIsPaced(t *testing.T) {
+func TestAColdReplicaListedBeforeItsServiceIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	b := &box{
 		View:    placement.NewView("north", "hall", pacing.New("a", terms)),
@@ -142,16 +142,16 @@
 	b.publish(start, nil, coldReplica(5000))
 	b.SetTable(catalog.NewTable(policy()))
 	b.publish(start, nil, coldReplica(5000))
-	sends := sent([]*box{b}, alone, "plain", start, start+3*time.Second)
+	sends := sendAll([]*box{b}, alone, "plain", start, start+3*time.Second)
 	is.True(len(sends) > 0)
-	is.True(most(sends) <= mostCold)
+	is.True(maxPerSecond(sends) <= maxColdSends)
 }
 
-func TestAChoiceSaysAmongHowManyBoxesAColdReplicaIsShared(t *testing.T) {
+func TestAChoiceReportsHowManyBoxesShareAColdReplica(t *testing.T) {
 	is := is.New(t)
 	cold := newBox("a", "hall", coldReplica(5000))
-	is.Equal(cold.Pick(ask("plain", "k"), alone, start).Sharers, len(alone))
-	is.Equal(cold.Pick(ask("plain", "k"), alone, start+5*time.Second).Sharers, 0)
+	is.Equal(cold.Pick(newRequest("plain", "k"), alone, start).Sharers, len(alone))
+	is.Equal(cold.Pick(newRequest("plain", "k"), alone, start+5*time.Second).Sharers, 0)
 }
 
 func TestSendsToAColdReplicaCountFromWhenTheyAreWritten(t *testing.T) {
@@ -162,7 +162,7 @@
 		b := newBox(name, "hall", coldReplica(8000))
 		late := time.Duration(0)
 		for now := 2 * time.Second; now < 8*time.Second; now += 10 * time.Millisecond {
-			c := b.Pick(ask("plain", fmt.Sprint(now, i)), names, now)
+			c := b.Pick(newRequest("plain", fmt.Sprint(now, i)), names, now)
 			if c.Reason != placement.None {
 				continue
 			}
@@ -174,5 +174,5 @@
 	}
 	slices.Sort(written)
 	is.True(len(written) > 20)
-	is.True(most(written) <= mostCold)
+	is.True(maxPerSecond(written) <= maxColdSends)
 }
--- a/placement/copy_test.go
+++ b/placement/copy_test.go
@@ -12,9 +12,9 @@
 
 const fastLink = 400_000 // Mbit/s; a copy is much faster than prefill
 
-// copying returns a policy with engines that copy cached segments over a link of this
+// copyPolicy returns a policy with engines that copy cached segments over a link of this
 // speed.
-func copying(mbps float64) catalog.Policy {
+func copyPolicy(mbps float64) catalog.Policy {
 	p := policy()
 	p.Version = 2
 	p.Services[0].Engine.Copies = true
@@ -23,9 +23,9 @@
 	return p
 }
 
-// crowd records enough load of another box that the next request is sent to another
+// addPeerLoad records enough load of another box that the next request is sent to another
 // replica.
-func (b *box) crowd(replica string, now time.Duration) {
+func (b *box) addPeerLoad(replica string, now time.Duration) {
 	b.Told("b", []placement.OwnLoad{{
 		Replica: replica,
 		Load: placement.Load{
@@ -35,8 +35,8 @@
 	}}, now)
 }
 
-// picked sends a request that is answered at once and returns the choice.
-func (b *box) picked(req placement.Request, now time.Duration) placement.Choice {
+// pickAndEnd sends a request that is answered at once and returns the choice.
+func (b *box) pickAndEnd(req placement.Request, now time.Duration) placement.Choice {
 	c := b.Pick(req, alone, now)
 	b.End(&c, placement.Answered, time.Millisecond, now)
 	return c
@@ -45,15 +45,15 @@
 func TestSharedPartsAreCopiedFromTheReplicaThatKeepsThem(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 3)...)
-	b.SetTable(catalog.NewTable(copying(fastLink)))
-	first := b.picked(askShared("manual", "r-1"), start)
+	b.SetTable(catalog.NewTable(copyPolicy(fastLink)))
+	first := b.pickAndEnd(newSharedRequest("manual", "r-1"), start)
 	is.Equal(first.CopyFrom, "") // none has them cached
-	b.crowd(first.Replica, start)
-	second := b.picked(askShared("manual", "r-2"), start)
+	b.addPeerLoad(first.Replica, start)
+	second := b.pickAndEnd(newSharedRequest("manual", "r-2"), start)
 	is.True(second.Replica != first.Replica)
 	is.Equal(second.CopyFrom, first.Addr)
 	is.Equal(second.Reads, prompt-shared) // its shared segment is copied
-	third := b.picked(askShared("manual", "r-3"), start)
+	third := b.pickAndEnd(newSharedRequest("manual", "r-3"), start)
 	is.Equal(third.CopyFrom, "") // the replica has them cached
 }
 
@@ -67,13 +67,13 @@
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := copying(fastLink)
+			p := copyPolicy(fastLink)
 			change(&p)
 			b := newBox("a", "hall", replicas("engine", 3)...)
 			b.SetTable(catalog.NewTable(p))
-			first := b.picked(askShared("manual", "r-1"), start)
-			b.crowd(first.Replica, start)
-			second := b.picked(askShared("manual", "r-2"), start)
+			first := b.pickAndEnd(newSharedRequest("manual", "r-1"), start)
+			b.addPeerLoad(first.Replica, start)
+			second := b.pickAndEnd(newSharedRequest("manual", "r-2"), start)
 			is.True(second.Replica != first.Replica)
 			is.Equal(second.CopyFrom, "")
 			is.Equal(second.Reads, prompt)
@@ -81,16 +81,16 @@
 	}
 }
 
-func TestNothingIsCopiedFromAReplicaThatMayBeLost(t *testing.T) {
+func TestNothingIsCopiedFromAReplicaThatMayHaveCrashed(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 3)...)
-	b.SetTable(catalog.NewTable(copying(fastLink)))
-	first := b.picked(askShared("manual", "r-1"), start)
-	c := b.Pick(askShared("manual", "r-2"), alone, start)
+	b.SetTable(catalog.NewTable(copyPolicy(fastLink)))
+	first := b.pickAndEnd(newSharedRequest("manual", "r-1"), start)
+	c := b.Pick(newSharedRequest("manual", "r-2"), alone, start)
 	is.Equal(c.Replica, first.Replica)
 	b.End(&c, placement.Silent, time.Millisecond, start)
-	b.crowd(first.Replica, start)
-	other := b.picked(askShared("manual", "r-3"), start)
+	b.addPeerLoad(first.Replica, start)
+	other := b.pickAndEnd(newSharedRequest("manual", "r-3"), start)
 	is.True(other.Replica != first.Replica)
 	is.True(other.CopyFrom != first.Addr)
 }
--- a/placement/export_test.go
+++ b/placement/export_test.go
@@ -1,7 +1,7 @@
 package placement
 
-// LookAgain makes the next Take read all entries.
-func (v *View) LookAgain() { v.index.stale = true }
+// InvalidateIndex makes the next Take read all entries.
+func (v *View) InvalidateIndex() { v.index.stale = true }
 
-// Doubtful reports whether the removal of the replica is unconfirmed.
-func (r *Replica) Doubtful() bool { return r.unconfirmed }
+// Unconfirmed reports whether the removal of the replica is unconfirmed.
+func (r *Replica) Unconfirmed() bool { return r.unconfirmed }
--- a/placement/fuzz_test.go
+++ b/placement/fuzz_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	actions = 120 // per run
-	known   = 3   // replicas of each service
+	actions            = 120 // per run
+	replicasPerService = 3   // replicas of each service
 )
 
 // open is a request that Pick accepted and End hasn't released.
@@ -30,7 +30,7 @@
 	*box
 	now       time.Duration
 	published map[string]catalog.Replica
-	left      map[string]bool // ids that were published as leaving
+	leaving   map[string]bool // ids that were published as leaving
 	evacuated []string
 	open      []open
 }
@@ -41,10 +41,10 @@
 		box:       newBox("a", "hall"),
 		now:       start,
 		published: make(map[string]catalog.Replica),
-		left:      make(map[string]bool),
+		leaving:   make(map[string]bool),
 	}
 	for _, service := range []string{"engine", "plain"} {
-		for _, info := range replicas(service, known) {
+		for _, info := range replicas(service, replicasPerService) {
 			r.published[info.ID] = info
 		}
 	}
@@ -58,9 +58,9 @@
 		all = append(all, info)
 	}
 	r.publish(r.now, r.evacuated, all...)
-	for id := range r.left {
+	for id := range r.leaving {
 		if r.Get(id) == nil {
-			delete(r.left, id) // evicted
+			delete(r.leaving, id) // evicted
 		}
 	}
 }
@@ -70,7 +70,7 @@
 }
 
 func (r *region) id() string {
-	return fmt.Sprintf("%s-%d", r.service(), rapid.IntRange(0, known-1).Draw(r.T, "replica"))
+	return fmt.Sprintf("%s-%d", r.service(), rapid.IntRange(0, replicasPerService-1).Draw(r.T, "replica"))
 }
 
 // change publishes a change of one replica.
@@ -84,7 +84,7 @@
 	info := catalog.Replica{
 		ID:       id,
 		Service:  id[:len(id)-2],
-		Addr:     fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*known).Draw(r.T, "address")), // sometimes that of another
+		Addr:     fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*replicasPerService).Draw(r.T, "address")), // sometimes that of another
 		Domain:   rapid.SampledFrom([]string{"hall", "attic"}).Draw(r.T, "domain"),
 		Region:   "north",
 		Slots:    rapid.IntRange(0, 4).Draw(r.T, "slots"),
@@ -93,7 +93,7 @@
 		Revision: r.rev + 1, // the next revision
 	}
 	if info.Leaving {
-		r.left[id] = true
+		r.leaving[id] = true
 	}
 	r.published[id] = info
 	r.republish()
@@ -110,7 +110,7 @@
 }
 
 func (r *region) request() placement.Request {
-	req := ask(r.service(), fmt.Sprint(len(r.open)))
+	req := newRequest(r.service(), fmt.Sprint(len(r.open)))
 	if req.Service == "engine" {
 		req.Prompt = rapid.SampledFrom([]int{1, 500, 5000, 60_000}).Draw(r.T, "prompt")
 		req.Out = rapid.SampledFrom([]int{0, 1, 400}).Draw(r.T, "out")
@@ -182,7 +182,7 @@
 		r.Fatalf("another replica is at %s", info.Addr)
 	case info.Addr != c.Addr:
 		r.Fatalf("%s is at %s, not %s", c.Replica, info.Addr, c.Addr)
-	case r.left[c.Replica]:
+	case r.leaving[c.Replica]:
 		r.Fatalf("%s has left", c.Replica)
 	case slices.Contains(r.evacuated, info.Domain):
 		r.Fatalf("%s is in a closed domain", c.Replica)
@@ -213,14 +213,14 @@
 	r.open = slices.Delete(r.open, i, i+1)
 	result := placement.Result(rapid.IntRange(int(placement.Answered), int(placement.Misdirected)).Draw(r.T, "result"))
 	wasOut := r.Get(o.choice.Replica).Out(r.now)
-	told := r.End(&o.choice, result, time.Duration(rapid.IntRange(0, 900).Draw(r.T, "hold"))*time.Millisecond, r.now)
-	if isOut := r.Get(o.choice.Replica).Out(r.now); told != (isOut && !wasOut) {
-		r.Fatalf("told %v; out before: %v, after: %v", told, wasOut, isOut)
+	ejected := r.End(&o.choice, result, time.Duration(rapid.IntRange(0, 900).Draw(r.T, "hold"))*time.Millisecond, r.now)
+	if isOut := r.Get(o.choice.Replica).Out(r.now); ejected != (isOut && !wasOut) {
+		r.Fatalf("told %v; out before: %v, after: %v", ejected, wasOut, isOut)
 	}
 	r.End(&o.choice, result, 0, r.now) // no effect the second time
 }
 
-func (r *region) told() {
+func (r *region) recordPeerLoad() {
 	r.Told("b", []placement.OwnLoad{{
 		Replica: r.id(),
 		Load: placement.Load{
@@ -265,10 +265,10 @@
 	}
 }
 
-func TestRequestsAreCountedInAndOutExactly(t *testing.T) {
+func TestLoadsMatchTheOpenRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t)
-		acts := []func(){r.pick, r.pick, r.pick, r.pick, r.first, r.end, r.end, r.change, r.evacuate, r.told, r.pass}
+		acts := []func(){r.pick, r.pick, r.pick, r.pick, r.first, r.end, r.end, r.change, r.evacuate, r.recordPeerLoad, r.pass}
 		for range actions {
 			rapid.SampledFrom(acts).Draw(t, "action")()
 			r.check()
--- a/placement/incarnation_test.go
+++ b/placement/incarnation_test.go
@@ -29,7 +29,7 @@
 func TestNothingIsBelievedOfAStartThatWasBelievedOfTheOneBefore(t *testing.T) {
 	for name, teach := range map[string]func(b *box, replica string, now time.Duration){
 		"prompts that it was given": func(b *box, _ string, now time.Duration) {
-			c := b.Pick(askShared("manual", "r"), alone, now)
+			c := b.Pick(newSharedRequest("manual", "r"), alone, now)
 			b.End(&c, placement.Answered, time.Millisecond, now)
 		},
 		"prompts that others gave it": func(b *box, replica string, now time.Duration) {
@@ -39,7 +39,7 @@
 			}}, now)
 		},
 		"requests under way": func(b *box, _ string, now time.Duration) {
-			b.Pick(ask("engine", "k"), alone, now)
+			b.Pick(newRequest("engine", "k"), alone, now)
 		},
 		"others' requests": func(b *box, replica string, now time.Duration) {
 			b.Told("b", []placement.OwnLoad{{
@@ -63,16 +63,16 @@
 			})
 		},
 		"failures": func(b *box, _ string, now time.Duration) {
-			pick(b, "engine", placement.Failed, now)
+			pickWithResult(b, "engine", placement.Failed, now)
 		},
 		"that it is out of reach": func(b *box, _ string, now time.Duration) {
-			fail(b, "engine", placement.Unreachable, now)
+			failUntilEjected(b, "engine", placement.Unreachable, now)
 		},
 		"that another one answers at its address": func(b *box, _ string, now time.Duration) {
-			pick(b, "engine", placement.Misdirected, now)
+			pickWithResult(b, "engine", placement.Misdirected, now)
 		},
 		"slowness": func(b *box, _ string, now time.Duration) {
-			c := b.Pick(ask("engine", "k"), alone, now)
+			c := b.Pick(newRequest("engine", "k"), alone, now)
 			b.First(&c, time.Second, now)
 			b.End(&c, placement.Answered, time.Second, now)
 		},
@@ -105,11 +105,11 @@
 			is.Equal(got.Slow(now), want.Slow(now))
 			is.Equal(got.WordAge(now), want.WordAge(now))
 			is.True(!got.Out(now))
-			choice := b.Pick(askShared("manual", "r-1"), alone, now+time.Minute) // after all rate limits
+			choice := b.Pick(newSharedRequest("manual", "r-1"), alone, now+time.Minute) // after all rate limits
 			is.Equal(choice.Reason, placement.None)
 			is.Equal(choice.Replica, next.Start())
 			is.Equal(choice.ID, "engine-0") // the id
-			plain := fresh.Pick(askShared("manual", "r-1"), alone, now+time.Minute)
+			plain := fresh.Pick(newSharedRequest("manual", "r-1"), alone, now+time.Minute)
 			is.Equal(choice.Reads, plain.Reads)
 			is.Equal(choice.Expect, plain.Expect)
 		})
@@ -121,7 +121,7 @@
 	b := newBox("a", "hall", started("plain", firstBorn))
 	var under []placement.Choice
 	for n := range 5 {
-		under = append(under, b.Pick(ask("plain", fmt.Sprint(n)), alone, start))
+		under = append(under, b.Pick(newRequest("plain", fmt.Sprint(n)), alone, start))
 	}
 	next := started("plain", secondBorn)
 	b.publish(start, nil, next)
@@ -134,14 +134,14 @@
 	is.Equal(got.Own(), placement.Load{})
 	is.True(!got.Out(now))
 	is.Equal(got.Failing(now), 0.0)
-	is.Equal(len(sent([]*box{b}, alone, "plain", now, now+time.Second)), 100) // not rate-limited
+	is.Equal(len(sendAll([]*box{b}, alone, "plain", now, now+time.Second)), 100) // not rate-limited
 }
 
 func TestAStartThatWasTriedDoesntStandForTheNext(t *testing.T) {
 	is := is.New(t)
 	first := started("plain", firstBorn)
 	b := newBox("a", "hall", first)
-	req := ask("plain", "k")
+	req := newRequest("plain", "k")
 	req.Tried = []string{first.Start()}
 	is.Equal(b.Pick(req, alone, start).Reason, placement.Tried)
 	b.publish(start, nil, started("plain", secondBorn))
@@ -179,17 +179,17 @@
 		boxes = append(boxes, newBox(name, "hall", cold(firstBorn)))
 	}
 	until := start + 3*time.Second
-	sends := sent(boxes, names, "plain", start, until)
+	sends := sendAll(boxes, names, "plain", start, until)
 	for _, b := range boxes {
 		b.publish(until, nil, cold(secondBorn))
 		from := until
 		until += 400 * time.Millisecond
-		sends = append(sends, sent(boxes, names, "plain", from, until)...)
+		sends = append(sends, sendAll(boxes, names, "plain", from, until)...)
 		is.Equal(b.Pacer().IsCold("plain-0", until), true)
 	}
-	sends = append(sends, sent(boxes, names, "plain", until, until+2*time.Second)...)
+	sends = append(sends, sendAll(boxes, names, "plain", until, until+2*time.Second)...)
 	is.True(len(sends) > 10)
-	is.True(most(sends) <= mostCold)
+	is.True(maxPerSecond(sends) <= maxColdSends)
 }
 
 func TestAStartIsForgottenWhileTheNextIsPaced(t *testing.T) {
@@ -206,11 +206,11 @@
 
 // Guards against Next returning an id: Tried holds incarnations, so the same unreachable
 // replica would be returned again.
-func TestWhereARequestWouldGoIsNamedByItsStart(t *testing.T) {
+func TestNextReturnsAnIncarnation(t *testing.T) {
 	is := is.New(t)
 	replica := started("plain", firstBorn)
 	b := newBox("a", "hall", replica)
-	req := ask("plain", "k")
+	req := newRequest("plain", "k")
 	next := b.Next(req, alone, start)
 	is.Equal(next.Replica, replica.Start())
 	req.Tried = []string{next.Replica}
@@ -218,12 +218,12 @@
 }
 
 // Guards against End releasing load that Next did not reserve.
-func TestOneThatOnlyWouldHaveBeenChosenMayBeFoundUnreachable(t *testing.T) {
+func TestEndAfterNextCanEjectAReplica(t *testing.T) {
 	is := is.New(t)
 	replica := started("plain", firstBorn)
 	b := newBox("a", "hall", replica)
 	for range 2 {
-		next := b.Next(ask("plain", "k"), alone, start)
+		next := b.Next(newRequest("plain", "k"), alone, start)
 		b.End(&next, placement.Unreachable, time.Second, start)
 	}
 	got := b.Get(replica.Start())
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -14,9 +14,9 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// publishedAs draws an entry with one of a few ids and addresses, in either region, of a
+// drawReplica draws an entry with one of a few ids and addresses, in either region, of a
 // defined or undefined service.
-func publishedAs(t *rapid.T, revision int64) catalog.Replica {
+func drawReplica(t *rapid.T, revision int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
 		Born:     rapid.SampledFrom([]int64{0, 100, 200}).Draw(t, "born"),
@@ -29,20 +29,20 @@
 	}
 }
 
-// update draws an update at a revision.
-func update(t *rapid.T, revision int64) catalog.Update {
+// drawUpdate draws an drawUpdate at a revision.
+func drawUpdate(t *rapid.T, revision int64) catalog.Update {
 	u := catalog.Update{
 		Revision: revision,
 		Settled:  rapid.Bool().Draw(t, "settled"),
 	}
-	replica := publishedAs(t, revision)
+	replica := drawReplica(t, revision)
 	switch rapid.IntRange(0, 3).Draw(t, "what") {
 	case 0:
 		u.Snapshot = &catalog.Snapshot{
 			Revision: revision,
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "replicas") {
-			u.Snapshot.Replicas = append(u.Snapshot.Replicas, publishedAs(t, revision))
+			u.Snapshot.Replicas = append(u.Snapshot.Replicas, drawReplica(t, revision))
 		}
 	case 1:
 		u.Changes = []catalog.Change{{
@@ -58,18 +58,18 @@
 	return u
 }
 
-// believed returns the recorded state of the listed incarnations.
-func believed(v *placement.View) []string {
+// listedState returns the recorded state of the listed incarnations.
+func listedState(v *placement.View) []string {
 	var out []string
 	for _, r := range v.Replicas() {
 		if r.Listed() {
-			out = append(out, fmt.Sprintf("%s %+v %t", r.Start(), r.Info(), r.Doubtful()))
+			out = append(out, fmt.Sprintf("%s %+v %t", r.Start(), r.Info(), r.Unconfirmed()))
 		}
 	}
 	return out
 }
 
-func TestAViewThatTakesChangesIsLikeOneThatLooksAtAll(t *testing.T) {
+func TestIncrementalUpdatesEqualAFullRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		content := catalog.NewContent()
@@ -77,18 +77,18 @@
 		whole := placement.NewView("north", "hall", pacing.New("box", terms))
 		now := start
 		for revision := range int64(rapid.IntRange(1, 30).Draw(t, "updates")) {
-			content.Take(update(t, revision+1))
+			content.Take(drawUpdate(t, revision+1))
 			if rapid.IntRange(0, 5).Draw(t, "policy") == 0 {
 				p := policy()
 				p.Services = p.Services[:rapid.IntRange(1, len(p.Services)).Draw(t, "services")]
 				changes.SetTable(catalog.NewTable(p))
 				whole.SetTable(catalog.NewTable(p))
 			}
-			now += longOn / 10_000
+			now += longAfter / 10_000
 			changes.Take(content, now)
-			whole.LookAgain()
+			whole.InvalidateIndex()
 			whole.Take(content, now)
-			is.Equal(believed(changes), believed(whole))
+			is.Equal(listedState(changes), listedState(whole))
 			is.True(slices.IsSortedFunc(changes.Replicas(), func(a, b *placement.Replica) int {
 				return map[bool]int{true: -1, false: 1}[a.Start() < b.Start()]
 			}))
@@ -96,8 +96,8 @@
 	})
 }
 
-// fleetOf returns a catalog of n replicas and a view of the region that holds half of them.
-func fleetOf(n int) (*catalog.Content, *placement.View) {
+// newFleet returns a catalog of n replicas and a view of the region that holds half of them.
+func newFleet(n int) (*catalog.Content, *placement.View) {
 	content := catalog.NewContent()
 	view := placement.NewView("north", "hall", pacing.New("box", terms))
 	view.SetTable(catalog.NewTable(policy()))
@@ -105,7 +105,7 @@
 		Revision: int64(n),
 	}
 	for i := range n {
-		s.Replicas = append(s.Replicas, numbered(i, int64(i+1)))
+		s.Replicas = append(s.Replicas, numberedReplica(i, int64(i+1)))
 	}
 	content.Take(catalog.Update{
 		Snapshot: &s,
@@ -116,8 +116,8 @@
 	return content, view
 }
 
-// numbered returns the i-th replica.
-func numbered(i int, revision int64) catalog.Replica {
+// numberedReplica returns the i-th replica.
+func numberedReplica(i int, revision int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       fmt.Sprintf("engine-%06d", i),
 		Service:  "engine",
@@ -129,9 +129,9 @@
 	}
 }
 
-// change updates one replica.
-func change(content *catalog.Content, i int, revision int64) {
-	replica := numbered(i, revision)
+// changeReplica updates one replica.
+func changeReplica(content *catalog.Content, i int, revision int64) {
+	replica := numberedReplica(i, revision)
 	content.Take(catalog.Update{
 		Changes: []catalog.Change{{
 			Revision: revision,
@@ -145,12 +145,12 @@
 // changes returns the mean allocations for a change of one among n replicas.
 func changes(n int) (objects, bytes uint64) {
 	const changes = 500
-	content, view := fleetOf(n)
+	content, view := newFleet(n)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range changes {
 		revision := int64(n + i + 1)
-		change(content, i, revision)
+		changeReplica(content, i, revision)
 		view.Take(content, start)
 		content.Since(revision)
 	}
@@ -168,28 +168,28 @@
 	is.True(manyBytes <= 2*fewBytes) // slices of all replicas grow by copying
 }
 
-// BenchmarkAChange measures a change of one replica among 6,000.
-func BenchmarkAChange(b *testing.B) {
-	content, view := fleetOf(6000)
+// BenchmarkApplyChange measures a change of one replica among 6,000.
+func BenchmarkApplyChange(b *testing.B) {
+	content, view := newFleet(6000)
 	b.ResetTimer()
 	for i := range b.N {
-		change(content, i%6000, int64(6001+i))
+		changeReplica(content, i%6000, int64(6001+i))
 		view.Take(content, start)
 	}
 }
 
-// BenchmarkAnAnswer measures the query for a single change.
-func BenchmarkAnAnswer(b *testing.B) {
-	content, _ := fleetOf(6000)
+// BenchmarkChangesSince measures the query for a single change.
+func BenchmarkChangesSince(b *testing.B) {
+	content, _ := newFleet(6000)
 	b.ResetTimer()
 	for range b.N {
 		content.Since(6000)
 	}
 }
 
-// BenchmarkAStart measures the initial read of 6,000 replicas.
-func BenchmarkAStart(b *testing.B) {
+// BenchmarkInitialRead measures the initial read of 6,000 replicas.
+func BenchmarkInitialRead(b *testing.B) {
 	for range b.N {
-		fleetOf(6000)
+		newFleet(6000)
 	}
 }
--- a/placement/loss_test.go
+++ b/placement/loss_test.go
@@ -10,9 +10,9 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-const mostRisk = 2000.0 // for a useless answer, in thousandths
+const maxLoss = 2000.0 // for a useless answer, in thousandths
 
-func TestRiskIsWithinBoundsAndRisesWithTheWaitAndTheWork(t *testing.T) {
+func TestTheExpectedLossIsBoundedAndRisesWithWaitAndLoad(t *testing.T) {
 	anyTime := rapid.Int64Range(0, int64(20*time.Second))
 	rapid.Check(t, func(t *rapid.T) {
 		g := placement.Goals{
@@ -29,7 +29,7 @@
 			Busy:   low.Busy + rapid.Float64Range(0, 5).Draw(t, "more work"),
 		}
 		a, b := low.Risk(g), high.Risk(g)
-		if !(a >= 0 && a <= b && b <= mostRisk) {
+		if !(a >= 0 && a <= b && b <= maxLoss) {
 			t.Fatalf("%v: %g, %v: %g", low, a, high, b)
 		}
 		later := g
@@ -40,24 +40,24 @@
 	})
 }
 
-func TestAnIdleRegionIsNoRiskAndALateAnswerIs(t *testing.T) {
+func TestALateAnswerHasAnExpectedLossAndAnIdleRegionNone(t *testing.T) {
 	is := is.New(t)
 	g := placement.Goals{
 		First: time.Second,
 		Gap:   time.Second,
 		Left:  5 * time.Second,
 	}
-	risk := func(expect time.Duration, busy float64) float64 {
+	loss := func(expect time.Duration, busy float64) float64 {
 		return placement.Outlook{
 			Expect: expect,
 			Busy:   busy,
 		}.Risk(g)
 	}
-	is.Equal(risk(0, 0), 0.0)
-	is.Equal(risk(10*time.Millisecond, 0.01), 0.0)
-	is.True(risk(2*time.Second, 0) >= 500)
-	is.True(risk(0, 3) >= 500)
-	is.True(risk(6*time.Second, 0) > risk(4*time.Second, 0)) // a useless answer is worse than a late one
+	is.Equal(loss(0, 0), 0.0)
+	is.Equal(loss(10*time.Millisecond, 0.01), 0.0)
+	is.True(loss(2*time.Second, 0) >= 500)
+	is.True(loss(0, 3) >= 500)
+	is.True(loss(6*time.Second, 0) > loss(4*time.Second, 0)) // a useless answer is worse than a late one
 	is.Equal(placement.Outlook{
 		Expect: time.Hour,
 		Busy:   9,
--- a/placement/outcome_test.go
+++ b/placement/outcome_test.go
@@ -10,17 +10,17 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// pick picks a replica and ends the request at once.
-func pick(b *box, service string, result placement.Result, now time.Duration) placement.Choice {
-	c := b.Pick(ask(service, "k"), alone, now)
+// pickWithResult picks a replica and ends the request at once.
+func pickWithResult(b *box, service string, result placement.Result, now time.Duration) placement.Choice {
+	c := b.Pick(newRequest(service, "k"), alone, now)
 	b.End(&c, result, 10*time.Millisecond, now)
 	return c
 }
 
-func TestAnUnreachableReplicaIsLeftOutAndTriedAgainLater(t *testing.T) {
+func TestAnUnreachableReplicaIsEjectedAndRetriedLater(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
-	sends := fail(b, "steady", placement.Unreachable, start)
+	sends := failUntilEjected(b, "steady", placement.Unreachable, start)
 	is.True(sends >= 1 && sends <= 4)
 	is.True(b.Get("steady-0").Out(start))
 	now := start
@@ -28,110 +28,110 @@
 	for range 8 { // the back-off grows up to a bound
 		away := now
 		for b.Get("steady-0").Out(now) {
-			is.Equal(pick(b, "steady", placement.Answered, now).Reason, placement.Out)
+			is.Equal(pickWithResult(b, "steady", placement.Answered, now).Reason, placement.Out)
 			now += 100 * time.Millisecond
 		}
 		is.True(now-away >= before-100*time.Millisecond)
 		is.True(now-away <= 15*time.Second)
 		before = now - away
-		is.True(fail(b, "steady", placement.Unreachable, now) <= sends)
+		is.True(failUntilEjected(b, "steady", placement.Unreachable, now) <= sends)
 	}
 	for b.Get("steady-0").Out(now) {
 		now += 100 * time.Millisecond
 	}
-	is.Equal(pick(b, "steady", placement.Answered, now).Replica, "steady-0")
-	is.Equal(fail(b, "steady", placement.Unreachable, now), sends) // the back-off is reset
+	is.Equal(pickWithResult(b, "steady", placement.Answered, now).Replica, "steady-0")
+	is.Equal(failUntilEjected(b, "steady", placement.Unreachable, now), sends) // the back-off is reset
 }
 
-func TestAnotherReplicaServesWhileOneIsLeftOut(t *testing.T) {
+func TestAnotherReplicaServesWhileOneIsEjected(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 2)...)
 	for range 20 {
-		c := b.Pick(ask("steady", "k"), alone, start)
+		c := b.Pick(newRequest("steady", "k"), alone, start)
 		result := placement.Answered
 		if c.Replica == "steady-0" {
 			result = placement.Unreachable
 		}
 		b.End(&c, result, time.Millisecond, start)
 	}
-	is.Equal(pick(b, "steady", placement.Answered, start).Replica, "steady-1")
+	is.Equal(pickWithResult(b, "steady", placement.Answered, start).Replica, "steady-1")
 	is.True(!b.Get("steady-1").Out(start))
 }
 
-func TestEndTellsOnceThatAReplicaIsLeftOut(t *testing.T) {
+func TestEndReportsAnEjectionOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
 	var open []placement.Choice
 	for n := range 8 {
-		open = append(open, b.Pick(ask("steady", fmt.Sprint(n)), alone, start))
+		open = append(open, b.Pick(newRequest("steady", fmt.Sprint(n)), alone, start))
 	}
-	told := 0
+	ejections := 0
 	for i := range open {
 		if b.End(&open[i], placement.Unreachable, 0, start) {
-			told++
+			ejections++
 		}
 		is.True(!b.End(&open[i], placement.Unreachable, 0, start)) // already released
 	}
-	is.Equal(told, 1)
+	is.Equal(ejections, 1)
 }
 
-func TestSilenceLeavesAReplicaOutAfterSome(t *testing.T) {
+func TestRequestsWithoutAResponseEjectAReplica(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
 	now := start + 10*time.Second // long after it was listed
-	sends := fail(b, "steady", placement.Silent, now)
+	sends := failUntilEjected(b, "steady", placement.Silent, now)
 	is.True(sends >= 2 && sends <= 6) // a single request may have met a restart
 	is.True(b.Get("steady-0").Failing(now) > 0)
 }
 
 // Guards against the ejection of replicas that respond while some connections to them are
 // cut or reset.
-func TestAReplicaThatAnsweredJustNowIsNotTakenForDead(t *testing.T) {
+func TestAReplicaThatRespondedRecentlyIsNotEjected(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
 	now := start
 	for range 20 {
-		is.Equal(pick(b, "steady", placement.Answered, now).Reason, placement.None)
+		is.Equal(pickWithResult(b, "steady", placement.Answered, now).Reason, placement.None)
 		now += 50 * time.Millisecond
 		for range 5 { // all at once
-			is.Equal(pick(b, "steady", placement.Silent, now).Reason, placement.None)
+			is.Equal(pickWithResult(b, "steady", placement.Silent, now).Reason, placement.None)
 		}
 		now += 50 * time.Millisecond
 	}
 	is.True(b.Get("steady-0").Failing(now) > 0.3) // it receives fewer requests if there is another
 }
 
-func TestAnAnswerBetweenSilencesKeepsAReplicaIn(t *testing.T) {
+func TestAResponseResetsTheCountOfRequestsWithoutOne(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
 	for range 20 {
-		is.Equal(pick(b, "steady", placement.Silent, start).Reason, placement.None)
-		is.Equal(pick(b, "steady", placement.Answered, start).Reason, placement.None)
+		is.Equal(pickWithResult(b, "steady", placement.Silent, start).Reason, placement.None)
+		is.Equal(pickWithResult(b, "steady", placement.Answered, start).Reason, placement.None)
 	}
 }
 
 func TestAMisdirectedRequestLeavesAReplicaOutAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
-	is.Equal(fail(b, "steady", placement.Misdirected, start), 1)
+	is.Equal(failUntilEjected(b, "steady", placement.Misdirected, start), 1)
 }
 
-func TestCallersThatLeaveSayNothingAgainstAReplica(t *testing.T) {
+func TestAbandonedRequestsDontCountAgainstAReplica(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
 	for range 30 {
-		is.Equal(pick(b, "steady", placement.Abandoned, start).Reason, placement.None)
+		is.Equal(pickWithResult(b, "steady", placement.Abandoned, start).Reason, placement.None)
 	}
 	is.Equal(b.Get("steady-0").Failing(start), 0.0)
 }
 
 // Guards against more requests to a replica that refuses them and therefore looks idle.
-func TestAReplicaThatRefusesIsUsedLessButNotLeftOut(t *testing.T) {
+func TestAReplicaThatRefusesIsUsedLessButNotEjected(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 2)...)
 	used := map[string]int{}
 	for n := range 60 {
-		c := b.Pick(ask("steady", fmt.Sprint(n)), alone, start)
+		c := b.Pick(newRequest("steady", fmt.Sprint(n)), alone, start)
 		is.Equal(c.Reason, placement.None)
 		used[c.Replica]++
 		result := placement.Answered
@@ -151,7 +151,7 @@
 	r := b.Get("steady-0")
 	before := 0.0
 	for range 10 {
-		req := ask("steady", "k")
+		req := newRequest("steady", "k")
 		req.Tried = []string{"steady-1"}
 		c := b.Pick(req, alone, start)
 		b.End(&c, placement.Failed, 10*time.Millisecond, start)
@@ -160,9 +160,9 @@
 		before = r.Failing(start)
 	}
 	is.True(!r.Out(start)) // it still responds
-	is.Equal(pick(b, "steady", placement.Abandoned, start).Replica, "steady-1")
+	is.Equal(pickWithResult(b, "steady", placement.Abandoned, start).Replica, "steady-1")
 	is.True(r.Failing(start+3*time.Second) < before)
-	is.True(r.Failing(start+longOn) < 0.001)
+	is.True(r.Failing(start+longAfter) < 0.001)
 }
 
 func TestSlowAnswersRaiseTheExpectationForAWhile(t *testing.T) {
@@ -170,18 +170,18 @@
 	b := newBox("a", "hall", replicas("steady", 1)...)
 	r := b.Get("steady-0")
 	is.Equal(r.Slow(start), 1.0)
-	expect := b.Outlook(ask("steady", "k"), alone, start).Expect
+	expect := b.Outlook(newRequest("steady", "k"), alone, start).Expect
 	for range 10 {
-		c := b.Pick(ask("steady", "k"), alone, start)
+		c := b.Pick(newRequest("steady", "k"), alone, start)
 		b.First(&c, 10*c.Expect, start)
 		b.End(&c, placement.Abandoned, 0, start)
 		is.True(r.Slow(start) > 1)
 		is.True(r.Slow(start) < 100)
 	}
-	is.True(b.Outlook(ask("steady", "k"), alone, start).Expect > expect)
-	is.True(r.Slow(start+longOn) < 1.001)
+	is.True(b.Outlook(newRequest("steady", "k"), alone, start).Expect > expect)
+	is.True(r.Slow(start+longAfter) < 1.001)
 	for range 50 {
-		c := b.Pick(ask("steady", "k"), alone, start)
+		c := b.Pick(newRequest("steady", "k"), alone, start)
 		b.First(&c, c.Expect/10, start)
 		b.End(&c, placement.Abandoned, 0, start)
 		is.True(r.Slow(start) >= 1)
@@ -189,10 +189,10 @@
 	is.Equal(r.Slow(start), 1.0)
 }
 
-func TestQuietIsCountedFromTheLastBytesOrTheSend(t *testing.T) {
+func TestQuietStartsAtTheLastBytesOrTheSend(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
-	c := b.Pick(ask("steady", "k"), alone, start)
+	c := b.Pick(newRequest("steady", "k"), alone, start)
 	sent := start + time.Second
 	is.Equal(b.Quiet(&c, sent, sent+300*time.Millisecond), 300*time.Millisecond)
 	b.Heard(&c, sent+time.Second)
@@ -205,10 +205,10 @@
 	b.First(&c, time.Second, start)
 }
 
-func TestTheFirstByteEndsTheReadingOfThePrompt(t *testing.T) {
+func TestTheFirstByteEndsThePrefill(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 1)...)
-	c := b.Pick(askShared("manual", "k"), alone, start)
+	c := b.Pick(newSharedRequest("manual", "k"), alone, start)
 	r := b.Get("engine-0")
 	is.True(r.Own().Unread > 0)
 	b.First(&c, time.Second, start)
@@ -220,7 +220,7 @@
 	is.Equal(r.Own(), placement.Load{})
 }
 
-func TestOtherBoxesWorkCountsAndAgesOut(t *testing.T) {
+func TestPeerLoadsCountUntilTheyExpire(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 2)...)
 	r := b.Get("engine-0")
@@ -242,9 +242,9 @@
 	is.Equal(r.Own(), placement.Load{}) // unaffected
 	b.Told("b", work(1), start)         // replaces the first report
 	is.Equal(r.Load(start).Requests, 3)
-	c := b.Pick(askShared("manual", "k"), alone, start)
+	c := b.Pick(newSharedRequest("manual", "k"), alone, start)
 	for b.Get(c.Replica) != r {
-		c = b.Pick(askShared("manual", "k"), alone, start)
+		c = b.Pick(newSharedRequest("manual", "k"), alone, start)
 	}
 	is.True(r.Load(start).Requests > 3)
 	b.Told("b", nil, start) // no load at any replica
@@ -263,7 +263,7 @@
 			Tokens:   30,
 		},
 	}}, start)
-	c := b.Pick(ask("engine", "k"), alone, start)
+	c := b.Pick(newRequest("engine", "k"), alone, start)
 	is.Equal(r.Load(start).Requests, 4)
 	b.Loaded(&c, 6, start)
 	is.Equal(r.Load(start).Requests, 6)
@@ -276,7 +276,7 @@
 	is.Equal(r.Load(start).Requests, 0)
 }
 
-func TestABoxTellsItsOwnWorkOnly(t *testing.T) {
+func TestABoxReportsOnlyItsOwnLoad(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 3)...)
 	b.Told("b", []placement.OwnLoad{{
@@ -286,28 +286,28 @@
 		},
 	}}, start)
 	is.Equal(len(b.Tell(start)), 0)
-	c := b.Pick(askShared("manual", "k"), alone, start)
+	c := b.Pick(newSharedRequest("manual", "k"), alone, start)
 	got := b.Tell(start)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Replica, c.Replica)
 	is.Equal(got[0].Load.Requests, 1)
 	is.Equal(got[0].Load.Tokens, b.Get(c.Replica).Own().Tokens)
 	b.End(&c, placement.Answered, time.Second, start)
-	is.Equal(len(b.Tell(start+longOn)), 0)
+	is.Equal(len(b.Tell(start+longAfter)), 0)
 }
 
-func TestABoxTellsNothingOfAReplicaWhereItHasNoWork(t *testing.T) {
+func TestABoxReportsNoReplicaWhereItHasNoLoad(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 1)...)
-	fail(b, "steady", placement.Unreachable, start)
+	failUntilEjected(b, "steady", placement.Unreachable, start)
 	is.True(b.Get("steady-0").Out(start))
 	is.Equal(len(b.Tell(start)), 0)
 }
 
-func TestSilenceUnderRequestsThatWaitOnLeavesAReplicaOut(t *testing.T) {
+func TestWaitingRequestsWithoutAResponseEjectAReplica(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("steady", 2)...)
-	req := ask("steady", "k")
+	req := newRequest("steady", "k")
 	req.Tried = []string{"steady-1"}
 	for i := range 3 {
 		c := b.Pick(req, alone, start)
--- a/placement/pick_test.go
+++ b/placement/pick_test.go
@@ -14,11 +14,11 @@
 
 func ExampleView_Pick() {
 	b := newBox("a", "hall", replicas("engine", 1)...)
-	c := b.Pick(askShared("manual", "request-1"), alone, start)
+	c := b.Pick(newSharedRequest("manual", "request-1"), alone, start)
 	fmt.Println(c.Replica, c.Addr, b.Get(c.Replica).Own().Requests)
 	b.End(&c, placement.Answered, time.Second, start+time.Second)
 	fmt.Println(b.Get("engine-0").Own().Requests)
-	c = b.Pick(ask("unknown", "request-2"), alone, start)
+	c = b.Pick(newRequest("unknown", "request-2"), alone, start)
 	fmt.Println(c.Reason)
 	// Output:
 	// engine-0 127.0.0.1:1 1
@@ -33,38 +33,38 @@
 		prepare func(b *box) placement.Request
 		want    placement.Reason
 	}{
-		{"usable", func(*box) placement.Request { return ask("engine", "k") }, placement.None},
-		{"another service", func(*box) placement.Request { return ask("plain", "k") }, placement.Nothing},
+		{"usable", func(*box) placement.Request { return newRequest("engine", "k") }, placement.None},
+		{"another service", func(*box) placement.Request { return newRequest("plain", "k") }, placement.Nothing},
 		{"unlisted", func(b *box) placement.Request {
 			b.publish(start, nil)
-			return ask("engine", "k")
+			return newRequest("engine", "k")
 		}, placement.Unlisted},
 		{"leaving", func(b *box) placement.Request {
 			all := usual()
 			all[0].Leaving = true
 			all[0].Revision = 2
 			b.publish(start, nil, all...)
-			return ask("engine", "k")
+			return newRequest("engine", "k")
 		}, placement.Leaving},
 		{"closed", func(b *box) placement.Request {
 			b.publish(start, []string{"hall"}, usual()...)
-			return ask("engine", "k")
+			return newRequest("engine", "k")
 		}, placement.Closed},
 		{"another domain closed", func(b *box) placement.Request {
 			b.publish(start, []string{"attic"}, usual()...)
-			return ask("engine", "k")
+			return newRequest("engine", "k")
 		}, placement.None},
 		{"tried", func(*box) placement.Request {
-			req := ask("engine", "k")
+			req := newRequest("engine", "k")
 			req.Tried = []string{"other", "engine-0"}
 			return req
 		}, placement.Tried},
 		{"out of reach", func(b *box) placement.Request {
-			fail(b, "engine", placement.Unreachable, start)
-			return ask("engine", "k")
+			failUntilEjected(b, "engine", placement.Unreachable, start)
+			return newRequest("engine", "k")
 		}, placement.Out},
 		{"prompt larger than the memory", func(*box) placement.Request {
-			req := ask("engine", "k")
+			req := newRequest("engine", "k")
 			req.Prompt = 200_000
 			return req
 		}, placement.Full},
@@ -83,11 +83,11 @@
 	}
 }
 
-// fail sends requests until the only replica of a service is ejected, and returns their
+// failUntilEjected sends requests until the only replica of a service is ejected, and returns their
 // number.
-func fail(b *box, service string, result placement.Result, now time.Duration) int {
+func failUntilEjected(b *box, service string, result placement.Result, now time.Duration) int {
 	for n := range 10 {
-		c := b.Pick(ask(service, fmt.Sprint(n)), alone, now)
+		c := b.Pick(newRequest(service, fmt.Sprint(n)), alone, now)
 		if c.Reason != placement.None {
 			return n
 		}
@@ -105,7 +105,7 @@
 	b := newBox("a", "hall", all...)
 	is.True(b.Get("plain-0") == nil)
 	is.Equal(len(b.Replicas()), 1)
-	is.Equal(b.Pick(ask("plain", "k"), alone, start).Replica, "plain-1")
+	is.Equal(b.Pick(newRequest("plain", "k"), alone, start).Replica, "plain-1")
 }
 
 func TestALeavingReplicaNeverComesBack(t *testing.T) {
@@ -118,27 +118,27 @@
 	back := replicas("plain", 1)
 	back[0].Revision = 3
 	b.publish(start+time.Second, nil, back...)
-	is.Equal(b.Pick(ask("plain", "k"), alone, start+time.Second).Reason, placement.Leaving)
+	is.Equal(b.Pick(newRequest("plain", "k"), alone, start+time.Second).Reason, placement.Leaving)
 	b.publish(start+2*time.Second, nil)
 	back[0].Revision = 4
 	b.publish(start+3*time.Second, nil, back...)
-	is.Equal(b.Pick(ask("plain", "k"), alone, start+3*time.Second).Reason, placement.Leaving)
+	is.Equal(b.Pick(newRequest("plain", "k"), alone, start+3*time.Second).Reason, placement.Leaving)
 }
 
-func TestAReplicaThatIsGoneIsForgottenOnceIdle(t *testing.T) {
+func TestAnUnlistedReplicaIsEvictedOnceIdle(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("plain", 1)...)
-	c := b.Pick(ask("plain", "k"), alone, start)
+	c := b.Pick(newRequest("plain", "k"), alone, start)
 	b.publish(start, nil)
-	b.publish(start+longOn, nil)
+	b.publish(start+longAfter, nil)
 	is.True(b.Get("plain-0") != nil) // a request runs there
-	b.End(&c, placement.Answered, time.Second, start+longOn)
-	b.publish(start+2*longOn, nil)
+	b.End(&c, placement.Answered, time.Second, start+longAfter)
+	b.publish(start+2*longAfter, nil)
 	is.True(b.Get("plain-0") == nil)
 	is.Equal(len(b.Replicas()), 0)
 }
 
-func TestBeliefsTellWhatChanged(t *testing.T) {
+func TestTakeReturnsWhatChanged(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall")
 	abouts := func(news []placement.Belief) (out []string) {
@@ -161,7 +161,7 @@
 	is.True(!b.Closed("hall"))
 }
 
-func TestBoxesOfARegionAgreeOnTheFirstReplicaOfASharedPart(t *testing.T) {
+func TestBoxesOfARegionAgreeOnThePreferredReplicaOfASegment(t *testing.T) {
 	is := is.New(t)
 	boxes := []string{"a", "b", "c"}
 	used := map[string]int{}
@@ -171,7 +171,7 @@
 		for i, name := range boxes {
 			domain := []string{"hall", "attic", "cellar"}[i]
 			b := newBox(name, domain, replicas("engine", 6)...)
-			c := b.Pick(askShared(part, name), boxes, start)
+			c := b.Pick(newSharedRequest(part, name), boxes, start)
 			is.Equal(c.Reason, placement.None)
 			if i == 0 {
 				want = c.Replica
@@ -186,41 +186,41 @@
 	}
 }
 
-func TestALostReplicaMovesOnlyItsOwnParts(t *testing.T) {
+func TestALostReplicaMovesOnlyItsOwnSegments(t *testing.T) {
 	is := is.New(t)
 	all := replicas("engine", 6)
 	for n := range 60 {
 		part := fmt.Sprint("part-", n)
-		before := newBox("a", "hall", all...).Pick(askShared(part, "k"), alone, start)
-		after := newBox("a", "hall", all[1:]...).Pick(askShared(part, "k"), alone, start)
+		before := newBox("a", "hall", all...).Pick(newSharedRequest(part, "k"), alone, start)
+		after := newBox("a", "hall", all[1:]...).Pick(newSharedRequest(part, "k"), alone, start)
 		if before.Replica != all[0].ID {
 			is.Equal(after.Replica, before.Replica)
 		}
 	}
 }
 
-func TestAPartIsReadOnceWhileItIsWarm(t *testing.T) {
+func TestASegmentIsPrefilledOnceWhileItIsCached(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 4)...)
-	first := b.Pick(askShared("manual", "1"), alone, start)
+	first := b.Pick(newSharedRequest("manual", "1"), alone, start)
 	b.End(&first, placement.Answered, time.Second, start+time.Second)
-	again := b.Pick(askShared("manual", "2"), alone, start+time.Second)
+	again := b.Pick(newSharedRequest("manual", "2"), alone, start+time.Second)
 	b.End(&again, placement.Answered, time.Second, start+2*time.Second)
 	is.Equal(again.Replica, first.Replica)
 	is.Equal(again.Missing, 0)
 	is.True(first.Missing >= again.Missing)
 	is.True(again.Expect < first.Expect || first.Missing == 0)
-	late := b.Pick(askShared("manual", "3"), alone, start+longOn)
+	late := b.Pick(newSharedRequest("manual", "3"), alone, start+longAfter)
 	is.True(late.Missing > 0) // evicted
 }
 
-func TestAHotPartSpreadsWhenItsFirstReplicaIsCrowded(t *testing.T) {
+func TestAPopularSegmentSpreadsWhenItsPreferredReplicaIsBusy(t *testing.T) {
 	is := is.New(t)
 	const n = 6
 	b := newBox("a", "hall", replicas("engine", n)...)
 	used := map[string]int{}
 	for i := range 40 {
-		c := b.Pick(askShared("hot", fmt.Sprint(i)), alone, start)
+		c := b.Pick(newSharedRequest("hot", fmt.Sprint(i)), alone, start)
 		is.Equal(c.Reason, placement.None)
 		used[c.Replica]++
 	}
@@ -231,10 +231,10 @@
 	}
 }
 
-func TestOtherBoxesWorkSpreadsAHotPartToo(t *testing.T) {
+func TestPeerLoadsSpreadAPopularSegment(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 4)...)
-	first := b.Pick(askShared("hot", "1"), alone, start)
+	first := b.Pick(newSharedRequest("hot", "1"), alone, start)
 	b.End(&first, placement.Abandoned, 0, start)
 	b.Told("b", []placement.OwnLoad{{
 		Replica: first.Replica,
@@ -244,7 +244,7 @@
 			Unread:   50_000,
 		},
 	}}, start)
-	second := b.Pick(askShared("hot", "2"), alone, start)
+	second := b.Pick(newSharedRequest("hot", "2"), alone, start)
 	is.Equal(second.Reason, placement.None)
 	is.True(second.Replica != first.Replica)
 }
@@ -252,7 +252,7 @@
 func TestAReplicaWithAFullMemoryIsRefusedUntilSomeIsFree(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 1)...)
-	req := ask("engine", "k")
+	req := newRequest("engine", "k")
 	req.Prompt = 40_000
 	req.Out = 10
 	one := b.Pick(req, alone, start)
@@ -265,12 +265,12 @@
 	is.Equal(b.Pick(req, alone, start).Reason, placement.None)
 }
 
-func TestAPlainReplicaIsFullInTheEnd(t *testing.T) {
+func TestAPlainReplicaBecomesFull(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("plain", 2)...)
 	got := map[string]int{}
 	for n := range 1000 {
-		c := b.Pick(ask("plain", fmt.Sprint(n)), alone, start)
+		c := b.Pick(newRequest("plain", fmt.Sprint(n)), alone, start)
 		if c.Reason != placement.None {
 			is.Equal(c.Reason, placement.Full)
 			is.True(c.Wait > 0)
@@ -283,7 +283,7 @@
 }
 
 // Guards against sending all requests without shared segments to the same replica.
-func TestIdleReplicasShareRequestsWithoutSharedParts(t *testing.T) {
+func TestRequestsWithoutSharedSegmentsAreSpread(t *testing.T) {
 	for _, service := range []string{"plain", "engine"} {
 		t.Run(service, func(t *testing.T) {
 			is := is.New(t)
@@ -291,7 +291,7 @@
 			used := map[string]int{}
 			now := start
 			for n := range 200 {
-				req := ask(service, fmt.Sprint("request-", n))
+				req := newRequest(service, fmt.Sprint("request-", n))
 				if service == "engine" {
 					req.Prompt = 100
 				}
@@ -306,10 +306,10 @@
 	}
 }
 
-func TestAnOutlookCountsNothingIn(t *testing.T) {
+func TestAnOutlookReservesNothing(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 3)...)
-	req := askShared("manual", "k")
+	req := newSharedRequest("manual", "k")
 	req.Tried = []string{"engine-1"}
 	out := b.Outlook(req, alone, start)
 	is.Equal(out.Reason, placement.None)
@@ -320,7 +320,7 @@
 	}
 	is.Equal(b.Pick(req, alone, start).Expect, out.Expect)
 	is.True(b.Outlook(req, alone, start).Busy > out.Busy)
-	none := b.Outlook(ask("unknown", "k"), alone, start)
+	none := b.Outlook(newRequest("unknown", "k"), alone, start)
 	is.Equal(none.Reason, placement.Nothing)
 	is.Equal(none.Usable, 0)
 }
--- a/placement/rank_test.go
+++ b/placement/rank_test.go
@@ -11,14 +11,14 @@
 func TestAnIdleEngineTakesALargePromptOfTheLeastUrgentToo(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 1)...)
-	req := ask("engine", "r-1")
+	req := newRequest("engine", "r-1")
 	req.Prompt = 80_000 // of 100,000
 	req.Rank = 1
 	is.Equal(b.Pick(req, alone, start).Reason, placement.None)
 	is.Equal(b.Pick(req, alone, start).Reason, placement.Full) // no capacity for two
 }
 
-func TestALargePromptOfTheLeastUrgentWaitsWhereOthersHoldMuch(t *testing.T) {
+func TestALargePromptOfTheLeastUrgentWaitsIfMuchMemoryIsInUse(t *testing.T) {
 	for tokens, want := range map[int]placement.Reason{
 		20_000: placement.None,
 		30_000: placement.Full,
@@ -32,7 +32,7 @@
 				Tokens:   tokens,
 			},
 		}}, start)
-		req := ask("engine", "r-1")
+		req := newRequest("engine", "r-1")
 		req.Prompt = 60_000 // of 100,000
 		req.Rank = 1
 		is.Equal(b.Pick(req, alone, start).Reason, want)
@@ -64,7 +64,7 @@
 					Tokens:   c.tokens,
 				},
 			}}, start)
-			req := ask("engine", "r-1")
+			req := newRequest("engine", "r-1")
 			req.Prompt = 1000
 			req.Rank = c.rank
 			is.Equal(b.Pick(req, alone, start).Reason, c.want)
--- a/placement/region_test.go
+++ b/placement/region_test.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	start  = time.Minute    // of the test clock; long after pacers started
-	longOn = 10 * time.Hour // later than all timeouts
-	prompt = 4000           // tokens of a typical prompt
-	shared = 3000           // of these in a shared segment
+	start     = time.Minute    // of the test clock; long after pacers started
+	longAfter = 10 * time.Hour // later than all timeouts
+	prompt    = 4000           // tokens of a typical prompt
+	shared    = 3000           // of these in a shared segment
 )
 
 // terms limit the requests to cold replicas.
@@ -97,16 +97,16 @@
 // alone lists the boxes of a region with a single box.
 var alone = []string{"a"}
 
-// ask returns a request of a service.
-func ask(service, key string) placement.Request {
+// newRequest returns a request of a service.
+func newRequest(service, key string) placement.Request {
 	return placement.Request{
 		Service: service,
 		Key:     key,
 	}
 }
 
-// askShared returns a request whose prompt starts with a shared segment.
-func askShared(part, key string) placement.Request {
+// newSharedRequest returns a request whose prompt starts with a shared segment.
+func newSharedRequest(part, key string) placement.Request {
 	return placement.Request{
 		Service: "engine",
 		Key:     key,
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -63,53 +63,53 @@
 
 const replayGap = 600 * time.Millisecond // latency target between events
 
-// knowledge is how boxes learn of each other's requests.
-type knowledge int
+// loadSharing is how boxes learn of each other's requests.
+type loadSharing int
 
 const (
-	blind   knowledge = iota // not at all
-	loads                    // each sends its own loads to all others, four times a second
-	byWords                  // load reports of all engines, with the delay of gossip
-	byNeed                   // load reports of polled engines, gossiped while busy
+	noReports     loadSharing = iota // not at all
+	peerLoads                        // each sends its own loads to all others, four times a second
+	allReports                       // load reports of all engines, with the delay of gossip
+	polledReports                    // load reports of polled engines, gossiped while busy
 )
 
 // replay simulates the boxes and engines of a region in virtual time.
 type replay struct {
-	rnd     *rand.Rand
-	clock   virtual.Clock
-	engines []*replayEngine
-	boxes   []*placement.View
-	names   []string
-	know    knowledge
-	load    float64 // factor of the request rates
-	owed    int
-	inTime  int
-	late    int
-	refused int
-	again   int // shared tokens prefilled although some engine has them cached
-	seen    map[string]bool
-	worst   int // most requests at one engine
-	asked   int // polls of engines
-	told    int // load reports sent to other boxes
+	rnd         *rand.Rand
+	clock       virtual.Clock
+	engines     []*replayEngine
+	boxes       []*placement.View
+	names       []string
+	sharing     loadSharing
+	rateFactor  float64 // factor of the request rates
+	total       int
+	inTime      int
+	late        int
+	refused     int
+	reread      int // shared tokens prefilled although some engine has them cached
+	seen        map[string]bool
+	maxRequests int // most requests at one engine
+	polls       int // polls of engines
+	gossiped    int // load reports sent to other boxes
 }
 
-func newReplay(seed uint64, boxes int, know knowledge, load float64) *replay {
-	return newReplayOf(seed, replayEngines, boxes, know, load)
+func newReplay(seed uint64, boxes int, sharing loadSharing, rateFactor float64) *replay {
+	return newReplayOf(seed, replayEngines, boxes, sharing, rateFactor)
 }
 
 // newReplayOf returns a replay with so many engines.
-func newReplayOf(seed uint64, engines, boxes int, know knowledge, load float64) *replay {
+func newReplayOf(seed uint64, engines, boxes int, sharing loadSharing, rateFactor float64) *replay {
 	c := &replay{
-		rnd:  rand.New(rand.NewPCG(seed, 3)),
-		know: know,
-		load: load,
-		seen: make(map[string]bool),
+		rnd:        rand.New(rand.NewPCG(seed, 3)),
+		sharing:    sharing,
+		rateFactor: rateFactor,
+		seen:       make(map[string]bool),
 	}
 	c.clock.RunUntil(start)
 	var list []catalog.Replica
 	for n := range engines {
 		c.engines = append(c.engines, &replayEngine{
-			kept: make(map[string]time.Duration),
+			cached: make(map[string]time.Duration),
 		})
 		list = append(list, catalog.Replica{
 			ID:       fmt.Sprintf("engine-%02d", n),
@@ -139,7 +139,7 @@
 		v := placement.NewView("north", "hall", pacing.New(name, terms))
 		v.SetTable(catalog.NewTable(p))
 		v.Take(content, start)
-		v.ByWords(know == byWords || know == byNeed, boxes)
+		v.ByWords(sharing == allReports || sharing == polledReports, boxes)
 		c.boxes = append(c.boxes, v)
 		c.names = append(c.names, name)
 	}
@@ -151,10 +151,10 @@
 	for i := range replayKinds {
 		c.arrive(&replayKinds[i])
 	}
-	c.tell()
+	c.exchangeLoads()
 	c.clock.RunUntil(c.clock.Now() + d)
 	for _, e := range c.engines {
-		for _, r := range e.runs {
+		for _, r := range e.running {
 			if r.first && r.pause <= replayGap && c.clock.Now()-r.last <= replayGap {
 				c.inTime++ // on time so far
 			}
@@ -163,7 +163,7 @@
 }
 
 func (c *replay) arrive(k *replayKind) {
-	gap := c.rnd.ExpFloat64() / (k.rate * c.load)
+	gap := c.rnd.ExpFloat64() / (k.rate * c.rateFactor)
 	c.clock.After(time.Duration(gap*float64(time.Second)), func() {
 		c.send(k)
 		c.arrive(k)
@@ -176,7 +176,7 @@
 	part := fmt.Sprint(k.shared, "-", c.rnd.IntN(k.subjects))
 	out := max(1, int(float64(k.out)*math.Exp(0.7*c.rnd.NormFloat64()-0.245)))
 	own := max(1, int(float64(k.own)*math.Exp(0.8*c.rnd.NormFloat64()-0.32)))
-	c.owed++
+	c.total++
 	choice := c.boxes[b].Pick(placement.Request{
 		Service: "engine",
 		Key:     fmt.Sprint(c.rnd.Uint64()),
@@ -197,21 +197,21 @@
 	n := 0
 	_, _ = fmt.Sscanf(choice.Replica, "engine-%d", &n)
 	r := &replayRun{
-		kind:   k,
-		box:    b,
-		choice: choice,
-		part:   part,
-		start:  c.clock.Now(),
-		unread: own,
-		made:   -out,
+		kind:      k,
+		box:       b,
+		choice:    choice,
+		part:      part,
+		start:     c.clock.Now(),
+		unread:    own,
+		generated: -out,
 	}
-	c.engines[n].take(c, r)
+	c.engines[n].accept(c, r)
 }
 
 // token generates a token of an answer and returns true for the last one.
 func (c *replay) token(r *replayRun) (done bool) {
-	r.made++
-	if (r.made%replayStride != 0 || r.made > 0) && r.made < 0 {
+	r.generated++
+	if (r.generated%replayStride != 0 || r.generated > 0) && r.generated < 0 {
 		return false
 	}
 	v := c.boxes[r.box]
@@ -226,7 +226,7 @@
 		r.pause = max(r.pause, c.clock.Now()-r.last)
 	}
 	r.last = c.clock.Now()
-	if r.made < 0 {
+	if r.generated < 0 {
 		return false
 	}
 	v.End(&r.choice, placement.Answered, c.clock.Now()-r.start, c.clock.Now())
@@ -238,10 +238,10 @@
 	return true
 }
 
-// tell has boxes learn of each other's requests.
-func (c *replay) tell() {
-	switch c.know {
-	case loads:
+// exchangeLoads has boxes learn of each other's requests.
+func (c *replay) exchangeLoads() {
+	switch c.sharing {
+	case peerLoads:
 		for b, v := range c.boxes {
 			told := v.Tell(c.clock.Now())
 			for o, other := range c.boxes {
@@ -250,58 +250,58 @@
 				}
 			}
 		}
-		c.clock.After(250*time.Millisecond, c.tell)
-	case byWords:
+		c.clock.After(250*time.Millisecond, c.exchangeLoads)
+	case allReports:
 		for n := range c.engines {
-			c.asked++
-			c.spread(fmt.Sprintf("engine-%02d", n), c.word(n))
+			c.polls++
+			c.gossip(fmt.Sprintf("engine-%02d", n), c.report(n))
 		}
-		c.clock.After(placement.AskEvery, c.tell)
-	case byNeed:
+		c.clock.After(placement.AskEvery, c.exchangeLoads)
+	case polledReports:
 		for b := range c.boxes {
-			c.ask(b)
+			c.poll(b)
 		}
-		c.clock.After(placement.AskEvery, c.tell)
-	case blind:
+		c.clock.After(placement.AskEvery, c.exchangeLoads)
+	case noReports:
 	}
 }
 
-// ask has a box poll engines and gossip the reports of busy ones.
-func (c *replay) ask(b int) {
+// poll has a box poll engines and gossip the reports of busy ones.
+func (c *replay) poll(b int) {
 	now := c.clock.Now()
 	v := c.boxes[b]
-	mine := func(incarnation string) bool { return rendezvous.Top(incarnation, c.names, 1)[0] == c.names[b] }
-	for _, r := range v.Questions(now, mine, func(string) bool { return false }) {
-		c.asked++
+	isPoller := func(incarnation string) bool { return rendezvous.Top(incarnation, c.names, 1)[0] == c.names[b] }
+	for _, r := range v.Questions(now, isPoller, func(string) bool { return false }) {
+		c.polls++
 		n := 0
 		_, _ = fmt.Sscanf(r.Start(), "engine-%d", &n)
-		v.Says(r.Start(), c.word(n))
+		v.Says(r.Start(), c.report(n))
 	}
 	for _, w := range v.Words(now) {
 		if w.At == now { // only the box that polled starts the gossip
-			c.told++
-			c.spread(w.Replica, w.Word)
+			c.gossiped++
+			c.gossip(w.Replica, w.Word)
 		}
 	}
 }
 
-// word returns the load report of an engine.
-func (c *replay) word(n int) placement.Word {
+// report returns the load report of an engine.
+func (c *replay) report(n int) placement.Word {
 	e := c.engines[n]
 	tokens := 0
-	for _, r := range e.runs {
+	for _, r := range e.running {
 		tokens += r.kind.shared + r.kind.own + r.kind.out
 	}
 	return placement.Word{
-		Requests: len(e.runs) + len(e.wait),
-		Waiting:  len(e.wait),
+		Requests: len(e.running) + len(e.waiting),
+		Waiting:  len(e.waiting),
 		Tokens:   tokens,
 		At:       c.clock.Now(),
 	}
 }
 
-// spread sends a load report to all boxes with the delay of gossip.
-func (c *replay) spread(id string, w placement.Word) {
+// gossip sends a load report to all boxes with the delay of gossip.
+func (c *replay) gossip(id string, w placement.Word) {
 	rounds := math.Log(float64(len(c.boxes))) / math.Log(3)
 	for _, v := range c.boxes {
 		lag := 100*time.Millisecond + time.Duration(c.rnd.Float64()*2*rounds*float64(250*time.Millisecond)/2)
@@ -310,56 +310,56 @@
 }
 
 // share returns the share of requests that were on time.
-func (c *replay) share() float64 { return float64(c.inTime) / float64(c.owed) }
+func (c *replay) share() float64 { return float64(c.inTime) / float64(c.total) }
 
 // Guards against boxes that all choose the same engine from the same reports, or overload
 // one without reports, at the peak load of a region.
-func TestManyBoxesServeNearlyWhatOneThatKnowsAllDoes(t *testing.T) {
+func TestManyBoxesServeNearlyAsManyRequestsAsASingleOne(t *testing.T) {
 	const d = 12 * time.Second
 	for _, load := range []float64{0.8, 1} {
-		play := func(name string, boxes int, know knowledge) *replay {
+		play := func(name string, boxes int, know loadSharing) *replay {
 			r := newReplay(1, boxes, know, load)
 			r.play(d)
 			t.Logf("load %.1f %-9s %2d boxes: in time %.3f, late %.3f, refused %.3f, read again %4d kilotokens, most at an engine %d, asked %d",
-				load, name, boxes, r.share(), float64(r.late)/float64(r.owed), float64(r.refused)/float64(r.owed), r.again/1000, r.worst, r.asked)
+				load, name, boxes, r.share(), float64(r.late)/float64(r.total), float64(r.refused)/float64(r.total), r.reread/1000, r.maxRequests, r.polls)
 			return r
 		}
-		alone := play("knows all", 1, loads)
+		alone := play("knows all", 1, peerLoads)
 		for _, boxes := range []int{9, 32, 98} {
-			play("nothing", boxes, blind)
+			play("nothing", boxes, noReports)
 			if boxes == 32 {
-				play("loads", boxes, loads)
+				play("loads", boxes, peerLoads)
 			}
-			got := play("words", boxes, byWords)
+			got := play("words", boxes, allReports)
 			if boxes > 32 {
 				continue // callers use fewer boxes
 			}
 			if got.share() < alone.share()-0.05 {
 				t.Errorf("%d boxes serve %.3f in time, one that knows all %.3f", boxes, got.share(), alone.share())
 			}
-			if got.worst > 2*replaySlots {
-				t.Errorf("%d boxes gave an engine %d requests, it runs %d", boxes, got.worst, replaySlots)
+			if got.maxRequests > 2*replaySlots {
+				t.Errorf("%d boxes gave an engine %d requests, it runs %d", boxes, got.maxRequests, replaySlots)
 			}
 		}
 	}
 }
 
 // Guards against a loss of service when only the reports of busy engines are gossiped.
-func TestWordsOfBusyEnginesAloneServeNearlyWhatOneThatKnowsAllDoes(t *testing.T) {
+func TestPolledReportsServeNearlyAsManyRequestsAsASingleBox(t *testing.T) {
 	const seeds = 8
-	mean := func(boxes int, know knowledge) float64 {
+	mean := func(boxes int, know loadSharing) float64 {
 		sum := 0.0
 		for seed := range uint64(seeds) {
 			r := newReplay(seed+1, boxes, know, 1)
 			r.play(12 * time.Second)
 			sum += r.share()
-			if know == byNeed && r.worst > 2*replaySlots {
-				t.Errorf("seed %d: %d boxes gave an engine %d requests, it runs %d", seed+1, boxes, r.worst, replaySlots)
+			if know == polledReports && r.maxRequests > 2*replaySlots {
+				t.Errorf("seed %d: %d boxes gave an engine %d requests, it runs %d", seed+1, boxes, r.maxRequests, replaySlots)
 			}
 		}
 		return sum / seeds
 	}
-	alone, all, needed := mean(1, loads), mean(32, byWords), mean(32, byNeed)
+	alone, all, needed := mean(1, peerLoads), mean(32, allReports), mean(32, polledReports)
 	t.Logf("in time: one that knows all %.3f, 32 boxes by all words %.3f, by those needed %.3f", alone, all, needed)
 	if needed < alone-0.05 {
 		t.Errorf("32 boxes serve %.3f in time, one that knows all %.3f", needed, alone)
@@ -367,15 +367,15 @@
 }
 
 // Guards against polls that grow with the number of engines at the same load.
-func TestQuestionsToEnginesFollowTheRequestsNotTheEngines(t *testing.T) {
+func TestPollsDontGrowWithTheNumberOfEngines(t *testing.T) {
 	const d = 8 * time.Second
 	asked := make(map[int]float64)
 	for _, engines := range []int{1300, 2600} {
-		r := newReplayOf(1, engines, 32, byNeed, 0.25)
+		r := newReplayOf(1, engines, 32, polledReports, 0.25)
 		r.play(d)
 		t.Logf("%4d engines: asked %.0f a second, told %.0f words, in time %.3f, read again %d kilotokens",
-			engines, float64(r.asked)/d.Seconds(), float64(r.told)/d.Seconds(), r.share(), r.again/1000)
-		asked[engines] = float64(r.asked)
+			engines, float64(r.polls)/d.Seconds(), float64(r.gossiped)/d.Seconds(), r.share(), r.reread/1000)
+		asked[engines] = float64(r.polls)
 	}
 	if asked[2600] > 1.2*asked[1300] {
 		t.Errorf("%.0f questions to 2,600 engines, %.0f to 1,300", asked[2600], asked[1300])
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -10,8 +10,8 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// says records a load report.
-func (b *box) says(replica string, requests, waiting int, at time.Duration) bool {
+// recordReport records a load report.
+func (b *box) recordReport(replica string, requests, waiting int, at time.Duration) bool {
 	return b.Says(replica, placement.Word{
 		Requests: requests,
 		Waiting:  waiting,
@@ -22,7 +22,7 @@
 
 // loadOf returns the load that Pick reads for a replica.
 func (b *box) loadOf(replica string, now time.Duration) placement.Load {
-	req := askShared("part", "request")
+	req := newSharedRequest("part", "request")
 	for n := range 1000 {
 		req.Key = fmt.Sprint(replica, n)
 		c := b.Pick(req, alone, now)
@@ -34,28 +34,28 @@
 	return placement.Load{}
 }
 
-func TestAnEnginesWordAndWhatWasSentSinceAreItsLoad(t *testing.T) {
+func TestALoadIsTheLastReportAndTheRequestsSentSince(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 1)...)
 	b.ByWords(true, 32)
-	is.True(b.says("engine-0", 3, 1, start))
+	is.True(b.recordReport("engine-0", 3, 1, start))
 	is.Equal(b.loadOf("engine-0", start+time.Millisecond).Requests, 3)
-	c := b.Pick(askShared("part", "k"), alone, start+2*time.Millisecond)
+	c := b.Pick(newSharedRequest("part", "k"), alone, start+2*time.Millisecond)
 	is.True(b.loadOf("engine-0", start+3*time.Millisecond).Requests >= 4) // not in the report yet
-	is.True(!b.says("engine-0", 9, 0, start))                             // not newer
-	is.True(!b.says("other", 9, 0, start+time.Second))
-	is.True(b.says("engine-0", 2, 0, start+100*time.Millisecond))
+	is.True(!b.recordReport("engine-0", 9, 0, start))                     // not newer
+	is.True(!b.recordReport("other", 9, 0, start+time.Second))
+	is.True(b.recordReport("engine-0", 2, 0, start+100*time.Millisecond))
 	is.Equal(b.loadOf("engine-0", start+101*time.Millisecond).Requests, 2) // included in the report
 	b.End(&c, placement.Answered, time.Millisecond, start+102*time.Millisecond)
 	is.Equal(b.loadOf("engine-0", start+10*time.Second).Requests, 0) // expired
 }
 
-func TestWordsAreToldTheLatestFirstWhileTheyCount(t *testing.T) {
+func TestFreshReportsAreSortedLatestFirst(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 3)...)
-	b.says("engine-0", 1, 0, start)
-	b.says("engine-1", 2, 0, start+2*time.Second)
-	b.says("engine-2", 3, 0, start+time.Second)
+	b.recordReport("engine-0", 1, 0, start)
+	b.recordReport("engine-1", 2, 0, start+2*time.Second)
+	b.recordReport("engine-2", 3, 0, start+time.Second)
 	list := b.Words(start + 4500*time.Millisecond)
 	is.Equal(len(list), 2)
 	is.Equal(list[0].Replica, "engine-1")
@@ -64,7 +64,7 @@
 
 // Guards against boxes that all choose the engine with the lowest report until the next one
 // arrives.
-func TestAnEngineWithLittleToDoIsNoBetterThanTheMean(t *testing.T) {
+func TestAnIdleEngineIsNoBetterThanTheMean(t *testing.T) {
 	is := is.New(t)
 	all := replicas("engine", 40)
 	b := newBox("a", "hall", all...)
@@ -77,14 +77,14 @@
 		case 1:
 			load = 8
 		}
-		b.says(r.ID, load, 0, start)
+		b.recordReport(r.ID, load, 0, start)
 	}
 	got := make(map[string]int)
 	for n := range 400 {
-		c := b.Pick(ask("engine", fmt.Sprint("key-", n)), alone, start+time.Millisecond)
+		c := b.Pick(newRequest("engine", fmt.Sprint("key-", n)), alone, start+time.Millisecond)
 		got[c.Replica]++
 		b.End(&c, placement.Answered, time.Millisecond, start+time.Millisecond)
-		b.says(c.Replica, 6, 0, start+time.Millisecond+time.Duration(n))
+		b.recordReport(c.Replica, 6, 0, start+time.Millisecond+time.Duration(n))
 	}
 	is.True(got["engine-0"] <= 40) // four times its part, not all
 	is.True(got["engine-1"] <= 10) // above the mean
@@ -95,13 +95,13 @@
 	b := newBox("a", "hall", replicas("engine", 4)...)
 	b.ByWords(true, 32)
 	for n := range 4 {
-		b.says(fmt.Sprint("engine-", n), 6, 0, start)
+		b.recordReport(fmt.Sprint("engine-", n), 6, 0, start)
 	}
-	is.Equal(b.Outlook(ask("engine", "k"), alone, start+time.Millisecond).Busy, 0.75) // of eight slots
-	is.Equal(b.Outlook(ask("plain", "k"), alone, start+time.Millisecond).Busy, 0.0)
+	is.Equal(b.Outlook(newRequest("engine", "k"), alone, start+time.Millisecond).Busy, 0.75) // of eight slots
+	is.Equal(b.Outlook(newRequest("plain", "k"), alone, start+time.Millisecond).Busy, 0.0)
 }
 
-func TestAnEngineThatAnswersNoOtherBoxIsLeftOutUnlessItIsHeardHere(t *testing.T) {
+func TestAnEngineUnresponsiveToAnotherBoxIsEjectedUnlessItRespondsHere(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 2)...)
 	b.ByWords(true, 32)
@@ -112,20 +112,20 @@
 	is.True(b.Says("engine-0", silent))
 	is.Equal(b.Changed(), []placement.Belief{{About: "engine-0", Reason: "doesn't answer a box"}})
 	for n := range 20 {
-		c := b.Pick(ask("engine", fmt.Sprint(n)), alone, start+time.Millisecond)
+		c := b.Pick(newRequest("engine", fmt.Sprint(n)), alone, start+time.Millisecond)
 		is.Equal(c.Replica, "engine-1")
 		b.End(&c, placement.Answered, time.Millisecond, start+time.Millisecond)
 	}
-	is.Equal(b.Outlook(ask("engine", "k"), alone, start+time.Second).Usable, 1)
-	is.Equal(b.Outlook(ask("engine", "k"), alone, start+3*time.Second).Usable, 2) // the report is too old
+	is.Equal(b.Outlook(newRequest("engine", "k"), alone, start+time.Second).Usable, 1)
+	is.Equal(b.Outlook(newRequest("engine", "k"), alone, start+3*time.Second).Usable, 2) // the report is too old
 	silent.At = start + 4*time.Second
-	req := ask("engine", "k")
+	req := newRequest("engine", "k")
 	req.Tried = []string{"engine-1"}
 	c := b.Pick(req, alone, silent.At-time.Millisecond)
 	is.Equal(c.Replica, "engine-0")
 	b.Says("engine-0", silent)
 	b.First(&c, time.Millisecond, silent.At+time.Millisecond)
-	is.Equal(b.Outlook(ask("engine", "k"), alone, silent.At+2*time.Millisecond).Usable, 2) // only the other box gets no response
-	is.True(b.says("engine-0", 1, 0, silent.At+time.Second))
+	is.Equal(b.Outlook(newRequest("engine", "k"), alone, silent.At+2*time.Millisecond).Usable, 2) // only the other box gets no response
+	is.True(b.recordReport("engine-0", 1, 0, silent.At+time.Second))
 	is.Equal(len(b.Changed()), 1)
 }
--- a/placement/steps_test.go
+++ b/placement/steps_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTheStepsOfAnEventAreLearnedFromGuessesOfLength(t *testing.T) {
+func TestStepsPerEventAreLearnedFromLengthHints(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 1)...)
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -30,9 +30,9 @@
 
 // Guards against too low an interference cost at engines whose events take more steps than
 // the default.
-func TestALongPromptHarmsStreamsWhoseEventsTakeMoreSteps(t *testing.T) {
+func TestALongPromptInterferesMoreIfEventsTakeMoreSteps(t *testing.T) {
 	is := is.New(t)
-	req := askShared("part", "k")
+	req := newSharedRequest("part", "k")
 	req.Prompt = 18_000
 	req.Gap = 600 * time.Millisecond
 	is.Equal(req.Harm(3000, 18), 0.0)
--- a/placement/unconfirmed_test.go
+++ b/placement/unconfirmed_test.go
@@ -9,8 +9,8 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// lapse applies an unsettled snapshot with only the given replicas.
-func (b *box) lapse(left ...catalog.Replica) {
+// removeUnsettled applies an unsettled snapshot with only the given replicas.
+func (b *box) removeUnsettled(left ...catalog.Replica) {
 	b.rev++
 	b.content.Take(catalog.Update{
 		Snapshot: &catalog.Snapshot{
@@ -22,26 +22,26 @@
 	b.Take(b.content, start)
 }
 
-func TestAReplicaThatMayBeGoneGetsNothingNew(t *testing.T) {
+func TestAReplicaWithUnconfirmedRemovalReceivesNoRequests(t *testing.T) {
 	is := is.New(t)
 	all := replicas("engine", 10)
 	b := newBox("a", "hall", all...)
-	b.lapse(all[1:]...)
+	b.removeUnsettled(all[1:]...)
 	for range 20 {
-		c := b.Pick(ask("engine", "request"), alone, start)
+		c := b.Pick(newRequest("engine", "request"), alone, start)
 		is.True(c.Replica != all[0].ID)
 		is.True(c.Replica != "")
 	}
 	is.True(b.Get(all[0].ID).Listed())
 }
 
-func TestReplicasThatLapsedTogetherAreUsedOn(t *testing.T) {
+func TestManyReplicasWithUnconfirmedRemovalStayInUse(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 4)...)
-	b.lapse()
+	b.removeUnsettled()
 	seen := make(map[string]bool)
 	for n := range 12 {
-		seen[b.Pick(ask("engine", fmt.Sprint(n)), alone, start).Replica] = true
+		seen[b.Pick(newRequest("engine", fmt.Sprint(n)), alone, start).Replica] = true
 	}
 	is.Equal(len(seen), 4)
 }
