--- a/placement/candidates.go
+++ b/placement/candidates.go
@@ -28,7 +28,7 @@
 // load reports, otherwise all.
 func (v *View) candidates(req Request, now time.Duration) []*Replica {
 	if !v.byReports {
-		return v.byName
+		return v.sorted
 	}
 	out := v.top(req.Key, candidatesByKey, req, now)
 	if len(req.Parts) == 0 {
@@ -50,7 +50,7 @@
 		score uint64
 	}
 	best := make([]scored, 0, n+1)
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if r.info.Service != req.Service || v.unusable(r, req, now) != None {
 			continue
 		}
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -67,7 +67,7 @@
 func (v *View) meanDuration(service string) time.Duration {
 	var sum time.Duration
 	n := 0
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if r.info.Service == service && r.duration > 0 {
 			sum += r.duration
 			n++
--- a/placement/copy.go
+++ b/placement/copy.go
@@ -31,7 +31,7 @@
 func (v *View) cacheHolder(req Request, preferred *Replica, now time.Duration) *Replica {
 	best := preferred
 	fewest := req.Shared()
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if r.info.Service != req.Service || v.unusable(r, req, now) != None {
 			continue
 		}
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -28,7 +28,7 @@
 		out.Failing = best.r.Failing(now)
 	}
 	reads := 0
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if r.info.Service == req.Service && v.unusable(r, req, now) == None {
 			l := v.Load(r, now)
 			if out.Usable == 0 || l.Requests < out.Fewest {
--- a/placement/fuzz_test.go
+++ b/placement/fuzz_test.go
@@ -139,11 +139,11 @@
 	c := r.Pick(req, alone, r.now)
 	if c.Reason != placement.None {
 		if c.Replica != "" || c.Wait < 0 {
-			r.Fatalf("a refusal with a replica or a time that is over: %v", c)
+			r.Fatalf("a refusal with a replica or a negative wait: %v", c)
 		}
 		for id, own := range before {
 			if r.Get(id).Own() != own {
-				r.Fatalf("a refusal counted in at %s", id)
+				r.Fatalf("a refusal reserved capacity at %s", id)
 			}
 		}
 		return
@@ -185,11 +185,11 @@
 	case r.leaving[c.Replica]:
 		r.Fatalf("%s has left", c.Replica)
 	case slices.Contains(r.evacuated, info.Domain):
-		r.Fatalf("%s is in a closed domain", c.Replica)
+		r.Fatalf("%s is in an evacuated domain", c.Replica)
 	case slices.Contains(req.Tried, c.Replica):
 		r.Fatalf("%s was tried", c.Replica)
 	case r.Get(c.Replica).Out(r.now):
-		r.Fatalf("%s is out", c.Replica)
+		r.Fatalf("%s is ejected", c.Replica)
 	case c.Expect < 0 || c.Missing < 0:
 		r.Fatalf("negative: %v", c)
 	}
@@ -212,10 +212,10 @@
 	o := r.open[i]
 	r.open = slices.Delete(r.open, i, i+1)
 	result := placement.Result(rapid.IntRange(int(placement.Answered), int(placement.Misdirected)).Draw(r.T, "result"))
-	wasOut := r.Get(o.choice.Replica).Out(r.now)
+	wasEjected := r.Get(o.choice.Replica).Out(r.now)
 	ejected := r.End(&o.choice, result, time.Duration(rapid.IntRange(0, 900).Draw(r.T, "hold"))*time.Millisecond, r.now)
-	if isOut := r.Get(o.choice.Replica).Out(r.now); ejected != (isOut && !wasOut) {
-		r.Fatalf("told %v; out before: %v, after: %v", ejected, wasOut, isOut)
+	if isEjected := r.Get(o.choice.Replica).Out(r.now); ejected != (isEjected && !wasEjected) {
+		r.Fatalf("End returned %v; ejected before: %v, after: %v", ejected, wasEjected, isEjected)
 	}
 	r.End(&o.choice, result, 0, r.now) // no effect the second time
 }
@@ -248,7 +248,7 @@
 	}
 	for id := range want {
 		if r.Get(id) == nil {
-			r.Fatalf("%s is forgotten with open requests", id)
+			r.Fatalf("%s was evicted with open requests", id)
 		}
 	}
 	for _, known := range r.Replicas() {
--- a/placement/incarnation_test.go
+++ b/placement/incarnation_test.go
@@ -28,20 +28,20 @@
 // the same id.
 func TestNothingIsBelievedOfAStartThatWasBelievedOfTheOneBefore(t *testing.T) {
 	for name, teach := range map[string]func(b *box, replica string, now time.Duration){
-		"prompts that it was given": func(b *box, _ string, now time.Duration) {
+		"cached segments": func(b *box, _ string, now time.Duration) {
 			c := b.Pick(newSharedRequest("manual", "r"), alone, now)
 			b.End(&c, placement.Answered, time.Millisecond, now)
 		},
-		"prompts that others gave it": func(b *box, replica string, now time.Duration) {
+		"cached segments of other boxes": func(b *box, replica string, now time.Duration) {
 			b.Told("b", []placement.OwnLoad{{
 				Replica: replica,
 				Kept:    []placement.PartKey{placement.KeyOf("manual")},
 			}}, now)
 		},
-		"requests under way": func(b *box, _ string, now time.Duration) {
+		"requests in flight": func(b *box, _ string, now time.Duration) {
 			b.Pick(newRequest("engine", "k"), alone, now)
 		},
-		"others' requests": func(b *box, replica string, now time.Duration) {
+		"requests of other boxes": func(b *box, replica string, now time.Duration) {
 			b.Told("b", []placement.OwnLoad{{
 				Replica: replica,
 				Load: placement.Load{
@@ -49,14 +49,14 @@
 				},
 			}}, now)
 		},
-		"its own word": func(b *box, replica string, now time.Duration) {
+		"load report": func(b *box, replica string, now time.Duration) {
 			b.ByWords(true, 1)
 			b.Says(replica, placement.Word{
 				Requests: 7,
 				At:       now,
 			})
 		},
-		"its silence": func(b *box, replica string, now time.Duration) {
+		"report without a response": func(b *box, replica string, now time.Duration) {
 			b.Says(replica, placement.Word{
 				Silent: true,
 				At:     now + time.Millisecond,
@@ -65,10 +65,10 @@
 		"failures": func(b *box, _ string, now time.Duration) {
 			pickWithResult(b, "engine", placement.Failed, now)
 		},
-		"that it is out of reach": func(b *box, _ string, now time.Duration) {
+		"unreachable": func(b *box, _ string, now time.Duration) {
 			failUntilEjected(b, "engine", placement.Unreachable, now)
 		},
-		"that another one answers at its address": func(b *box, _ string, now time.Duration) {
+		"misdirected": func(b *box, _ string, now time.Duration) {
 			pickWithResult(b, "engine", placement.Misdirected, now)
 		},
 		"slowness": func(b *box, _ string, now time.Duration) {
@@ -76,7 +76,7 @@
 			b.First(&c, time.Second, now)
 			b.End(&c, placement.Answered, time.Second, now)
 		},
-		"that it leaves": func(b *box, _ string, now time.Duration) {
+		"leaving": func(b *box, _ string, now time.Duration) {
 			r := started("engine", firstBorn)
 			r.Leaving = true
 			r.Revision++
@@ -119,17 +119,17 @@
 func TestWhatBecomesOfRequestsToAnEarlierStartSaysNothingOfTheNext(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", started("plain", firstBorn))
-	var under []placement.Choice
+	var inFlight []placement.Choice
 	for n := range 5 {
-		under = append(under, b.Pick(newRequest("plain", fmt.Sprint(n)), alone, start))
+		inFlight = append(inFlight, b.Pick(newRequest("plain", fmt.Sprint(n)), alone, start))
 	}
 	next := started("plain", secondBorn)
 	b.publish(start, nil, next)
 	now := start + 10*time.Second
-	for i := range under {
-		b.End(&under[i], placement.Silent, time.Second, now)
+	for i := range inFlight {
+		b.End(&inFlight[i], placement.Silent, time.Second, now)
 	}
-	is.Equal(b.Get(under[0].Replica).Own(), placement.Load{}) // released at the incarnation that received them
+	is.Equal(b.Get(inFlight[0].Replica).Own(), placement.Load{}) // released at the incarnation that received them
 	got := b.Get(next.Start())
 	is.Equal(got.Own(), placement.Load{})
 	is.True(!got.Out(now))
@@ -154,14 +154,14 @@
 	next := started("engine", secondBorn)
 	b.publish(start, nil, next)
 	now := start + time.Second
-	word := placement.Word{
+	report := placement.Word{
 		Requests: 7,
 		At:       now,
 	}
-	b.Says(started("engine", firstBorn).Start(), word)
+	b.Says(started("engine", firstBorn).Start(), report)
 	is.True(b.Get(next.Start()).WordAge(now) < 0)
-	is.True(!b.Says("engine-0", word)) // not an incarnation
-	is.True(b.Says(next.Start(), word))
+	is.True(!b.Says("engine-0", report)) // not an incarnation
+	is.True(b.Says(next.Start(), report))
 }
 
 // Guards against a cold replica that receives twice its rate because boxes learn of its new
--- a/placement/index.go
+++ b/placement/index.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// update applies the changed entries of a region. It returns the
-// sorted ids of these and of entries that share an address with them, before or after the change.
+// update applies the changed entries of a region. It returns the sorted ids of these and of
+// entries that share an address with them, before or after the change.
 func (e *index) update(c *catalog.Content, region string) []string {
 	ids, applied, ok := c.Touched(e.applied)
 	if !ok || e.stale || e.content != c {
@@ -98,16 +98,16 @@
 	e.idsByAddr[addr] = append(e.idsByAddr[addr], id)
 }
 
-// position returns the index of an incarnation in byName, or where to insert it.
+// position returns the index of an incarnation in sorted, or where to insert it.
 func (v *View) position(incarnation string) (at int, found bool) {
-	return slices.BinarySearchFunc(v.byName, incarnation, func(r *Replica, incarnation string) int { return cmp.Compare(r.incarnation, incarnation) })
+	return slices.BinarySearchFunc(v.sorted, incarnation, func(r *Replica, incarnation string) int { return cmp.Compare(r.incarnation, incarnation) })
 }
 
 // add records a new incarnation as unlisted.
 func (v *View) add(r *Replica) {
 	v.replicas[r.incarnation] = r
 	at, _ := v.position(r.incarnation)
-	v.byName = slices.Insert(v.byName, at, r)
+	v.sorted = slices.Insert(v.sorted, at, r)
 	v.index.byID[r.info.ID] = append(v.index.byID[r.info.ID], r)
 	v.index.unlisted[r.incarnation] = r
 	v.onAdded(r.incarnation)
@@ -117,7 +117,7 @@
 func (v *View) remove(r *Replica) {
 	delete(v.replicas, r.incarnation)
 	if at, ok := v.position(r.incarnation); ok {
-		v.byName = slices.Delete(v.byName, at, at+1)
+		v.sorted = slices.Delete(v.sorted, at, at+1)
 	}
 	e := &v.index
 	e.byID[r.info.ID] = slices.DeleteFunc(e.byID[r.info.ID], func(o *Replica) bool { return o == r })
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -73,23 +73,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		content := catalog.NewContent()
-		changes := placement.NewView("north", "hall", pacing.New("box", terms))
-		whole := placement.NewView("north", "hall", pacing.New("box", terms))
+		incremental := placement.NewView("north", "hall", pacing.New("box", terms))
+		full := placement.NewView("north", "hall", pacing.New("box", terms))
 		now := start
 		for revision := range int64(rapid.IntRange(1, 30).Draw(t, "updates")) {
 			content.Take(drawUpdate(t, revision+1))
 			if rapid.IntRange(0, 5).Draw(t, "policy") == 0 {
 				p := policy()
 				p.Services = p.Services[:rapid.IntRange(1, len(p.Services)).Draw(t, "services")]
-				changes.SetTable(catalog.NewTable(p))
-				whole.SetTable(catalog.NewTable(p))
+				incremental.SetTable(catalog.NewTable(p))
+				full.SetTable(catalog.NewTable(p))
 			}
 			now += longAfter / 10_000
-			changes.Take(content, now)
-			whole.InvalidateIndex()
-			whole.Take(content, now)
-			is.Equal(listedState(changes), listedState(whole))
-			is.True(slices.IsSortedFunc(changes.Replicas(), func(a, b *placement.Replica) int {
+			incremental.Take(content, now)
+			full.InvalidateIndex()
+			full.Take(content, now)
+			is.Equal(listedState(incremental), listedState(full))
+			is.True(slices.IsSortedFunc(incremental.Replicas(), func(a, b *placement.Replica) int {
 				return map[bool]int{true: -1, false: 1}[a.Start() < b.Start()]
 			}))
 		}
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -78,7 +78,7 @@
 	r.own.Requests -= l.Requests
 	r.own.Tokens -= l.Tokens
 	r.own.Unread -= l.Unread
-	wasOut := r.Out(now)
+	wasEjected := r.Out(now)
 	switch result {
 	case Answered:
 		r.outcomes.Add(false, now)
@@ -102,7 +102,7 @@
 		v.eject(r, now)
 	case Abandoned:
 	}
-	return !wasOut && r.Out(now)
+	return !wasEjected && r.Out(now)
 }
 
 // Muted records that a replica doesn't respond to a request that keeps waiting. It returns
@@ -112,9 +112,9 @@
 	if r == nil {
 		return false
 	}
-	wasOut := r.Out(now)
+	wasEjected := r.Out(now)
 	v.recordNoResponse(r, now)
-	return !wasOut && r.Out(now)
+	return !wasEjected && r.Out(now)
 }
 
 // recordNoResponse records a request without a response.
--- a/placement/outcome_test.go
+++ b/placement/outcome_test.go
@@ -26,14 +26,14 @@
 	now := start
 	var before time.Duration
 	for range 8 { // the back-off grows up to a bound
-		away := now
+		ejectedAt := now
 		for b.Get("steady-0").Out(now) {
 			is.Equal(pickWithResult(b, "steady", placement.Answered, now).Reason, placement.Out)
 			now += 100 * time.Millisecond
 		}
-		is.True(now-away >= before-100*time.Millisecond)
-		is.True(now-away <= 15*time.Second)
-		before = now - away
+		is.True(now-ejectedAt >= before-100*time.Millisecond)
+		is.True(now-ejectedAt <= 15*time.Second)
+		before = now - ejectedAt
 		is.True(failUntilEjected(b, "steady", placement.Unreachable, now) <= sends)
 	}
 	for b.Get("steady-0").Out(now) {
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -14,7 +14,7 @@
 	firstEventTime         = 12 * time.Millisecond   // until the first event of an idle engine, without prefill
 	stepMsPerKilotoken     = 0.12                    // additional milliseconds per event and 1,000 tokens in memory
 	failureCost            = 1200 * time.Millisecond // of a replica that fails every request
-	preferredDiscount      = 0.9                     // share of missing segments that are expected to be cached for other boxes
+	expectedCachedShare    = 0.9                     // share of missing segments that are expected to be cached for other boxes
 	rereadFactor           = 2.5                     // cost of prefilling a shared segment, as a multiple of its duration
 	crossDomainCost        = 3 * time.Millisecond    // traffic between failure domains is charged
 	meanAnswerShare        = 0.6                     // mean share of the answer's tokens in memory while a request runs
@@ -157,8 +157,8 @@
 	typical := v.meanDuration(req.Service)
 	list := v.candidates(req, now)
 	best, none = v.bestAmong(list, req, preferred, cacheHolder, typical, boxes, now)
-	if best.r == nil && len(list) < len(v.byName) {
-		return v.bestAmong(v.byName, req, preferred, cacheHolder, typical, boxes, now)
+	if best.r == nil && len(list) < len(v.sorted) {
+		return v.bestAmong(v.sorted, req, preferred, cacheHolder, typical, boxes, now)
 	}
 	return best, none
 }
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// evaluate estimates the cost of a request at a replica. cacheHolder and typical are the results of the methods
-// cacheHolder and meanDuration.
+// evaluate estimates the cost of a request at a replica. cacheHolder and typical are results
+// of the methods cacheHolder and meanDuration.
 func (v *View) evaluate(r *Replica, req Request, cacheHolder *Replica, isPreferred bool, typical, now time.Duration) candidate {
 	w := candidate{
 		r:    r,
@@ -292,7 +292,7 @@
 
 // expectedMissing estimates how many shared tokens the preferred replica or the cache holder
 // lacks, of those that no box is recorded to have sent there.
-func expectedMissing(unsent int) int { return int((1 - preferredDiscount) * float64(unsent)) }
+func expectedMissing(unsent int) int { return int((1 - expectedCachedShare) * float64(unsent)) }
 
 // ReadTime returns the time that an engine takes to prefill so many tokens.
 func ReadTime(tokens int) time.Duration {
--- a/placement/poll.go
+++ b/placement/poll.go
@@ -25,7 +25,7 @@
 // itself, and those that failed to respond to it.
 func (v *View) Questions(now time.Duration, mine, unanswered func(incarnation string) bool) []*Replica {
 	var out []*Replica
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if !r.listed || r.service == nil || r.service.Engine == nil {
 			continue
 		}
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -317,25 +317,25 @@
 func TestManyBoxesServeNearlyAsManyRequestsAsASingleOne(t *testing.T) {
 	const d = 12 * time.Second
 	for _, load := range []float64{0.8, 1} {
-		play := func(name string, boxes int, know loadSharing) *replay {
-			r := newReplay(1, boxes, know, load)
+		play := func(name string, boxes int, sharing loadSharing) *replay {
+			r := newReplay(1, boxes, sharing, load)
 			r.play(d)
-			t.Logf("load %.1f %-9s %2d boxes: in time %.3f, late %.3f, refused %.3f, read again %4d kilotokens, most at an engine %d, asked %d",
+			t.Logf("load %.1f %-9s %2d boxes: in time %.3f, late %.3f, refused %.3f, prefilled again %4d kilotokens, most at an engine %d, polls %d",
 				load, name, boxes, r.share(), float64(r.late)/float64(r.total), float64(r.refused)/float64(r.total), r.reread/1000, r.maxRequests, r.polls)
 			return r
 		}
-		alone := play("knows all", 1, peerLoads)
+		alone := play("single", 1, peerLoads)
 		for _, boxes := range []int{9, 32, 98} {
-			play("nothing", boxes, noReports)
+			play("none", boxes, noReports)
 			if boxes == 32 {
 				play("loads", boxes, peerLoads)
 			}
-			got := play("words", boxes, allReports)
+			got := play("reports", boxes, allReports)
 			if boxes > 32 {
 				continue // callers use fewer boxes
 			}
 			if got.share() < alone.share()-0.05 {
-				t.Errorf("%d boxes serve %.3f in time, one that knows all %.3f", boxes, got.share(), alone.share())
+				t.Errorf("%d boxes serve %.3f in time, a single box %.3f", boxes, got.share(), alone.share())
 			}
 			if got.maxRequests > 2*replaySlots {
 				t.Errorf("%d boxes gave an engine %d requests, it runs %d", boxes, got.maxRequests, replaySlots)
@@ -347,37 +347,37 @@
 // Guards against a loss of service when only the reports of busy engines are gossiped.
 func TestPolledReportsServeNearlyAsManyRequestsAsASingleBox(t *testing.T) {
 	const seeds = 8
-	mean := func(boxes int, know loadSharing) float64 {
+	mean := func(boxes int, sharing loadSharing) float64 {
 		sum := 0.0
 		for seed := range uint64(seeds) {
-			r := newReplay(seed+1, boxes, know, 1)
+			r := newReplay(seed+1, boxes, sharing, 1)
 			r.play(12 * time.Second)
 			sum += r.share()
-			if know == polledReports && r.maxRequests > 2*replaySlots {
+			if sharing == polledReports && r.maxRequests > 2*replaySlots {
 				t.Errorf("seed %d: %d boxes gave an engine %d requests, it runs %d", seed+1, boxes, r.maxRequests, replaySlots)
 			}
 		}
 		return sum / seeds
 	}
 	alone, all, needed := mean(1, peerLoads), mean(32, allReports), mean(32, polledReports)
-	t.Logf("in time: one that knows all %.3f, 32 boxes by all words %.3f, by those needed %.3f", alone, all, needed)
+	t.Logf("in time: a single box %.3f, 32 boxes with all reports %.3f, with polled ones %.3f", alone, all, needed)
 	if needed < alone-0.05 {
-		t.Errorf("32 boxes serve %.3f in time, one that knows all %.3f", needed, alone)
+		t.Errorf("32 boxes serve %.3f in time, a single box %.3f", needed, alone)
 	}
 }
 
 // Guards against polls that grow with the number of engines at the same load.
 func TestPollsDontGrowWithTheNumberOfEngines(t *testing.T) {
 	const d = 8 * time.Second
-	asked := make(map[int]float64)
+	polls := make(map[int]float64)
 	for _, engines := range []int{1300, 2600} {
 		r := newReplayOf(1, engines, 32, polledReports, 0.25)
 		r.play(d)
-		t.Logf("%4d engines: asked %.0f a second, told %.0f words, in time %.3f, read again %d kilotokens",
+		t.Logf("%4d engines: %.0f polls a second, %.0f gossiped reports, in time %.3f, prefilled again %d kilotokens",
 			engines, float64(r.polls)/d.Seconds(), float64(r.gossiped)/d.Seconds(), r.share(), r.reread/1000)
-		asked[engines] = float64(r.polls)
+		polls[engines] = float64(r.polls)
 	}
-	if asked[2600] > 1.2*asked[1300] {
-		t.Errorf("%.0f questions to 2,600 engines, %.0f to 1,300", asked[2600], asked[1300])
+	if polls[2600] > 1.2*polls[1300] {
+		t.Errorf("%.0f polls of 2,600 engines, %.0f of 1,300", polls[2600], polls[1300])
 	}
 }
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -21,7 +21,7 @@
 	durationWeight     = 0.1                    // of the newest duration
 	maxConnectFailures = 2                      // consecutive failures until a replica is ejected
 	noResponseTimeout  = 500 * time.Millisecond // without any bytes from the replica until it is ejected
-	maxNoResponses     = 3                      // consecutive requests without a response until a replica is ejected
+	maxNoResponses     = 3                      // consecutive requests without a response until it is ejected, after noResponseTimeout
 	maxCachedSegments  = 512                    // recorded per replica; roughly what fits its memory
 	cachedSegmentTTL   = 20 * time.Second       // a segment unused for longer has probably been evicted
 	peerLoadTTL        = 1 * time.Second        // covers four messages among few boxes
--- a/placement/report.go
+++ b/placement/report.go
@@ -102,7 +102,7 @@
 // Words returns the valid load reports of busy engines, latest first.
 func (v *View) Words(now time.Duration) []ReplicaWord {
 	var out []ReplicaWord
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if r.listed && r.busy(now) {
 			out = append(out, ReplicaWord{
 				Replica: r.incarnation,
@@ -193,7 +193,7 @@
 	}
 	var sum Load
 	n := 0
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if r.info.Service != service || !r.listed {
 			continue
 		}
--- a/placement/view.go
+++ b/placement/view.go
@@ -19,7 +19,7 @@
 	domain    string
 	table     *catalog.Table      // nil until the first policy
 	replicas  map[string]*Replica // by incarnation
-	byName    []*Replica          // sorted by incarnation
+	sorted    []*Replica          // sorted by incarnation
 	evacuated map[string]bool
 	pacer     *pacing.Pacer
 	index     index
@@ -74,7 +74,7 @@
 func (v *View) Pacer() *pacing.Pacer { return v.pacer }
 
 // Replicas returns all recorded replicas, sorted by incarnation.
-func (v *View) Replicas() []*Replica { return v.byName }
+func (v *View) Replicas() []*Replica { return v.sorted }
 
 // Get returns the replica of an incarnation, nil for none.
 func (v *View) Get(incarnation string) *Replica { return v.replicas[incarnation] }
@@ -166,7 +166,7 @@
 
 // isSuperseded reports whether a later entry has the address of a replica. A replica may
 // restart under a new id before its old entry expires; requests to the old id would be
-// misdirected. An entry that gives no later start time is a copy and doesn't count.
+// misdirected. A copy, whose start time isn't later, doesn't count.
 func isSuperseded(info, newest catalog.Replica) bool {
 	if newest.Revision <= info.Revision {
 		return false
@@ -322,8 +322,8 @@
 	}
 }
 
-// OthersFor sets for how long the reports of other boxes are valid, at least
-// the constant peerLoadTTL.
+// OthersFor sets for how long the reports of other boxes are valid. The minimum is the
+// constant peerLoadTTL.
 func (v *View) OthersFor(d time.Duration) { v.peerLoadTTL = max(d, peerLoadTTL) }
 
 // OwnLoad is the load of one box at one replica.
@@ -336,7 +336,7 @@
 // Tell returns this box's loads, for its reports to other boxes.
 func (v *View) Tell(now time.Duration) []OwnLoad {
 	var out []OwnLoad
-	for _, r := range v.byName {
+	for _, r := range v.sorted {
 		if r.own == (Load{}) && now-r.prefillRateAt > prefillWindow {
 			continue
 		}
