--- a/placement/address_test.go
+++ b/placement/address_test.go
@@ -10,7 +10,6 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// at returns a replica of the engine service.
 func at(id, addr string, revision int64) catalog.Replica {
 	r := replicas("engine", 1)[0]
 	r.ID = id
--- a/placement/capacity.go
+++ b/placement/capacity.go
@@ -34,7 +34,6 @@
 	return float64(l.Tokens+req.Prompt) / float64(r.service.Engine.Memory)
 }
 
-// isFull reports whether a replica has no capacity for the request.
 func (r *Replica) isFull(l Load, req Request) bool {
 	slots := float64(r.slots())
 	if r.service != nil && r.service.Engine != nil {
@@ -63,7 +62,6 @@
 	return scale(ahead, cmp.Or(r.duration, typical))
 }
 
-// meanDuration returns the mean request duration at the replicas of a service.
 func (v *View) meanDuration(service string) time.Duration {
 	var sum time.Duration
 	n := 0
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -30,7 +30,6 @@
 	return out
 }
 
-// maxPerSecond returns the maximum number of sends within a second.
 func maxPerSecond(sends []time.Duration) int {
 	out := 0
 	for i := range sends {
--- a/placement/copy.go
+++ b/placement/copy.go
@@ -46,7 +46,6 @@
 	return best
 }
 
-// copyFrom returns the address to copy shared segments from, empty if they are prefilled.
 func (w candidate) copyFrom() string {
 	if w.source == nil {
 		return ""
--- a/placement/fuzz_test.go
+++ b/placement/fuzz_test.go
@@ -73,7 +73,6 @@
 	return fmt.Sprintf("%s-%d", r.service(), rapid.IntRange(0, replicasPerService-1).Draw(r.T, "replica"))
 }
 
-// change publishes a change of one replica.
 func (r *region) change() {
 	id := r.id()
 	if rapid.IntRange(0, 3).Draw(r.T, "kind") == 0 {
@@ -160,7 +159,6 @@
 	})
 }
 
-// superseded reports whether a newer entry has the address of a replica.
 func (r *region) superseded(info catalog.Replica) bool {
 	for _, other := range r.published {
 		if other.Addr == info.Addr && other.Revision > info.Revision {
@@ -170,7 +168,6 @@
 	return false
 }
 
-// mayServe checks that a choice is allowed.
 func (r *region) mayServe(c placement.Choice, req placement.Request) {
 	info, listed := r.published[c.Replica]
 	switch {
--- a/placement/incarnation_test.go
+++ b/placement/incarnation_test.go
@@ -16,7 +16,6 @@
 	secondBorn = firstBorn + 60_000
 )
 
-// started returns an incarnation of the only replica of a service.
 func started(service string, born int64) catalog.Replica {
 	r := replicas(service, 1)[0]
 	r.Born = born
--- a/placement/index.go
+++ b/placement/index.go
@@ -9,7 +9,6 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// sweepInterval is the time between two sweeps for incarnations to evict.
 const sweepInterval = time.Second
 
 // index holds the catalog's entries by id and by address, so that an update costs time
@@ -66,7 +65,6 @@
 	return slices.Sorted(maps.Keys(affected))
 }
 
-// allIDs returns the ids of all entries and of all recorded replicas.
 func (e *index) allIDs(c *catalog.Content) []string {
 	var out []string
 	for _, r := range c.Replicas() {
@@ -78,7 +76,6 @@
 	return slices.Compact(out)
 }
 
-// setAddr sets the address of an id; an empty one removes it.
 func (e *index) setAddr(id, addr string) {
 	old := e.addrs[id]
 	if old == addr {
@@ -137,7 +134,6 @@
 	r.info = info
 }
 
-// markListed records that the catalog holds an incarnation.
 func (v *View) markListed(r *Replica, info catalog.Replica) {
 	v.setInfo(r, info)
 	if r.listed {
@@ -148,14 +144,12 @@
 	delete(v.index.unlisted, r.incarnation)
 }
 
-// markUnlisted records that the catalog no longer holds an incarnation.
 func (v *View) markUnlisted(r *Replica) {
 	r.listed = false
 	v.index.listed[r.info.Service]--
 	v.index.unlisted[r.incarnation] = r
 }
 
-// evictUnlisted evicts incarnations that have been unlisted and idle for unlistedTTL.
 func (v *View) evictUnlisted(now time.Duration) {
 	if now-v.index.sweptAt < sweepInterval && now >= v.index.sweptAt {
 		return
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -14,8 +14,6 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// drawReplica draws an entry with one of a few ids and addresses, in either region, of a
-// defined or undefined service.
 func drawReplica(t *rapid.T, revision int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
@@ -29,7 +27,6 @@
 	}
 }
 
-// drawUpdate draws an drawUpdate at a revision.
 func drawUpdate(t *rapid.T, revision int64) catalog.Update {
 	u := catalog.Update{
 		Revision: revision,
@@ -58,7 +55,6 @@
 	return u
 }
 
-// listedState returns the recorded state of the listed incarnations.
 func listedState(v *placement.View) []string {
 	var out []string
 	for _, r := range v.Replicas() {
@@ -116,7 +112,6 @@
 	return content, view
 }
 
-// numberedReplica returns the i-th replica.
 func numberedReplica(i int, revision int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       fmt.Sprintf("engine-%06d", i),
@@ -129,7 +124,6 @@
 	}
 }
 
-// changeReplica updates one replica.
 func changeReplica(content *catalog.Content, i int, revision int64) {
 	replica := numberedReplica(i, revision)
 	content.Take(catalog.Update{
@@ -168,7 +162,6 @@
 	is.True(manyBytes <= 2*fewBytes) // slices of all replicas grow by copying
 }
 
-// BenchmarkApplyChange measures a change of one replica among 6,000.
 func BenchmarkApplyChange(b *testing.B) {
 	content, view := newFleet(6000)
 	b.ResetTimer()
@@ -178,7 +171,6 @@
 	}
 }
 
-// BenchmarkChangesSince measures the query for a single change.
 func BenchmarkChangesSince(b *testing.B) {
 	content, _ := newFleet(6000)
 	b.ResetTimer()
@@ -187,7 +179,6 @@
 	}
 }
 
-// BenchmarkInitialRead measures the initial read of 6,000 replicas.
 func BenchmarkInitialRead(b *testing.B) {
 	for range b.N {
 		newFleet(6000)
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -117,7 +117,6 @@
 	return !wasEjected && r.Out(now)
 }
 
-// recordNoResponse records a request without a response.
 func (v *View) recordNoResponse(r *Replica, now time.Duration) {
 	r.outcomes.Add(true, now)
 	r.noResponses++
--- a/placement/outcome_test.go
+++ b/placement/outcome_test.go
@@ -10,7 +10,6 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// pickWithResult picks a replica and ends the request at once.
 func pickWithResult(b *box, service string, result placement.Result, now time.Duration) placement.Choice {
 	c := b.Pick(newRequest(service, "k"), alone, now)
 	b.End(&c, result, 10*time.Millisecond, now)
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -299,5 +299,4 @@
 	return time.Duration(float64(tokens) / prefillSpeed * float64(time.Millisecond))
 }
 
-// scale returns f times d.
 func scale(f float64, d time.Duration) time.Duration { return time.Duration(f * float64(d)) }
--- a/placement/region_test.go
+++ b/placement/region_test.go
@@ -16,7 +16,6 @@
 	shared    = 3000           // of these in a shared segment
 )
 
-// terms limit the requests to cold replicas.
 var terms = pacing.Terms{
 	Overage: 1.5,
 	Slack:   3,
@@ -45,7 +44,6 @@
 	}
 }
 
-// replicas returns n replicas of a service in one failure domain.
 func replicas(service string, n int) []catalog.Replica {
 	var out []catalog.Replica
 	for i := range n {
@@ -62,7 +60,6 @@
 	return out
 }
 
-// box is a view with its catalog.
 type box struct {
 	*placement.View
 	content *catalog.Content
@@ -94,10 +91,8 @@
 	return b.Take(b.content, now)
 }
 
-// alone lists the boxes of a region with a single box.
 var alone = []string{"a"}
 
-// newRequest returns a request of a service.
 func newRequest(service, key string) placement.Request {
 	return placement.Request{
 		Service: service,
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -26,7 +26,6 @@
 	replayStepMore = 12 * time.Microsecond // per running request
 )
 
-// replayKind is a class of requests.
 type replayKind struct {
 	rate     float64 // per second, all boxes together
 	shared   int     // tokens of the segment that requests of one subject share
@@ -97,7 +96,6 @@
 	return newReplayOf(seed, replayEngines, boxes, sharing, rateFactor)
 }
 
-// newReplayOf returns a replay with so many engines.
 func newReplayOf(seed uint64, engines, boxes int, sharing loadSharing, rateFactor float64) *replay {
 	c := &replay{
 		rnd:        rand.New(rand.NewPCG(seed, 3)),
@@ -146,7 +144,6 @@
 	return c
 }
 
-// play runs the replay for a time.
 func (c *replay) play(d time.Duration) {
 	for i := range replayKinds {
 		c.arrive(&replayKinds[i])
@@ -238,7 +235,6 @@
 	return true
 }
 
-// exchangeLoads has boxes learn of each other's requests.
 func (c *replay) exchangeLoads() {
 	switch c.sharing {
 	case peerLoads:
@@ -285,7 +281,6 @@
 	}
 }
 
-// report returns the load report of an engine.
 func (c *replay) report(n int) placement.Word {
 	e := c.engines[n]
 	tokens := 0
@@ -309,7 +304,6 @@
 	}
 }
 
-// share returns the share of requests that were on time.
 func (c *replay) share() float64 { return float64(c.inTime) / float64(c.total) }
 
 // Guards against boxes that all choose the same engine from the same reports, or overload
--- a/placement/replayengine_test.go
+++ b/placement/replayengine_test.go
@@ -7,7 +7,6 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// replayRun is a request at an engine.
 type replayRun struct {
 	kind      *replayKind
 	box       int
@@ -21,7 +20,6 @@
 	pause     time.Duration
 }
 
-// replayEngine runs requests in steps.
 type replayEngine struct {
 	waiting  []*replayRun // awaiting prefill, in order
 	running  []*replayRun
@@ -30,7 +28,6 @@
 	stepping bool                     // a step is in progress
 }
 
-// accept accepts a request.
 func (e *replayEngine) accept(c *replay, r *replayRun) {
 	if _, ok := e.cached[r.part]; !ok {
 		r.unread += r.kind.shared
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -38,7 +38,6 @@
 	Reads    int // prompt tokens sent per second
 }
 
-// plus returns the sum of two loads.
 func (l Load) plus(o Load) Load {
 	return Load{
 		Requests: l.Requests + o.Requests,
@@ -48,7 +47,6 @@
 	}
 }
 
-// peerLoad is the load that another box reported.
 type peerLoad struct {
 	load   Load
 	expiry time.Duration
@@ -99,12 +97,10 @@
 // Own returns this box's load at the replica.
 func (r *Replica) Own() Load { return r.own }
 
-// currentPrefillRate returns the prompt tokens per second that this box sends.
 func (r *Replica) currentPrefillRate(now time.Duration) float64 {
 	return r.prefillRate * decay.Left(now-r.prefillRateAt, prefillHalfLife)
 }
 
-// recordPrefill records prompt tokens that this box sends.
 func (r *Replica) recordPrefill(tokens int, now time.Duration) {
 	r.prefillRate = r.currentPrefillRate(now) + float64(tokens)*math.Ln2/prefillHalfLife.Seconds()
 	r.prefillRateAt = now
@@ -142,7 +138,6 @@
 // Out reports whether the replica is ejected at now.
 func (r *Replica) Out(now time.Duration) bool { return r.backoff.On(now) }
 
-// slots returns how many requests the replica runs at once.
 func (r *Replica) slots() int {
 	switch {
 	case r.info.Slots > 0:
@@ -202,7 +197,6 @@
 	}
 }
 
-// recordResponse records that the replica sent bytes.
 func (r *Replica) recordResponse(now time.Duration) {
 	r.lastSeen = now
 	r.connectFailures = 0
@@ -210,7 +204,6 @@
 	r.backoff = absence.Absence{}
 }
 
-// recordFirstByte updates the slowness from a time to the first byte.
 func (r *Replica) recordFirstByte(took, expected, now time.Duration) {
 	if took <= 0 || expected <= 0 {
 		return
@@ -222,7 +215,6 @@
 	r.slownessAt = now
 }
 
-// recordDuration updates the average duration from a completed request.
 func (r *Replica) recordDuration(duration time.Duration) {
 	if r.duration == 0 {
 		r.duration = duration
--- a/placement/report.go
+++ b/placement/report.go
@@ -30,7 +30,6 @@
 	unread float64 // prompt tokens to prefill
 }
 
-// add updates the average.
 func (u *typicalLoad) add(l Load) {
 	if u.tokens == 0 {
 		u.tokens, u.unread = float64(l.Tokens), float64(l.Unread)
@@ -126,7 +125,6 @@
 	load Load
 }
 
-// recordSent records a request of this box.
 func (r *Replica) recordSent(l Load, now time.Duration) {
 	if len(r.unreported) >= maxUnreported {
 		r.unreported = r.unreported[1:]
@@ -177,7 +175,6 @@
 	return l
 }
 
-// meanLoad is the mean reported load of a service's replicas at a time.
 type meanLoad struct {
 	Load
 	at time.Duration
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -10,7 +10,6 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// recordReport records a load report.
 func (b *box) recordReport(replica string, requests, waiting int, at time.Duration) bool {
 	return b.Says(replica, placement.Word{
 		Requests: requests,
--- a/placement/segment.go
+++ b/placement/segment.go
@@ -55,7 +55,6 @@
 	return out
 }
 
-// recordPeerSegments records the segments that another box sent to the replica recently.
 func (r *Replica) recordPeerSegments(keys []PartKey, now time.Duration) {
 	if len(r.peerSegments) > maxCachedSegments {
 		clear(r.peerSegments)
--- a/placement/view.go
+++ b/placement/view.go
@@ -92,7 +92,6 @@
 	}
 }
 
-// sameServices reports whether two policies define the same services.
 func sameServices(a, b *catalog.Table) bool {
 	if a == nil || len(a.Policy().Services) != len(b.Policy().Services) {
 		return false
@@ -174,7 +173,6 @@
 	return newest.Born == 0 || info.Born == 0 || newest.Born > info.Born
 }
 
-// applyReplica applies the entry of one replica.
 func (v *View) applyReplica(changes []Belief, info catalog.Replica, now time.Duration) []Belief {
 	incarnation := info.Start()
 	r, ok := v.getOrAdd(info, now)
@@ -244,7 +242,6 @@
 	return "replica changed"
 }
 
-// markCold records that a replica is cold for a time.
 func (v *View) markCold(r *Replica, left, now time.Duration) {
 	r.coldUntil = max(r.coldUntil, now+left)
 	clear(r.cached)
@@ -269,7 +266,6 @@
 	v.markCold(r, left, now)
 }
 
-// applyEvacuated updates which failure domains are evacuated.
 func (v *View) applyEvacuated(changes []Belief, c *catalog.Content, now time.Duration) []Belief {
 	evacuated := make(map[string]bool)
 	for _, d := range c.Evacuated() {
