--- a/placement/copy_test.go
+++ b/placement/copy_test.go
@@ -12,8 +12,7 @@
 
 const fastLink = 400_000 // Mbit/s; a copy is much faster than prefill
 
-// copyPolicy returns a policy with engines that copy cached segments over a link of this
-// speed.
+// copyPolicy returns a policy with engines that copy cached segments over a link.
 func copyPolicy(mbps float64) catalog.Policy {
 	p := policy()
 	p.Version = 2
--- a/placement/pick_test.go
+++ b/placement/pick_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// failUntilEjected sends requests until the only replica of a service is ejected, and returns their
-// number.
+// failUntilEjected sends requests until the only replica of a service is ejected, and returns
+// their number.
 func failUntilEjected(b *box, service string, result placement.Result, now time.Duration) int {
 	for n := range 10 {
 		c := b.Pick(newRequest(service, fmt.Sprint(n)), alone, now)
--- a/placement/replayengine_test.go
+++ b/placement/replayengine_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// evict evicts the least recently used segment.
+// evict drops the least recently used segment.
 func (e *replayEngine) evict() {
 	oldest := ""
 	for p, at := range e.cached {
--- a/placement/view.go
+++ b/placement/view.go
@@ -23,8 +23,8 @@
 	evacuated map[string]bool
 	pacer     *pacing.Pacer
 	index     index
-	onAdded   func(incarnation string) // seam
-	onRemoved func(incarnation string) // seam
+	onAdded   func(incarnation string)
+	onRemoved func(incarnation string)
 
 	peerLoadTTL    time.Duration          // for which the report of another box is valid
 	byReports      bool                   // use load reports of engines instead of those of boxes
