--- a/placement/fuzz_test.go
+++ b/placement/fuzz_test.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	actions = 120 // in one run
-	known   = 3   // replicas of each service
+	actions            = 120 // per run
+	replicasPerService = 3   // replicas of each service
 )
 
-// open is a request that was counted in.
+// open is a request that Pick accepted and End hasn't released.
 type open struct {
 	choice placement.Choice
 	load   placement.Load
 }
 
-// region is a box, what is published to it, and what it has to count.
+// region is a box with its catalog and the expected loads.
 type region struct {
 	*rapid.T
 	*box
 	now       time.Duration
 	published map[string]catalog.Replica
-	left      map[string]bool // ids that were published as leaving
+	leaving   map[string]bool // ids that were published as leaving
 	evacuated []string
 	open      []open
 }
@@ -41,10 +41,10 @@
 		box:       newBox("a", "hall"),
 		now:       start,
 		published: make(map[string]catalog.Replica),
-		left:      make(map[string]bool),
+		leaving:   make(map[string]bool),
 	}
 	for _, service := range []string{"engine", "plain"} {
-		for _, info := range replicas(service, known) {
+		for _, info := range replicas(service, replicasPerService) {
 			r.published[info.ID] = info
 		}
 	}
@@ -58,9 +58,9 @@
 		all = append(all, info)
 	}
 	r.publish(r.now, r.evacuated, all...)
-	for id := range r.left {
+	for id := range r.leaving {
 		if r.Get(id) == nil {
-			delete(r.left, id) // forgotten, a long time after
+			delete(r.leaving, id) // evicted
 		}
 	}
 }
@@ -70,10 +70,9 @@
 }
 
 func (r *region) id() string {
-	return fmt.Sprintf("%s-%d", r.service(), rapid.IntRange(0, known-1).Draw(r.T, "replica"))
+	return fmt.Sprintf("%s-%d", r.service(), rapid.IntRange(0, replicasPerService-1).Draw(r.T, "replica"))
 }
 
-// change publishes a change of one replica.
 func (r *region) change() {
 	id := r.id()
 	if rapid.IntRange(0, 3).Draw(r.T, "kind") == 0 {
@@ -84,16 +83,16 @@
 	info := catalog.Replica{
 		ID:       id,
 		Service:  id[:len(id)-2],
-		Addr:     fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*known).Draw(r.T, "address")), // at times that of another
+		Addr:     fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*replicasPerService).Draw(r.T, "address")), // sometimes that of another
 		Domain:   rapid.SampledFrom([]string{"hall", "attic"}).Draw(r.T, "domain"),
 		Region:   "north",
 		Slots:    rapid.IntRange(0, 4).Draw(r.T, "slots"),
 		Leaving:  rapid.IntRange(0, 5).Draw(r.T, "leaving") == 0,
 		ColdLeft: catalog.Millis(rapid.SampledFrom([]int{0, 0, 300, 3000}).Draw(r.T, "cold")),
-		Revision: r.rev + 1, // as it is published below
+		Revision: r.rev + 1, // the next revision
 	}
 	if info.Leaving {
-		r.left[id] = true
+		r.leaving[id] = true
 	}
 	r.published[id] = info
 	r.republish()
@@ -110,7 +109,7 @@
 }
 
 func (r *region) request() placement.Request {
-	req := ask(r.service(), fmt.Sprint(len(r.open)))
+	req := newRequest(r.service(), fmt.Sprint(len(r.open)))
 	if req.Service == "engine" {
 		req.Prompt = rapid.SampledFrom([]int{1, 500, 5000, 60_000}).Draw(r.T, "prompt")
 		req.Out = rapid.SampledFrom([]int{0, 1, 400}).Draw(r.T, "out")
@@ -139,11 +138,11 @@
 	c := r.Pick(req, alone, r.now)
 	if c.Reason != placement.None {
 		if c.Replica != "" || c.Wait < 0 {
-			r.Fatalf("a refusal with a replica or a time that is over: %v", c)
+			r.Fatalf("a refusal with a replica or a negative wait: %v", c)
 		}
 		for id, own := range before {
 			if r.Get(id).Own() != own {
-				r.Fatalf("a refusal counted in at %s", id)
+				r.Fatalf("a refusal reserved capacity at %s", id)
 			}
 		}
 		return
@@ -160,7 +159,6 @@
 	})
 }
 
-// superseded says whether a newer entry has the address of a replica.
 func (r *region) superseded(info catalog.Replica) bool {
 	for _, other := range r.published {
 		if other.Addr == info.Addr && other.Revision > info.Revision {
@@ -170,7 +168,6 @@
 	return false
 }
 
-// mayServe checks that a replica may be chosen for a request.
 func (r *region) mayServe(c placement.Choice, req placement.Request) {
 	info, listed := r.published[c.Replica]
 	switch {
@@ -182,14 +179,14 @@
 		r.Fatalf("another replica is at %s", info.Addr)
 	case info.Addr != c.Addr:
 		r.Fatalf("%s is at %s, not %s", c.Replica, info.Addr, c.Addr)
-	case r.left[c.Replica]:
+	case r.leaving[c.Replica]:
 		r.Fatalf("%s has left", c.Replica)
 	case slices.Contains(r.evacuated, info.Domain):
-		r.Fatalf("%s is in a closed domain", c.Replica)
+		r.Fatalf("%s is in an evacuated domain", c.Replica)
 	case slices.Contains(req.Tried, c.Replica):
 		r.Fatalf("%s was tried", c.Replica)
 	case r.Get(c.Replica).Out(r.now):
-		r.Fatalf("%s is out", c.Replica)
+		r.Fatalf("%s is ejected", c.Replica)
 	case c.Expect < 0 || c.Missing < 0:
 		r.Fatalf("negative: %v", c)
 	}
@@ -212,15 +209,15 @@
 	o := r.open[i]
 	r.open = slices.Delete(r.open, i, i+1)
 	result := placement.Result(rapid.IntRange(int(placement.Answered), int(placement.Misdirected)).Draw(r.T, "result"))
-	wasOut := r.Get(o.choice.Replica).Out(r.now)
-	told := r.End(&o.choice, result, time.Duration(rapid.IntRange(0, 900).Draw(r.T, "hold"))*time.Millisecond, r.now)
-	if isOut := r.Get(o.choice.Replica).Out(r.now); told != (isOut && !wasOut) {
-		r.Fatalf("told %v; out before: %v, after: %v", told, wasOut, isOut)
+	wasEjected := r.Get(o.choice.Replica).Out(r.now)
+	ejected := r.End(&o.choice, result, time.Duration(rapid.IntRange(0, 900).Draw(r.T, "hold"))*time.Millisecond, r.now)
+	if isEjected := r.Get(o.choice.Replica).Out(r.now); ejected != (isEjected && !wasEjected) {
+		r.Fatalf("End returned %v; ejected before: %v, after: %v", ejected, wasEjected, isEjected)
 	}
-	r.End(&o.choice, result, 0, r.now) // counts nothing a second time
+	r.End(&o.choice, result, 0, r.now) // no effect the second time
 }
 
-func (r *region) told() {
+func (r *region) recordPeerLoad() {
 	r.Told("b", []placement.OwnLoad{{
 		Replica: r.id(),
 		Load: placement.Load{
@@ -236,7 +233,7 @@
 	}).Draw(r.T, "time")
 }
 
-// check compares what is counted with the requests that are open.
+// check compares the recorded loads with the open requests.
 func (r *region) check() {
 	want := make(map[string]placement.Load)
 	for _, o := range r.open {
@@ -248,7 +245,7 @@
 	}
 	for id := range want {
 		if r.Get(id) == nil {
-			r.Fatalf("%s is forgotten with open requests", id)
+			r.Fatalf("%s was evicted with open requests", id)
 		}
 	}
 	for _, known := range r.Replicas() {
@@ -265,10 +262,10 @@
 	}
 }
 
-func TestRequestsAreCountedInAndOutExactly(t *testing.T) {
+func TestLoadsMatchTheOpenRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRegion(t)
-		acts := []func(){r.pick, r.pick, r.pick, r.pick, r.first, r.end, r.end, r.change, r.evacuate, r.told, r.pass}
+		acts := []func(){r.pick, r.pick, r.pick, r.pick, r.first, r.end, r.end, r.change, r.evacuate, r.recordPeerLoad, r.pass}
 		for range actions {
 			rapid.SampledFrom(acts).Draw(t, "action")()
 			r.check()
--- a/placement/start_test.go
+++ b/placement/incarnation_test.go
@@ -16,7 +16,6 @@
 	secondBorn = firstBorn + 60_000
 )
 
-// started returns the only replica of a service, of a start.
 func started(service string, born int64) catalog.Replica {
 	r := replicas(service, 1)[0]
 	r.Born = born
@@ -24,25 +23,24 @@
 	return r
 }
 
-// A replica that crashed was back under its id before its entry went. What a box
-// believed of the process that was gone it went on believing of the new one: prompts
-// that it had read, a load, failures, silence, and that it was leaving.
+// Guards against state of a crashed process that is applied to the next incarnation under
+// the same id.
 func TestNothingIsBelievedOfAStartThatWasBelievedOfTheOneBefore(t *testing.T) {
 	for name, teach := range map[string]func(b *box, replica string, now time.Duration){
-		"prompts that it was given": func(b *box, _ string, now time.Duration) {
-			c := b.Pick(askShared("manual", "r"), alone, now)
+		"cached segments": func(b *box, _ string, now time.Duration) {
+			c := b.Pick(newSharedRequest("manual", "r"), alone, now)
 			b.End(&c, placement.Answered, time.Millisecond, now)
 		},
-		"prompts that others gave it": func(b *box, replica string, now time.Duration) {
+		"cached segments of other boxes": func(b *box, replica string, now time.Duration) {
 			b.Told("b", []placement.OwnLoad{{
 				Replica: replica,
 				Kept:    []placement.PartKey{placement.KeyOf("manual")},
 			}}, now)
 		},
-		"requests under way": func(b *box, _ string, now time.Duration) {
-			b.Pick(ask("engine", "k"), alone, now)
+		"requests in flight": func(b *box, _ string, now time.Duration) {
+			b.Pick(newRequest("engine", "k"), alone, now)
 		},
-		"others' requests": func(b *box, replica string, now time.Duration) {
+		"requests of other boxes": func(b *box, replica string, now time.Duration) {
 			b.Told("b", []placement.OwnLoad{{
 				Replica: replica,
 				Load: placement.Load{
@@ -50,34 +48,34 @@
 				},
 			}}, now)
 		},
-		"its own word": func(b *box, replica string, now time.Duration) {
+		"load report": func(b *box, replica string, now time.Duration) {
 			b.ByWords(true, 1)
 			b.Says(replica, placement.Word{
 				Requests: 7,
 				At:       now,
 			})
 		},
-		"its silence": func(b *box, replica string, now time.Duration) {
+		"report without a response": func(b *box, replica string, now time.Duration) {
 			b.Says(replica, placement.Word{
 				Silent: true,
 				At:     now + time.Millisecond,
 			})
 		},
 		"failures": func(b *box, _ string, now time.Duration) {
-			pick(b, "engine", placement.Failed, now)
+			pickWithResult(b, "engine", placement.Failed, now)
 		},
-		"that it is out of reach": func(b *box, _ string, now time.Duration) {
-			fail(b, "engine", placement.Unreachable, now)
+		"unreachable": func(b *box, _ string, now time.Duration) {
+			failUntilEjected(b, "engine", placement.Unreachable, now)
 		},
-		"that another one answers at its address": func(b *box, _ string, now time.Duration) {
-			pick(b, "engine", placement.Misdirected, now)
+		"misdirected": func(b *box, _ string, now time.Duration) {
+			pickWithResult(b, "engine", placement.Misdirected, now)
 		},
 		"slowness": func(b *box, _ string, now time.Duration) {
-			c := b.Pick(ask("engine", "k"), alone, now)
+			c := b.Pick(newRequest("engine", "k"), alone, now)
 			b.First(&c, time.Second, now)
 			b.End(&c, placement.Answered, time.Second, now)
 		},
-		"that it leaves": func(b *box, _ string, now time.Duration) {
+		"leaving": func(b *box, _ string, now time.Duration) {
 			r := started("engine", firstBorn)
 			r.Leaving = true
 			r.Revision++
@@ -106,11 +104,11 @@
 			is.Equal(got.Slow(now), want.Slow(now))
 			is.Equal(got.WordAge(now), want.WordAge(now))
 			is.True(!got.Out(now))
-			choice := b.Pick(askShared("manual", "r-1"), alone, now+time.Minute) // by then nothing is paced
+			choice := b.Pick(newSharedRequest("manual", "r-1"), alone, now+time.Minute) // after all rate limits
 			is.Equal(choice.Reason, placement.None)
 			is.Equal(choice.Replica, next.Start())
-			is.Equal(choice.ID, "engine-0") // which it answers to
-			plain := fresh.Pick(askShared("manual", "r-1"), alone, now+time.Minute)
+			is.Equal(choice.ID, "engine-0") // the id
+			plain := fresh.Pick(newSharedRequest("manual", "r-1"), alone, now+time.Minute)
 			is.Equal(choice.Reads, plain.Reads)
 			is.Equal(choice.Expect, plain.Expect)
 		})
@@ -120,29 +118,29 @@
 func TestWhatBecomesOfRequestsToAnEarlierStartSaysNothingOfTheNext(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", started("plain", firstBorn))
-	var under []placement.Choice
+	var inFlight []placement.Choice
 	for n := range 5 {
-		under = append(under, b.Pick(ask("plain", fmt.Sprint(n)), alone, start))
+		inFlight = append(inFlight, b.Pick(newRequest("plain", fmt.Sprint(n)), alone, start))
 	}
 	next := started("plain", secondBorn)
 	b.publish(start, nil, next)
 	now := start + 10*time.Second
-	for i := range under {
-		b.End(&under[i], placement.Silent, time.Second, now)
+	for i := range inFlight {
+		b.End(&inFlight[i], placement.Silent, time.Second, now)
 	}
-	is.Equal(b.Get(under[0].Replica).Own(), placement.Load{}) // they are counted out where they were counted in
+	is.Equal(b.Get(inFlight[0].Replica).Own(), placement.Load{}) // released at the incarnation that received them
 	got := b.Get(next.Start())
 	is.Equal(got.Own(), placement.Load{})
 	is.True(!got.Out(now))
 	is.Equal(got.Failing(now), 0.0)
-	is.Equal(len(sent([]*box{b}, alone, "plain", now, now+time.Second)), 100) // and it isn't paced
+	is.Equal(len(sendAll([]*box{b}, alone, "plain", now, now+time.Second)), 100) // not rate-limited
 }
 
 func TestAStartThatWasTriedDoesntStandForTheNext(t *testing.T) {
 	is := is.New(t)
 	first := started("plain", firstBorn)
 	b := newBox("a", "hall", first)
-	req := ask("plain", "k")
+	req := newRequest("plain", "k")
 	req.Tried = []string{first.Start()}
 	is.Equal(b.Pick(req, alone, start).Reason, placement.Tried)
 	b.publish(start, nil, started("plain", secondBorn))
@@ -155,18 +153,18 @@
 	next := started("engine", secondBorn)
 	b.publish(start, nil, next)
 	now := start + time.Second
-	word := placement.Word{
+	report := placement.Word{
 		Requests: 7,
 		At:       now,
 	}
-	b.Says(started("engine", firstBorn).Start(), word)
+	b.Says(started("engine", firstBorn).Start(), report)
 	is.True(b.Get(next.Start()).WordAge(now) < 0)
-	is.True(!b.Says("engine-0", word)) // of no start
-	is.True(b.Says(next.Start(), word))
+	is.True(!b.Says("engine-0", report)) // not an incarnation
+	is.True(b.Says(next.Start(), report))
 }
 
-// Boxes hear of a new start at different times, and those that have not yet send to the
-// same process by the name of the old one.
+// Guards against a cold replica that receives twice its rate because boxes learn of its new
+// incarnation at different times.
 func TestAColdReplicaThatStartedAgainIsPacedForBoxesThatKnowEitherStart(t *testing.T) {
 	is := is.New(t)
 	cold := func(born int64) catalog.Replica {
@@ -180,17 +178,17 @@
 		boxes = append(boxes, newBox(name, "hall", cold(firstBorn)))
 	}
 	until := start + 3*time.Second
-	sends := sent(boxes, names, "plain", start, until)
+	sends := sendAll(boxes, names, "plain", start, until)
 	for _, b := range boxes {
 		b.publish(until, nil, cold(secondBorn))
 		from := until
 		until += 400 * time.Millisecond
-		sends = append(sends, sent(boxes, names, "plain", from, until)...)
+		sends = append(sends, sendAll(boxes, names, "plain", from, until)...)
 		is.Equal(b.Pacer().IsCold("plain-0", until), true)
 	}
-	sends = append(sends, sent(boxes, names, "plain", until, until+2*time.Second)...)
+	sends = append(sends, sendAll(boxes, names, "plain", until, until+2*time.Second)...)
 	is.True(len(sends) > 10)
-	is.True(most(sends) <= mostCold)
+	is.True(maxPerSecond(sends) <= maxColdSends)
 }
 
 func TestAStartIsForgottenWhileTheNextIsPaced(t *testing.T) {
@@ -205,27 +203,26 @@
 	is.True(b.Pacer().IsCold("plain-0", now))
 }
 
-// The watch over silence asks where a request would go and leaves those out that take no
-// connection. It was told their ids, while what was tried is held against starts, so that it
-// was told the same dark one again and again.
-func TestWhereARequestWouldGoIsNamedByItsStart(t *testing.T) {
+// Guards against Next returning an id: Tried holds incarnations, so the same unreachable
+// replica would be returned again.
+func TestNextReturnsAnIncarnation(t *testing.T) {
 	is := is.New(t)
 	replica := started("plain", firstBorn)
 	b := newBox("a", "hall", replica)
-	req := ask("plain", "k")
+	req := newRequest("plain", "k")
 	next := b.Next(req, alone, start)
 	is.Equal(next.Replica, replica.Start())
 	req.Tried = []string{next.Replica}
 	is.Equal(b.Next(req, alone, start).Reason, placement.Tried)
 }
 
-// That it took no connection counts as for one that was chosen, but it had nothing counted in.
-func TestOneThatOnlyWouldHaveBeenChosenMayBeFoundUnreachable(t *testing.T) {
+// Guards against End releasing load that Next did not reserve.
+func TestEndAfterNextCanEjectAReplica(t *testing.T) {
 	is := is.New(t)
 	replica := started("plain", firstBorn)
 	b := newBox("a", "hall", replica)
 	for range 2 {
-		next := b.Next(ask("plain", "k"), alone, start)
+		next := b.Next(newRequest("plain", "k"), alone, start)
 		b.End(&next, placement.Unreachable, time.Second, start)
 	}
 	got := b.Get(replica.Start())
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -14,22 +14,21 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// Figures of the engines in the replay, by the sheet of the users' large installation.
+// Parameters of the engines in the replay.
 const (
 	replayEngines  = 52
 	replaySlots    = 32
 	replayMemory   = 232_000 // tokens
-	replayChunk    = 2048    // prompt tokens read in a step
-	replayReadRate = 38.7    // of these in a millisecond
-	replayStride   = 9       // tokens of an event
+	replayChunk    = 2048    // prompt tokens prefilled per step
+	replayReadRate = 38.7    // prompt tokens per millisecond
+	replayStride   = 9       // tokens per event
 	replayStep     = 5470 * time.Microsecond
-	replayStepMore = 12 * time.Microsecond // for each request that runs
+	replayStepMore = 12 * time.Microsecond // per running request
 )
 
-// replayKind is a kind of request.
 type replayKind struct {
-	rate     float64 // a second, all boxes together
-	shared   int     // tokens of the part that requests of one subject share
+	rate     float64 // per second, all boxes together
+	shared   int     // tokens of the segment that requests of one subject share
 	own      int
 	out      int
 	subjects int
@@ -38,7 +37,7 @@
 	rank     float64
 }
 
-// replayKinds are the long prompts and the long answers of a region at its peak.
+// replayKinds are the long prompts and the long answers of a region at peak load.
 var replayKinds = []replayKind{
 	{
 		rate:     210,
@@ -61,55 +60,54 @@
 	},
 }
 
-const replayGap = 600 * time.Millisecond // between events that is aimed at
+const replayGap = 600 * time.Millisecond // latency target between events
 
-// knowledge is what boxes know of each other's requests.
-type knowledge int
+// loadSharing is how boxes learn of each other's requests.
+type loadSharing int
 
 const (
-	blind   knowledge = iota // nothing
-	loads                    // each tells all others what it has, four times a second
-	byWords                  // the words of all engines, as they spread by a beat's datagrams
-	byNeed                   // the words that boxes ask for and tell each other
+	noReports     loadSharing = iota // not at all
+	peerLoads                        // each sends its own loads to all others, four times a second
+	allReports                       // load reports of all engines, with the delay of gossip
+	polledReports                    // load reports of polled engines, gossiped while busy
 )
 
-// replay is a region: boxes before engines, in virtual time.
+// replay simulates the boxes and engines of a region in virtual time.
 type replay struct {
-	rnd     *rand.Rand
-	clock   virtual.Clock
-	engines []*replayEngine
-	boxes   []*placement.View
-	names   []string
-	know    knowledge
-	load    float64 // factor of the rates
-	owed    int
-	inTime  int
-	late    int
-	refused int
-	again   int // shared tokens read though some engine keeps them
-	seen    map[string]bool
-	worst   int // most requests seen at an engine
-	asked   int // questions to engines
-	told    int // words told to other boxes
+	rnd         *rand.Rand
+	clock       virtual.Clock
+	engines     []*replayEngine
+	boxes       []*placement.View
+	names       []string
+	sharing     loadSharing
+	rateFactor  float64 // factor of the request rates
+	total       int
+	inTime      int
+	late        int
+	refused     int
+	reread      int // shared tokens prefilled although some engine has them cached
+	seen        map[string]bool
+	maxRequests int // most requests at one engine
+	polls       int // polls of engines
+	gossiped    int // load reports sent to other boxes
 }
 
-func newReplay(seed uint64, boxes int, know knowledge, load float64) *replay {
-	return newReplayOf(seed, replayEngines, boxes, know, load)
+func newReplay(seed uint64, boxes int, sharing loadSharing, rateFactor float64) *replay {
+	return newReplayOf(seed, replayEngines, boxes, sharing, rateFactor)
 }
 
-// newReplayOf is a replay of so many engines.
-func newReplayOf(seed uint64, engines, boxes int, know knowledge, load float64) *replay {
+func newReplayOf(seed uint64, engines, boxes int, sharing loadSharing, rateFactor float64) *replay {
 	c := &replay{
-		rnd:  rand.New(rand.NewPCG(seed, 3)),
-		know: know,
-		load: load,
-		seen: make(map[string]bool),
+		rnd:        rand.New(rand.NewPCG(seed, 3)),
+		sharing:    sharing,
+		rateFactor: rateFactor,
+		seen:       make(map[string]bool),
 	}
 	c.clock.RunUntil(start)
 	var list []catalog.Replica
 	for n := range engines {
 		c.engines = append(c.engines, &replayEngine{
-			kept: make(map[string]time.Duration),
+			cached: make(map[string]time.Duration),
 		})
 		list = append(list, catalog.Replica{
 			ID:       fmt.Sprintf("engine-%02d", n),
@@ -139,44 +137,43 @@
 		v := placement.NewView("north", "hall", pacing.New(name, terms))
 		v.SetTable(catalog.NewTable(p))
 		v.Take(content, start)
-		v.ByWords(know == byWords || know == byNeed, boxes)
+		v.ByWords(sharing == allReports || sharing == polledReports, boxes)
 		c.boxes = append(c.boxes, v)
 		c.names = append(c.names, name)
 	}
 	return c
 }
 
-// play lets requests come for a time.
 func (c *replay) play(d time.Duration) {
 	for i := range replayKinds {
 		c.arrive(&replayKinds[i])
 	}
-	c.tell()
+	c.exchangeLoads()
 	c.clock.RunUntil(c.clock.Now() + d)
 	for _, e := range c.engines {
-		for _, r := range e.runs {
+		for _, r := range e.running {
 			if r.first && r.pause <= replayGap && c.clock.Now()-r.last <= replayGap {
-				c.inTime++ // as far as it is known
+				c.inTime++ // on time so far
 			}
 		}
 	}
 }
 
 func (c *replay) arrive(k *replayKind) {
-	gap := c.rnd.ExpFloat64() / (k.rate * c.load)
+	gap := c.rnd.ExpFloat64() / (k.rate * c.rateFactor)
 	c.clock.After(time.Duration(gap*float64(time.Second)), func() {
 		c.send(k)
 		c.arrive(k)
 	})
 }
 
-// send has a box choose an engine for a request.
+// send has a random box choose an engine for a request.
 func (c *replay) send(k *replayKind) {
 	b := c.rnd.IntN(len(c.boxes))
 	part := fmt.Sprint(k.shared, "-", c.rnd.IntN(k.subjects))
 	out := max(1, int(float64(k.out)*math.Exp(0.7*c.rnd.NormFloat64()-0.245)))
 	own := max(1, int(float64(k.own)*math.Exp(0.8*c.rnd.NormFloat64()-0.32)))
-	c.owed++
+	c.total++
 	choice := c.boxes[b].Pick(placement.Request{
 		Service: "engine",
 		Key:     fmt.Sprint(c.rnd.Uint64()),
@@ -197,21 +194,21 @@
 	n := 0
 	_, _ = fmt.Sscanf(choice.Replica, "engine-%d", &n)
 	r := &replayRun{
-		kind:   k,
-		box:    b,
-		choice: choice,
-		part:   part,
-		start:  c.clock.Now(),
-		unread: own,
-		made:   -out,
+		kind:      k,
+		box:       b,
+		choice:    choice,
+		part:      part,
+		start:     c.clock.Now(),
+		unread:    own,
+		generated: -out,
 	}
-	c.engines[n].take(c, r)
+	c.engines[n].accept(c, r)
 }
 
-// token makes a token of a request's answer, and says whether it was the last.
+// token generates a token of an answer and returns true for the last one.
 func (c *replay) token(r *replayRun) (done bool) {
-	r.made++
-	if (r.made%replayStride != 0 || r.made > 0) && r.made < 0 {
+	r.generated++
+	if (r.generated%replayStride != 0 || r.generated > 0) && r.generated < 0 {
 		return false
 	}
 	v := c.boxes[r.box]
@@ -220,13 +217,13 @@
 		v.First(&r.choice, c.clock.Now()-r.start, c.clock.Now())
 		r.pause = 0
 		if c.clock.Now()-r.start > r.kind.goal {
-			r.pause = time.Hour // late already
+			r.pause = time.Hour // already late
 		}
 	} else {
 		r.pause = max(r.pause, c.clock.Now()-r.last)
 	}
 	r.last = c.clock.Now()
-	if r.made < 0 {
+	if r.generated < 0 {
 		return false
 	}
 	v.End(&r.choice, placement.Answered, c.clock.Now()-r.start, c.clock.Now())
@@ -238,10 +235,9 @@
 	return true
 }
 
-// tell has boxes learn of each other's requests.
-func (c *replay) tell() {
-	switch c.know {
-	case loads:
+func (c *replay) exchangeLoads() {
+	switch c.sharing {
+	case peerLoads:
 		for b, v := range c.boxes {
 			told := v.Tell(c.clock.Now())
 			for o, other := range c.boxes {
@@ -250,59 +246,57 @@
 				}
 			}
 		}
-		c.clock.After(250*time.Millisecond, c.tell)
-	case byWords:
+		c.clock.After(250*time.Millisecond, c.exchangeLoads)
+	case allReports:
 		for n := range c.engines {
-			c.asked++
-			c.spread(fmt.Sprintf("engine-%02d", n), c.word(n))
+			c.polls++
+			c.gossip(fmt.Sprintf("engine-%02d", n), c.report(n))
 		}
-		c.clock.After(placement.AskEvery, c.tell)
-	case byNeed:
+		c.clock.After(placement.AskEvery, c.exchangeLoads)
+	case polledReports:
 		for b := range c.boxes {
-			c.ask(b)
+			c.poll(b)
 		}
-		c.clock.After(placement.AskEvery, c.tell)
-	case blind:
+		c.clock.After(placement.AskEvery, c.exchangeLoads)
+	case noReports:
 	}
 }
 
-// ask has a box ask the engines that it needs to, and tell the others what they need to
-// know.
-func (c *replay) ask(b int) {
+// poll has a box poll engines and gossip the reports of busy ones.
+func (c *replay) poll(b int) {
 	now := c.clock.Now()
 	v := c.boxes[b]
-	mine := func(start string) bool { return rendezvous.Top(start, c.names, 1)[0] == c.names[b] }
-	for _, r := range v.Questions(now, mine, func(string) bool { return false }) {
-		c.asked++
+	isPoller := func(incarnation string) bool { return rendezvous.Top(incarnation, c.names, 1)[0] == c.names[b] }
+	for _, r := range v.Questions(now, isPoller, func(string) bool { return false }) {
+		c.polls++
 		n := 0
 		_, _ = fmt.Sscanf(r.Start(), "engine-%d", &n)
-		v.Says(r.Start(), c.word(n))
+		v.Says(r.Start(), c.report(n))
 	}
 	for _, w := range v.Words(now) {
-		if w.At == now { // it is the one that asked; others pass it on
-			c.told++
-			c.spread(w.Replica, w.Word)
+		if w.At == now { // only the box that polled starts the gossip
+			c.gossiped++
+			c.gossip(w.Replica, w.Word)
 		}
 	}
 }
 
-// word returns what an engine says now.
-func (c *replay) word(n int) placement.Word {
+func (c *replay) report(n int) placement.Word {
 	e := c.engines[n]
 	tokens := 0
-	for _, r := range e.runs {
+	for _, r := range e.running {
 		tokens += r.kind.shared + r.kind.own + r.kind.out
 	}
 	return placement.Word{
-		Requests: len(e.runs) + len(e.wait),
-		Waiting:  len(e.wait),
+		Requests: len(e.running) + len(e.waiting),
+		Waiting:  len(e.waiting),
 		Tokens:   tokens,
 		At:       c.clock.Now(),
 	}
 }
 
-// spread takes an engine's word to all boxes, as datagrams to two boxes at each beat do.
-func (c *replay) spread(id string, w placement.Word) {
+// gossip sends a load report to all boxes with the delay of gossip.
+func (c *replay) gossip(id string, w placement.Word) {
 	rounds := math.Log(float64(len(c.boxes))) / math.Log(3)
 	for _, v := range c.boxes {
 		lag := 100*time.Millisecond + time.Duration(c.rnd.Float64()*2*rounds*float64(250*time.Millisecond)/2)
@@ -310,80 +304,74 @@
 	}
 }
 
-// share returns the part of all requests that was served in time.
-func (c *replay) share() float64 { return float64(c.inTime) / float64(c.owed) }
+func (c *replay) share() float64 { return float64(c.inTime) / float64(c.total) }
 
-// The load of a region at its peak. Among 32 and 98 boxes that tell each other nothing
-// some engines got twice what others did; those that sought the least loaded engine by
-// what all of them knew went to the same ones, and read shared parts there again: 0.72 of
-// all requests were in time, where one box that knew all had 0.97.
-func TestManyBoxesServeNearlyWhatOneThatKnowsAllDoes(t *testing.T) {
+// Guards against boxes that all choose the same engine from the same reports, or overload
+// one without reports, at the peak load of a region.
+func TestManyBoxesServeNearlyAsManyRequestsAsASingleOne(t *testing.T) {
 	const d = 12 * time.Second
 	for _, load := range []float64{0.8, 1} {
-		play := func(name string, boxes int, know knowledge) *replay {
-			r := newReplay(1, boxes, know, load)
+		play := func(name string, boxes int, sharing loadSharing) *replay {
+			r := newReplay(1, boxes, sharing, load)
 			r.play(d)
-			t.Logf("load %.1f %-9s %2d boxes: in time %.3f, late %.3f, refused %.3f, read again %4d kilotokens, most at an engine %d, asked %d",
-				load, name, boxes, r.share(), float64(r.late)/float64(r.owed), float64(r.refused)/float64(r.owed), r.again/1000, r.worst, r.asked)
+			t.Logf("load %.1f %-9s %2d boxes: in time %.3f, late %.3f, refused %.3f, prefilled again %4d kilotokens, most at an engine %d, polls %d",
+				load, name, boxes, r.share(), float64(r.late)/float64(r.total), float64(r.refused)/float64(r.total), r.reread/1000, r.maxRequests, r.polls)
 			return r
 		}
-		alone := play("knows all", 1, loads)
+		alone := play("single", 1, peerLoads)
 		for _, boxes := range []int{9, 32, 98} {
-			play("nothing", boxes, blind)
+			play("none", boxes, noReports)
 			if boxes == 32 {
-				play("loads", boxes, loads)
+				play("loads", boxes, peerLoads)
 			}
-			got := play("words", boxes, byWords)
+			got := play("reports", boxes, allReports)
 			if boxes > 32 {
-				continue // callers are told to use fewer
+				continue // callers use fewer boxes
 			}
 			if got.share() < alone.share()-0.05 {
-				t.Errorf("%d boxes serve %.3f in time, one that knows all %.3f", boxes, got.share(), alone.share())
+				t.Errorf("%d boxes serve %.3f in time, a single box %.3f", boxes, got.share(), alone.share())
 			}
-			if got.worst > 2*replaySlots {
-				t.Errorf("%d boxes gave an engine %d requests, it runs %d", boxes, got.worst, replaySlots)
+			if got.maxRequests > 2*replaySlots {
+				t.Errorf("%d boxes gave an engine %d requests, it runs %d", boxes, got.maxRequests, replaySlots)
 			}
 		}
 	}
 }
 
-// Boxes that ask and tell only what is needed serve as much, over eight seeds, as single
-// ones differ by 0.02 whatever is known.
-func TestWordsOfBusyEnginesAloneServeNearlyWhatOneThatKnowsAllDoes(t *testing.T) {
+// Guards against a loss of service when only the reports of busy engines are gossiped.
+func TestPolledReportsServeNearlyAsManyRequestsAsASingleBox(t *testing.T) {
 	const seeds = 8
-	mean := func(boxes int, know knowledge) float64 {
+	mean := func(boxes int, sharing loadSharing) float64 {
 		sum := 0.0
 		for seed := range uint64(seeds) {
-			r := newReplay(seed+1, boxes, know, 1)
+			r := newReplay(seed+1, boxes, sharing, 1)
 			r.play(12 * time.Second)
 			sum += r.share()
-			if know == byNeed && r.worst > 2*replaySlots {
-				t.Errorf("seed %d: %d boxes gave an engine %d requests, it runs %d", seed+1, boxes, r.worst, replaySlots)
+			if sharing == polledReports && r.maxRequests > 2*replaySlots {
+				t.Errorf("seed %d: %d boxes gave an engine %d requests, it runs %d", seed+1, boxes, r.maxRequests, replaySlots)
 			}
 		}
 		return sum / seeds
 	}
-	alone, all, needed := mean(1, loads), mean(32, byWords), mean(32, byNeed)
-	t.Logf("in time: one that knows all %.3f, 32 boxes by all words %.3f, by those needed %.3f", alone, all, needed)
+	alone, all, needed := mean(1, peerLoads), mean(32, allReports), mean(32, polledReports)
+	t.Logf("in time: a single box %.3f, 32 boxes with all reports %.3f, with polled ones %.3f", alone, all, needed)
 	if needed < alone-0.05 {
-		t.Errorf("32 boxes serve %.3f in time, one that knows all %.3f", needed, alone)
+		t.Errorf("32 boxes serve %.3f in time, a single box %.3f", needed, alone)
 	}
 }
 
-// The same load before more and more engines, so that each has less of it: 32 boxes that
-// asked each engine twice and a half a second asked 2,600 of them 6,500 times a second for
-// 140 requests.
-func TestQuestionsToEnginesFollowTheRequestsNotTheEngines(t *testing.T) {
+// Guards against polls that grow with the number of engines at the same load.
+func TestPollsDontGrowWithTheNumberOfEngines(t *testing.T) {
 	const d = 8 * time.Second
-	asked := make(map[int]float64)
+	polls := make(map[int]float64)
 	for _, engines := range []int{1300, 2600} {
-		r := newReplayOf(1, engines, 32, byNeed, 0.25)
+		r := newReplayOf(1, engines, 32, polledReports, 0.25)
 		r.play(d)
-		t.Logf("%4d engines: asked %.0f a second, told %.0f words, in time %.3f, read again %d kilotokens",
-			engines, float64(r.asked)/d.Seconds(), float64(r.told)/d.Seconds(), r.share(), r.again/1000)
-		asked[engines] = float64(r.asked)
+		t.Logf("%4d engines: %.0f polls a second, %.0f gossiped reports, in time %.3f, prefilled again %d kilotokens",
+			engines, float64(r.polls)/d.Seconds(), float64(r.gossiped)/d.Seconds(), r.share(), r.reread/1000)
+		polls[engines] = float64(r.polls)
 	}
-	if asked[2600] > 1.2*asked[1300] {
-		t.Errorf("%.0f questions to 2,600 engines, %.0f to 1,300", asked[2600], asked[1300])
+	if polls[2600] > 1.2*polls[1300] {
+		t.Errorf("%.0f polls of 2,600 engines, %.0f of 1,300", polls[2600], polls[1300])
 	}
 }
