--- a/roster/agreement.go
+++ b/roster/agreement.go
@@ -27,15 +27,15 @@
 	// SharesFor is how long after its last sign of life a box counts as one that may
 	// use its share of a quota: a cut of the network heals within this time as a rule,
 	// and a box behind it goes on using its share.
-	SharesFor = silentFor
+	SharesFor = partitionWindow
 
-	checkEvery = 500 * time.Millisecond // a box that did not agree is asked again; an answer from another region takes 160 ms
-	mostChecks = 6                      // boxes that are asked at one tick: a region of 22 within a second, with 1 KB a tick, one of 100 within five
-	fewNames   = 24                     // boxes of a region up to which each question names them, in 100 bytes; of more a sum stands for them
-	namesEvery = 4                      // ticks; in these the first question names more boxes, too, for the sum doesn't tell which one is missing
-	mostAbsent = 8                      // names of boxes that are gone in one answer; the rest in the next
-	aloneAfter = 3 * time.Second        // a box without seeds waits so long to be found; the others try each 2.5 s
-	seedless   = 10 * time.Second       // where no seed answers, the word of the region's boxes is enough after so long; ten seconds let boxes of 390 hear of each other
+	checkInterval    = 500 * time.Millisecond // a box that did not agree is asked again; an answer from another region takes 160 ms
+	maxChecksPerTick = 6                      // boxes that are asked at one tick: a region of 22 within a second, with 1 KB a tick, one of 100 within five
+	maxInlineNames   = 24                     // boxes of a region up to which each question names them, in 100 bytes; of more a sum stands for them
+	namesEvery       = 4                      // ticks; in these the first question names more boxes, too, for the sum doesn't tell which one is missing
+	maxAbsent        = 8                      // names of boxes that are gone in one answer; the rest in the next
+	aloneTimeout     = 3 * time.Second        // a box without seeds waits so long to be found; the others try each 2.5 s
+	seedTimeout      = 10 * time.Second       // where no seed answers, the word of the region's boxes is enough after so long; ten seconds let boxes of 390 hear of each other
 )
 
 // Absence is a box that is gone, but may still use its share of a quota.
@@ -46,24 +46,24 @@
 
 // agreement is what is known of whether the list of the region's boxes is complete.
 type agreement struct {
-	agreed  map[string]bool          // boxes that agreed
-	seeds   map[string]bool          // addresses of seeds that agreed
-	asked   map[string]time.Duration // addresses, and when they were asked last
-	absent  map[string]time.Duration // boxes that others remember, and their last sign of life
-	contact time.Duration            // since when others are heard without a break
-	heard   time.Duration            // when another box was heard last
-	done    bool                     // the list is complete
-	since   time.Duration            // when it became so
+	agreed        map[string]bool          // boxes that agreed
+	agreedSeeds   map[string]bool          // addresses of seeds that agreed
+	lastAsked     map[string]time.Duration // addresses, and when they were asked last
+	absent        map[string]time.Duration // boxes that others remember, and their last sign of life
+	contactSince  time.Duration            // since when others are heard without a break
+	lastContact   time.Duration            // when another box was heard last
+	complete      bool                     // the list is complete
+	completeSince time.Duration            // when it became so
 }
 
 // newAgreement returns the agreement of a box that has heard nobody.
 func newAgreement() agreement {
 	return agreement{
-		agreed: make(map[string]bool),
-		seeds:  make(map[string]bool),
-		asked:  make(map[string]time.Duration),
-		absent: make(map[string]time.Duration),
-		heard:  never,
+		agreed:      make(map[string]bool),
+		agreedSeeds: make(map[string]bool),
+		lastAsked:   make(map[string]time.Duration),
+		absent:      make(map[string]time.Duration),
+		lastContact: never,
 	}
 }
 
@@ -71,69 +71,69 @@
 // a quota, and whether it does.
 func (t *Table) CompleteSince(now time.Duration) (since time.Duration, ok bool) {
 	if len(t.seeds) == 0 {
-		return aloneAfter, now >= aloneAfter
+		return aloneTimeout, now >= aloneTimeout
 	}
-	return t.agreement.since, t.agreement.done
+	return t.agreement.completeSince, t.agreement.complete
 }
 
 // Sharers returns the other boxes of a region that may use a share of its quotas, by
 // name: those heard of within SharesFor, and of the own region also those that others
 // remember. An empty region stands for all.
 func (t *Table) Sharers(region string, now time.Duration) []string {
-	shares := func(r *record) bool { return within(region, r.Status.Region) && now-r.Seen < SharesFor }
+	shares := func(r *record) bool { return inRegion(region, r.Status.Region) && now-r.Seen < SharesFor }
 	out := make([]string, 0, len(t.order)+1) // a caller may add itself
 	for _, r := range t.order {
 		if shares(r) {
 			out = append(out, r.box)
 		}
 	}
-	if !within(region, t.self.Region) {
+	if !inRegion(region, t.self.Region) {
 		return out
 	}
-	known := len(out)
+	recorded := len(out)
 	for name, seen := range t.agreement.absent {
 		if r, ok := t.records[name]; now-seen < SharesFor && !(ok && shares(r)) {
 			out = append(out, name)
 		}
 	}
-	if len(out) > known {
+	if len(out) > recorded {
 		slices.Sort(out)
 	}
 	return out
 }
 
-// inContact takes in that another box was heard directly.
-func (t *Table) inContact(now time.Duration) {
+// recordContact takes in that another box was heard directly.
+func (t *Table) recordContact(now time.Duration) {
 	a := &t.agreement
-	if now-a.heard > aliveFor {
-		a.contact = now
+	if now-a.lastContact > aliveTimeout {
+		a.contactSince = now
 	}
-	a.heard = now
+	a.lastContact = now
 }
 
-// agree works out whether the list is complete. A box that heard nobody for a while
+// updateAgreement works out whether the list is complete. A box that heard nobody for a while
 // may have missed boxes that began, and asks anew.
-func (t *Table) agree(now time.Duration) {
+func (t *Table) updateAgreement(now time.Duration) {
 	a := &t.agreement
-	if now-a.heard > aliveFor {
+	if now-a.lastContact > aliveTimeout {
 		clear(a.agreed)
-		clear(a.seeds)
-		clear(a.asked)
-		a.done = false
+		clear(a.agreedSeeds)
+		clear(a.lastAsked)
+		a.complete = false
 		return
 	}
-	if a.done || len(a.agreed) == 0 {
+	if a.complete || len(a.agreed) == 0 {
 		return
 	}
-	if len(a.seeds) == 0 && now-a.contact < seedless {
+	if len(a.agreedSeeds) == 0 && now-a.contactSince < seedTimeout {
 		return
 	}
 	if len(t.undecided(now)) > 0 {
 		return
 	}
-	clear(a.asked)
-	a.done = true
-	a.since = now
+	clear(a.lastAsked)
+	a.complete = true
+	a.completeSince = now
 }
 
 // undecided returns the boxes of the region that are alive and have not agreed.
@@ -143,24 +143,24 @@
 	})
 }
 
-// checks returns the questions to those that have not agreed, the longest not asked
+// checkPackets returns the questions to those that have not agreed, the longest not asked
 // first. They are not paid for by the pace, which would make them wait a minute where
 // a region has 100 boxes: each start costs 14 KB there, once.
-func (t *Table) checks(now time.Duration) []Packet {
-	if t.agreement.done || len(t.seeds) == 0 {
+func (t *Table) checkPackets(now time.Duration) []Packet {
+	if t.agreement.complete || len(t.seeds) == 0 {
 		return nil
 	}
-	list := t.toCheck(now)
-	list = list[:min(len(list), mostChecks)]
-	names := t.ownNames(now)
+	list := t.checkTargets(now)
+	list = list[:min(len(list), maxChecksPerTick)]
+	names := t.ownNameIDs(now)
 	b := t.header()
-	b.Sum = sumOf(names)
+	b.Sum = digestOf(names)
 	out := make([]Packet, 0, len(list))
 	for i, addr := range list {
-		t.agreement.asked[addr] = now
+		t.agreement.lastAsked[addr] = now
 		b.Check = t.token(addr)
 		b.Names = nil
-		if len(names) <= fewNames || (i == 0 && t.compact.rounds%namesEvery == 0) {
+		if len(names) <= maxInlineNames || (i == 0 && t.compact.rounds%namesEvery == 0) {
 			b.Names = names
 		}
 		out = append(out, Packet{
@@ -171,35 +171,35 @@
 	return out
 }
 
-// toCheck returns the addresses of those to ask now.
-func (t *Table) toCheck(now time.Duration) []string {
+// checkTargets returns the addresses of those to ask now.
+func (t *Table) checkTargets(now time.Duration) []string {
 	a := &t.agreement
 	due := targets{
 		own: t.self.Peers,
 	}
 	for _, seed := range t.seeds {
-		if !a.seeds[seed] {
-			due.addrs([]string{seed})
+		if !a.agreedSeeds[seed] {
+			due.addAddrs([]string{seed})
 		}
 	}
-	due.add(t.undecided(now))
+	due.addMembers(t.undecided(now))
 	list := slices.DeleteFunc(due.list, func(addr string) bool {
-		at, ok := a.asked[addr]
-		return ok && now-at < checkEvery
+		at, ok := a.lastAsked[addr]
+		return ok && now-at < checkInterval
 	})
-	slices.SortStableFunc(list, func(x, y string) int { return cmp.Compare(a.asked[x], a.asked[y]) })
+	slices.SortStableFunc(list, func(x, y string) int { return cmp.Compare(a.lastAsked[x], a.lastAsked[y]) })
 	return list
 }
 
 // token marks a question to an address, so that its answer is taken for an answer to
 // no other one, nor to another process of this box.
-func (t *Table) token(addr string) ID { return IDOf(addr, t.compact.said.Inc) }
+func (t *Table) token(addr string) ID { return IDOf(addr, t.compact.selfStatus.Inc) }
 
 // nameID stands for a box in whatever incarnation.
 func nameID(box string) ID { return IDOf(box, 0) }
 
-// sumOf returns what stands for a set of boxes.
-func sumOf(names []ID) ID {
+// digestOf returns what stands for a set of boxes.
+func digestOf(names []ID) ID {
 	out := ID(0)
 	for _, id := range names {
 		out ^= id
@@ -207,8 +207,8 @@
 	return out
 }
 
-// ownNames returns the boxes of the region that this one knows, with itself.
-func (t *Table) ownNames(now time.Duration) []ID {
+// ownNameIDs returns the boxes of the region that this one knows, with itself.
+func (t *Table) ownNameIDs(now time.Duration) []ID {
 	return nameIDs(append(t.Sharers(t.self.Region, now), t.self.Box))
 }
 
@@ -224,37 +224,37 @@
 // answerCheck agrees that a box's list is complete, or tells it what is missing. It
 // says nothing to a sum that differs: the same box asks again with names.
 func (t *Table) answerCheck(out *outbox, b Compact, asker *record, from string, now time.Duration) {
-	known := t.namesIn(asker, now)
+	known := t.namesInRegion(asker, now)
 	var alive []wire.BoxStatus
 	var gone []Absence
 	switch {
 	case len(b.Names) > 0:
 		alive, gone = t.missing(known, b.Names, now)
-	case b.Sum != sumOf(nameIDs(known)):
+	case b.Sum != digestOf(nameIDs(known)):
 		return
 	}
 	reply := t.header()
 	if len(alive)+len(gone) == 0 {
 		reply.Agreed = b.Check
-		out.list = append(out.list, Packet{ // not paid for by the pace, like the question
+		out.packets = append(out.packets, Packet{ // not paid for by the pace, like the question
 			Addr: from,
 			Buf:  reply.encode(),
 		})
 		return
 	}
-	if len(alive) > 0 && t.compact.answers < mostAnswers {
-		t.compact.answers++
-		out.send(from, t.gossip(alive[:min(len(alive), perAnswer)], false))
+	if len(alive) > 0 && t.compact.statusReplies < maxStatusReplies {
+		t.compact.statusReplies++
+		out.send(from, t.encodeStatuses(alive[:min(len(alive), statusesPerReply)], false))
 	}
 	if len(gone) > 0 {
-		reply.Absent = gone[:min(len(gone), mostAbsent)]
+		reply.Absent = gone[:min(len(gone), maxAbsent)]
 		out.send(from, reply.encode())
 	}
 }
 
-// namesIn returns all boxes of an asker's region that this one knows, the asker and
+// namesInRegion returns all boxes of an asker's region that this one knows, the asker and
 // itself with them.
-func (t *Table) namesIn(asker *record, now time.Duration) []string {
+func (t *Table) namesInRegion(asker *record, now time.Duration) []string {
 	out := t.Sharers(asker.Status.Region, now)
 	if !slices.Contains(out, asker.Status.Box) {
 		out = append(out, asker.Status.Box)
@@ -275,9 +275,9 @@
 		r, ok := t.records[name]
 		switch {
 		case name == t.self.Box:
-			alive = append(alive, t.compact.said)
+			alive = append(alive, t.compact.selfStatus)
 		case ok && t.alive(r, now):
-			alive = append(alive, r.bare())
+			alive = append(alive, r.staticStatus())
 		default:
 			gone = append(gone, Absence{
 				Box: name,
@@ -301,8 +301,8 @@
 	return seen
 }
 
-// hearAnswer takes in what another box says to a question of this one.
-func (t *Table) hearAnswer(b Compact, r *record, now time.Duration) {
+// recordAnswer takes in what another box says to a question of this one.
+func (t *Table) recordAnswer(b Compact, r *record, now time.Duration) {
 	a := &t.agreement
 	for _, gone := range b.Absent {
 		seen := now - gone.Age // below 0 where it was gone before this process began
@@ -315,7 +315,7 @@
 	}
 	for _, seed := range t.seeds {
 		if b.Agreed == t.token(seed) {
-			a.seeds[seed] = true
+			a.agreedSeeds[seed] = true
 			a.agreed[r.Status.Box] = true
 		}
 	}
@@ -324,7 +324,7 @@
 	}
 }
 
-// forgetAbsent forgets the boxes that no longer use a quota.
-func (t *Table) forgetAbsent(now time.Duration) {
+// expireAbsent forgets the boxes that no longer use a quota.
+func (t *Table) expireAbsent(now time.Duration) {
 	maps.DeleteFunc(t.agreement.absent, func(_ string, seen time.Duration) bool { return now-seen >= SharesFor })
 }
--- a/roster/agreement_test.go
+++ b/roster/agreement_test.go
@@ -8,27 +8,27 @@
 	"github.com/matryer/is"
 )
 
-// meeting is tables that send each other datagrams without delay.
-type meeting struct {
+// cluster is tables that send each other datagrams without delay.
+type cluster struct {
 	*is.I
-	tables map[string]*Table
-	seqs   map[string]int
-	down   map[string]bool
-	asked  map[string]int // bytes of the questions of a box, with their headers
-}
-
-func newMeeting(t *testing.T) *meeting {
-	return &meeting{
-		I:      is.New(t),
-		tables: make(map[string]*Table),
-		seqs:   make(map[string]int),
-		down:   make(map[string]bool),
-		asked:  make(map[string]int),
+	tables      map[string]*Table
+	seqs        map[string]int
+	unreachable map[string]bool
+	checkBytes  map[string]int // bytes of the questions of a box, with their headers
+}
+
+func newCluster(t *testing.T) *cluster {
+	return &cluster{
+		I:           is.New(t),
+		tables:      make(map[string]*Table),
+		seqs:        make(map[string]int),
+		unreachable: make(map[string]bool),
+		checkBytes:  make(map[string]int),
 	}
 }
 
 // join starts a box whose seeds are others.
-func (m *meeting) join(box, region string, seeds ...string) *Table {
+func (m *cluster) join(box, region string, seeds ...string) *Table {
 	addrs := make([]string, 0, len(seeds))
 	for _, s := range seeds {
 		addrs = append(addrs, s+":1")
@@ -39,29 +39,29 @@
 }
 
 // tick lets boxes send what they send at a tick, and all answers to it.
-func (m *meeting) tick(now time.Duration, boxes ...string) {
+func (m *cluster) tick(now time.Duration, boxes ...string) {
 	for _, box := range boxes {
 		m.seqs[box]++
 		self := m.tables[box].self
 		self.Seq = m.seqs[box]
-		m.post(box, m.tables[box].Tell(self, now, first), now)
+		m.deliver(box, m.tables[box].Tell(self, now, pickFirst), now)
 	}
 }
 
-func (m *meeting) post(from string, list []Packet, now time.Duration) {
+func (m *cluster) deliver(from string, list []Packet, now time.Duration) {
 	for _, p := range list {
 		to := p.Addr[:len(p.Addr)-len(":1")]
 		tab := m.tables[to]
-		if tab == nil || m.down[to] || m.down[from] {
+		if tab == nil || m.unreachable[to] || m.unreachable[from] {
 			continue
 		}
 		if IsCompact(p.Buf) {
 			b, err := DecodeCompact(p.Buf)
 			m.NoErr(err)
 			if b.Check != 0 {
-				m.asked[from] += len(p.Buf) + headerBytes
+				m.checkBytes[from] += len(p.Buf) + packetHeaderBytes
 			}
-			m.post(to, tab.HearCompact(b, from+":1", now).Replies, now)
+			m.deliver(to, tab.HearCompact(b, from+":1", now).Replies, now)
 			continue
 		}
 		g, err := Decode(p.Buf)
@@ -74,13 +74,13 @@
 }
 
 // complete says whether a box knows all of its region.
-func (m *meeting) complete(box string, now time.Duration) bool {
+func (m *cluster) complete(box string, now time.Duration) bool {
 	_, ok := m.tables[box].CompleteSince(now)
 	return ok
 }
 
-func TestABoxThatHearsOfNobodyDoesNotKnowItsRegion(t *testing.T) {
-	m := newMeeting(t)
+func TestABoxWithoutContactHasNoCompleteList(t *testing.T) {
+	m := newCluster(t)
 	m.join("a", "north", "seed")
 	for now := time.Duration(0); now < time.Minute; now += Tick {
 		m.tick(now, "a")
@@ -88,8 +88,8 @@
 	}
 }
 
-func TestABoxKnowsItsRegionWhenASeedAndAllOfTheRegionAgree(t *testing.T) {
-	m := newMeeting(t)
+func TestTheListIsCompleteOnceASeedAndAllOfTheRegionAgree(t *testing.T) {
+	m := newCluster(t)
 	m.join("seed", "south", "a")
 	m.join("a", "north", "seed")
 	m.join("b", "north", "seed")
@@ -105,12 +105,12 @@
 }
 
 func TestABoxOfTheRegionThatDoesNotAnswerIsWaitedForWhileItCountsAsAlive(t *testing.T) {
-	m := newMeeting(t)
+	m := newCluster(t)
 	m.join("seed", "south", "a")
 	m.join("a", "north", "seed")
 	m.tables["a"].Hear(status("mute", "north", 1, 1), true, 0)
 	now := time.Duration(0)
-	for ; now <= aliveFor; now += Tick {
+	for ; now <= aliveTimeout; now += Tick {
 		m.tick(now, "a", "seed")
 		m.True(!m.complete("a", now))
 	}
@@ -122,8 +122,8 @@
 	m.Equal(m.tables["a"].Sharers("north", now), []string{"mute"}) // it may still use its share
 }
 
-func TestABoxIsToldOfThoseThatAreGoneButMayUseTheirShare(t *testing.T) {
-	m := newMeeting(t)
+func TestABoxReceivesTheNamesOfDeadBoxesThatMayUseTheirShare(t *testing.T) {
+	m := newCluster(t)
 	const gone = 20 * time.Second
 	m.join("seed", "south", "a")
 	m.tables["seed"].Hear(status("gone", "north", 1, 1), true, 0)
@@ -138,27 +138,27 @@
 	m.Equal(len(m.tables["a"].Sharers("north", SharesFor)), 0)
 }
 
-func TestWithoutASeedTheWordOfTheRegionIsEnoughAfterAWhile(t *testing.T) {
-	m := newMeeting(t)
+func TestWithoutASeedTheAgreementOfTheRegionSufficesAfterATimeout(t *testing.T) {
+	m := newCluster(t)
 	m.join("b", "north", "a")
 	m.join("a", "north", "dead")
-	for now := time.Duration(0); now < seedless; now += Tick {
+	for now := time.Duration(0); now < seedTimeout; now += Tick {
 		m.tick(now, "b", "a")
 		m.True(!m.complete("a", now))
 	}
-	m.tick(seedless+Tick, "b", "a")
-	m.True(m.complete("a", seedless+Tick))
+	m.tick(seedTimeout+Tick, "b", "a")
+	m.True(m.complete("a", seedTimeout+Tick))
 }
 
-func TestABoxWithoutSeedsIsAloneUnlessItIsFoundSoon(t *testing.T) {
-	m := newMeeting(t)
+func TestABoxWithoutSeedsHasACompleteListAfterATimeout(t *testing.T) {
+	m := newCluster(t)
 	m.join("a", "north")
-	m.True(!m.complete("a", aloneAfter-1))
-	m.True(m.complete("a", aloneAfter))
+	m.True(!m.complete("a", aloneTimeout-1))
+	m.True(m.complete("a", aloneTimeout))
 }
 
 func TestAStartInALargeRegionTakesFewBytesForAgreement(t *testing.T) {
-	m := newMeeting(t)
+	m := newCluster(t)
 	const others = 98
 	m.join("seed", "south", "a")
 	now := time.Duration(0)
@@ -180,14 +180,14 @@
 		now += Tick
 		m.tick(now, append(all, "seed", "a")...)
 	}
-	t.Logf("complete after %v with %d bytes", took, m.asked["a"])
+	t.Logf("complete after %v with %d bytes", took, m.checkBytes["a"])
 	m.True(took <= 10*time.Second)
-	m.True(m.asked["a"] <= 20_000)
+	m.True(m.checkBytes["a"] <= 20_000)
 	m.Equal(len(m.tables["a"].Sharers("north", now)), others)
 }
 
-func TestABoxThatWasCutOffFindsOutAnew(t *testing.T) {
-	m := newMeeting(t)
+func TestABoxAsksAgainAfterAPartition(t *testing.T) {
+	m := newCluster(t)
 	m.join("seed", "south", "a")
 	m.join("a", "north", "seed")
 	now := time.Duration(0)
@@ -198,22 +198,22 @@
 	}
 	run(2*time.Second, "seed", "a")
 	m.True(m.complete("a", now))
-	m.down["a"] = true
-	run(aliveFor+2*Tick, "seed", "a")
+	m.unreachable["a"] = true
+	run(aliveTimeout+2*Tick, "seed", "a")
 	m.True(!m.complete("a", now))
-	m.down["a"] = false
+	m.unreachable["a"] = false
 	m.join("new", "north", "seed")
 	run(4*time.Second, "seed", "new", "a")
 	m.True(m.complete("a", now))
 	m.Equal(m.tables["a"].Sharers("north", now), []string{"new"})
 }
 
-func TestAnAnswerToAnotherProcessOfTheBoxIsNoAnswer(t *testing.T) {
-	m := newMeeting(t)
+func TestAnAnswerToAnEarlierProcessIsIgnored(t *testing.T) {
+	m := newCluster(t)
 	a := m.join("a", "north", "seed")
-	a.say(status("a", "north", 2, 1))
+	a.setSelf(status("a", "north", 2, 1))
 	a.Hear(status("seed", "south", 1, 1), true, 0)
-	b := word("seed", 2)
+	b := heartbeat("seed", 2)
 	b.Agreed = IDOf("seed:1", 1) // of the process before
 	a.HearCompact(b, "seed:1", 0)
 	a.Adapt(Tick)
@@ -224,19 +224,19 @@
 	m.True(m.complete("a", 2*Tick))
 }
 
-func TestAQuestionAndItsAnswersFitADatagram(t *testing.T) {
+func TestACheckAndItsAnswersFitADatagram(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 1), WithSeeds([]string{"seed:1"}))
-	crowd(tab, "north", mostVitals, 0)
-	tab.say(status("a", "north", 1, 1))
+	receiveHeartbeats(tab, "north", maxNearEntries, 0)
+	tab.setSelf(status("a", "north", 1, 1))
 	question := tab.header()
 	question.Check = 1
-	question.Names = tab.ownNames(0)
+	question.Names = tab.ownNameIDs(0)
 	is.True(len(question.encode()) <= datagramBytes)
 	answer := tab.header()
-	for n := range mostAbsent {
+	for n := range maxAbsent {
 		answer.Absent = append(answer.Absent, Absence{
-			Box: fmt.Sprintf("%0*d", maxName, n),
+			Box: fmt.Sprintf("%0*d", maxNameBytes, n),
 			Age: SharesFor,
 		})
 	}
--- a/roster/codec.go
+++ b/roster/codec.go
@@ -19,8 +19,8 @@
 
 // Errors of Encode and Decode.
 var (
-	ErrTooLarge = errors.New("gossip doesn't fit a datagram")
-	ErrNoSender = errors.New("gossip without a sender")
+	ErrTooLarge = errors.New("gossip exceeds the size of a datagram")
+	ErrNoSender = errors.New("gossip has no sender")
 )
 
 // Encode returns g as one datagram. When it would be too large, these are left
@@ -28,7 +28,7 @@
 // The statuses of others always come without loads. ErrTooLarge tells of a sender
 // whose bare status doesn't fit.
 func Encode(g wire.Gossip) ([]byte, error) {
-	buf, err := json.Marshal(fit(g))
+	buf, err := json.Marshal(fitDatagram(g))
 	if err != nil {
 		return nil, errors.Wrap(err, "encode gossip")
 	}
@@ -50,28 +50,28 @@
 	return g, nil
 }
 
-// fit returns g with as much of its lists as a datagram holds.
-func fit(g wire.Gossip) wire.Gossip {
+// fitDatagram returns g with as much of its lists as a datagram holds.
+func fitDatagram(g wire.Gossip) wire.Gossip {
 	loads, others := g.From.Loads, g.Others
 	g.From.Loads = nil
-	g.From = compact(g.From, statusBytes)
+	g.From = trim(g.From, statusBytes)
 	g.Others = nil
 	const keys = len(`,"l":[],"o":[]`)
-	room := datagramBytes - size(g) - keys
+	room := datagramBytes - jsonSize(g) - keys
 	share := min(othersBytes, room)
 	left := share
-	g.Others, others = fill(nil, bare(others), &left)
+	g.Others, others = appendFitting(nil, withoutLoads(others), &left)
 	room -= share - left
-	g.From.Loads, _ = fill(nil, heaviest(loads), &room)
-	g.Others, _ = fill(g.Others, others, &room)
+	g.From.Loads, _ = appendFitting(nil, byTokens(loads), &room)
+	g.Others, _ = appendFitting(g.Others, others, &room)
 	return g
 }
 
-// fill appends to out from the head of list what fits room, takes its bytes off
+// appendFitting appends to out from the head of list what fits room, takes its bytes off
 // room, and returns the rest with it.
-func fill[T any](out, list []T, room *int) (filled, rest []T) {
+func appendFitting[T any](out, list []T, room *int) (filled, rest []T) {
 	for i, v := range list {
-		n := size(v) + 1 // with its comma
+		n := jsonSize(v) + 1 // with its comma
 		if n > *room {
 			return out, list[i:]
 		}
@@ -81,8 +81,8 @@
 	return out, nil
 }
 
-// heaviest returns the loads with those first that hold most tokens.
-func heaviest(loads []wire.ReplicaLoad) []wire.ReplicaLoad {
+// byTokens returns the loads with those first that hold most tokens.
+func byTokens(loads []wire.ReplicaLoad) []wire.ReplicaLoad {
 	loads = slices.Clone(loads)
 	slices.SortStableFunc(loads, func(a, b wire.ReplicaLoad) int {
 		return cmp.Or(
@@ -93,31 +93,31 @@
 	return loads
 }
 
-// bare returns the statuses without loads.
-func bare(list []wire.BoxStatus) []wire.BoxStatus {
+// withoutLoads returns the statuses without loads.
+func withoutLoads(list []wire.BoxStatus) []wire.BoxStatus {
 	list = slices.Clone(list)
 	for i := range list {
 		list[i].Loads = nil
-		list[i] = compact(list[i], statusBytes)
+		list[i] = trim(list[i], statusBytes)
 	}
 	return list
 }
 
-// compact returns s in its shortest form: without the default state, and with no
+// trim returns s in its shortest form: without the default state, and with no
 // more rooms than fit limit bytes.
-func compact(s wire.BoxStatus, limit int) wire.BoxStatus {
+func trim(s wire.BoxStatus, limit int) wire.BoxStatus {
 	if s.State == wire.ServingStateServing {
 		s.State = ""
 	}
-	for len(s.Rooms) > 0 && size(s) > limit {
+	for len(s.Rooms) > 0 && jsonSize(s) > limit {
 		s.Rooms = s.Rooms[:len(s.Rooms)-1]
 	}
 	return s
 }
 
-// size returns the bytes of v in JSON. A value that JSON can't hold counts as
+// jsonSize returns the bytes of v in JSON. A value that JSON can't hold counts as
 // nothing: Encode reports it with the whole.
-func size(v any) int {
+func jsonSize(v any) int {
 	buf, err := json.Marshal(v)
 	if err != nil {
 		return 0
--- a/roster/codec_test.go
+++ b/roster/codec_test.go
@@ -14,8 +14,8 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// full returns a status with all its fields, as in a deployment of long names.
-func full(box string, rooms, loads int) wire.BoxStatus {
+// fullStatus returns a status with all its fields, as in a deployment of long names.
+func fullStatus(box string, rooms, loads int) wire.BoxStatus {
 	s := wire.BoxStatus{
 		Box:     box,
 		Callers: "127.0.0.1:41001",
@@ -63,24 +63,24 @@
 
 func TestSizesOfStatuses(t *testing.T) {
 	is := is.New(t)
-	bare := size(compact(full("north-hall-2-front-12", 0, 0), statusBytes))
-	rooms := size(compact(full("north-hall-2-front-12", 2, 0), statusBytes))
-	load := size(full("b", 0, 1).Loads[0])
-	t.Logf("status %d bytes, with two rooms %d, one load %d", bare, rooms, load)
+	bare := jsonSize(trim(fullStatus("north-hall-2-front-12", 0, 0), statusBytes))
+	capacity := jsonSize(trim(fullStatus("north-hall-2-front-12", 2, 0), statusBytes))
+	load := jsonSize(fullStatus("b", 0, 1).Loads[0])
+	t.Logf("status %d bytes, with two capacity %d, one load %d", bare, capacity, load)
 	is.True(bare <= 190)
-	is.True(rooms <= 290)
+	is.True(capacity <= 290)
 	is.True(load <= 60)
-	is.True(rooms+3*(bare+1) > othersBytes) // so a digest has four at most, three or so with rooms
-	is.True(rooms+2*(bare+1) <= othersBytes)
+	is.True(capacity+3*(bare+1) > othersBytes) // so a digest has four at most, three or so with capacity
+	is.True(capacity+2*(bare+1) <= othersBytes)
 }
 
 func TestADatagramLeavesOutTheLeastLoaded(t *testing.T) {
 	is := is.New(t)
-	s := full("a", 2, 40)
+	s := fullStatus("a", 2, 40)
 	s.Loads[0].Tokens = 1 << 20
 	buf, err := Encode(wire.Gossip{
 		From:   s,
-		Others: []wire.BoxStatus{full("b", 2, 5)},
+		Others: []wire.BoxStatus{fullStatus("b", 2, 5)},
 	})
 	is.NoErr(err)
 	is.True(len(buf) <= datagramBytes)
@@ -96,10 +96,10 @@
 	is.Equal(s.Loads[1].Replica, "replica-001")
 }
 
-func TestRoomsBeyondTheirLimitAreLeftOutFromTheEnd(t *testing.T) {
+func TestCapacityBeyondItsLimitIsLeftOutFromTheEnd(t *testing.T) {
 	is := is.New(t)
 	buf, err := Encode(wire.Gossip{
-		From: full("a", 100, 1),
+		From: fullStatus("a", 100, 1),
 	})
 	is.NoErr(err)
 	g, err := Decode(buf)
@@ -111,13 +111,13 @@
 
 func TestASenderThatDoesNotFitIsAnError(t *testing.T) {
 	is := is.New(t)
-	s := full("a", 0, 0)
+	s := fullStatus("a", 0, 0)
 	s.Domain = strings.Repeat("\x01", 300) // six bytes each in JSON
 	_, err := Encode(wire.Gossip{
 		From: s,
 	})
 	is.True(errors.Is(err, ErrTooLarge))
-	s = full("a", 0, 0)
+	s = fullStatus("a", 0, 0)
 	s.Callers = strings.Repeat("1", datagramBytes) // no field of a status can fail to encode, so this is the other way to fail
 	_, err = Encode(wire.Gossip{
 		From: s,
@@ -156,11 +156,11 @@
 func TestEveryGossipFitsADatagram(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := wire.Gossip{
-			From: full(rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "name"), rapid.IntRange(0, 40).Draw(t, "rooms"), rapid.IntRange(0, 80).Draw(t, "loads")),
+			From: fullStatus(rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "name"), rapid.IntRange(0, 40).Draw(t, "rooms"), rapid.IntRange(0, 80).Draw(t, "loads")),
 			Ask:  rapid.Bool().Draw(t, "ask"),
 		}
 		for i := range rapid.IntRange(0, 20).Draw(t, "others") {
-			g.Others = append(g.Others, full(fmt.Sprintf("box-%d", i), rapid.IntRange(0, 20).Draw(t, "its rooms"), 3))
+			g.Others = append(g.Others, fullStatus(fmt.Sprintf("box-%d", i), rapid.IntRange(0, 20).Draw(t, "its rooms"), 3))
 		}
 		buf, err := Encode(g)
 		if err != nil || len(buf) > datagramBytes {
@@ -185,8 +185,8 @@
 
 func BenchmarkEncode(b *testing.B) {
 	g := wire.Gossip{
-		From:   full("a", 2, 8),
-		Others: []wire.BoxStatus{full("b", 2, 0), full("c", 0, 0), full("d", 0, 0)},
+		From:   fullStatus("a", 2, 8),
+		Others: []wire.BoxStatus{fullStatus("b", 2, 0), fullStatus("c", 0, 0), fullStatus("d", 0, 0)},
 	}
 	for b.Loop() {
 		if _, err := Encode(g); err != nil {
@@ -197,8 +197,8 @@
 
 func BenchmarkDecode(b *testing.B) {
 	buf, err := json.Marshal(wire.Gossip{
-		From:   full("a", 2, 8),
-		Others: []wire.BoxStatus{full("b", 2, 0), full("c", 0, 0), full("d", 0, 0)},
+		From:   fullStatus("a", 2, 8),
+		Others: []wire.BoxStatus{fullStatus("b", 2, 0), fullStatus("c", 0, 0), fullStatus("d", 0, 0)},
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/roster/compact.go
+++ b/roster/compact.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	compactMark = 3                      // first byte of a compact datagram of this form, which boxes of another one drop; gossip begins with a brace
-	vitalBytes  = 7                      // of one box in a compact datagram
-	ageUnit     = 100 * time.Millisecond // of an age in a compact datagram; with one byte 25.5 s
-	wordUnit    = 20 * time.Millisecond  // of the age of a replica's word; with one byte 5.1 s
-	tokenUnit   = 16                     // tokens in which loads are told; a step of an engine reads more
+	compactMagic  = 3                      // first byte of a compact datagram of this form, which boxes of another one drop; gossip begins with a brace
+	livenessBytes = 7                      // of one box in a compact datagram
+	ageUnit       = 100 * time.Millisecond // of an age in a compact datagram; with one byte 25.5 s
+	reportAgeUnit = 20 * time.Millisecond  // of the age of a replica's word; with one byte 5.1 s
+	tokenUnit     = 16                     // tokens in which loads are told; a step of an engine reads more
 )
 
 // ErrCompact is the reason to refuse a compact datagram that no box sends.
-var ErrCompact = errors.New("brief can't be read")
+var ErrCompact = errors.New("malformed compact datagram")
 
 // ID stands for one incarnation of a box in compact datagrams. Two boxes of 390 share one
 // with a chance of 2 in 100,000; a box whose ID is taken is told in whole statuses.
@@ -105,21 +105,21 @@
 
 // bits of the byte after the state.
 const (
-	bitClosed = 1 << 7
-	bitLoaded = 1 << 6
-	bitPing   = 1 << 5
-	bitCheck  = 1 << 4
-	bitAgreed = 1 << 3
-	bitAbsent = 1 << 2
-	maskState = 0x03
-	bitSilent = 1 // of the number of a word's requests, which begins above it
+	bitNoCallers   = 1 << 7
+	bitAllLoads    = 1 << 6
+	bitProbe       = 1 << 5
+	bitCheck       = 1 << 4
+	bitAgreed      = 1 << 3
+	bitAbsent      = 1 << 2
+	maskState      = 0x03
+	bitUnreachable = 1 // of the number of a word's requests, which begins above it
 )
 
 // encode returns b as a datagram.
 func (b Compact) encode() []byte {
 	out := make([]byte, 0, datagramBytes)
-	out = append(out, compactMark)
-	out = appendVital(out, b.From)
+	out = append(out, compactMagic)
+	out = appendLiveness(out, b.From)
 	out = append(out, b.flags())
 	out = binary.AppendUvarint(out, uint64(b.Catalog))
 	out = binary.AppendUvarint(out, uint64(b.Newest))
@@ -127,8 +127,8 @@
 	out = binary.AppendUvarint(out, uint64(b.ReadMs))
 	out = binary.AppendUvarint(out, uint64(b.UpMs))
 	out = binary.AppendUvarint(out, uint64(b.Lapses))
-	out = appendVitals(out, b.Vitals)
-	out = appendVitals(out, b.Silent)
+	out = appendLivenessList(out, b.Vitals)
+	out = appendLivenessList(out, b.Silent)
 	out = appendIDs(out, b.Leaving)
 	out = appendIDs(out, b.Unknown)
 	out = binary.AppendUvarint(out, uint64(len(b.Loads)))
@@ -137,11 +137,11 @@
 	}
 	out = binary.AppendUvarint(out, uint64(len(b.Rooms)))
 	for _, r := range b.Rooms {
-		out = appendRooms(out, r)
+		out = appendCapacity(out, r)
 	}
 	out = binary.AppendUvarint(out, uint64(len(b.Words)))
 	for _, w := range b.Words {
-		out = appendWord(out, w)
+		out = appendLoadReport(out, w)
 	}
 	return b.appendAgreement(out)
 }
@@ -183,13 +183,13 @@
 		}
 	}
 	if b.Closed {
-		out |= bitClosed
+		out |= bitNoCallers
 	}
 	if b.Loaded {
-		out |= bitLoaded
+		out |= bitAllLoads
 	}
 	if b.Ping {
-		out |= bitPing
+		out |= bitProbe
 	}
 	if b.Check != 0 {
 		out |= bitCheck
@@ -212,17 +212,17 @@
 	return out
 }
 
-// appendVitals appends the number of signs of life and then each.
-func appendVitals(out []byte, list []Vital) []byte {
+// appendLivenessList appends the number of signs of life and then each.
+func appendLivenessList(out []byte, list []Vital) []byte {
 	out = binary.AppendUvarint(out, uint64(len(list)))
 	for _, v := range list {
-		out = appendVital(out, v)
+		out = appendLiveness(out, v)
 	}
 	return out
 }
 
-// appendVital appends a sign of life in vitalBytes, its age rounded up to ageUnit.
-func appendVital(out []byte, v Vital) []byte {
+// appendLiveness appends a sign of life in vitalBytes, its age rounded up to ageUnit.
+func appendLiveness(out []byte, v Vital) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(v.ID))
 	out = binary.BigEndian.AppendUint16(out, v.Beat)
 	return append(out, byte(min(max(0, (v.Age+ageUnit-1)/ageUnit), math.MaxUint8)))
@@ -242,22 +242,22 @@
 	return out
 }
 
-// appendWord appends a replica's word.
-func appendWord(out []byte, w CompactWord) []byte {
+// appendLoadReport appends a replica's word.
+func appendLoadReport(out []byte, w CompactWord) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(w.Replica))
-	out = append(out, byte(min(max(0, (w.Age+wordUnit-1)/wordUnit), math.MaxUint8)))
+	out = append(out, byte(min(max(0, (w.Age+reportAgeUnit-1)/reportAgeUnit), math.MaxUint8)))
 	requests := uint64(max(0, w.Requests)) << 1
 	if w.Silent {
-		requests |= bitSilent
+		requests |= bitUnreachable
 	}
 	out = binary.AppendUvarint(out, requests)
 	out = binary.AppendUvarint(out, uint64(max(0, w.Waiting)))
 	return binary.AppendUvarint(out, uint64(max(0, w.Tokens+tokenUnit-1)/tokenUnit))
 }
 
-// appendRooms appends what a region can take, its services by name.
-func appendRooms(out []byte, r CompactRooms) []byte {
-	out = appendVital(out, r.From)
+// appendCapacity appends what a region can take, its services by name.
+func appendCapacity(out []byte, r CompactRooms) []byte {
+	out = appendLiveness(out, r.From)
 	out = binary.AppendUvarint(out, uint64(len(r.Rooms)))
 	for _, s := range r.Rooms {
 		out = appendText(out, s.Service)
--- a/roster/compact_test.go
+++ b/roster/compact_test.go
@@ -11,7 +11,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-func drawVital(t *rapid.T) Vital {
+func drawLiveness(t *rapid.T) Vital {
 	return Vital{
 		ID:   ID(rapid.Uint32().Draw(t, "id")),
 		Beat: rapid.Uint16().Draw(t, "beat"),
@@ -19,8 +19,8 @@
 	}
 }
 
-// list draws a list, nil where it is empty.
-func list[T any](t *rapid.T, most int, name string, one func() T) []T {
+// drawList draws a drawList, nil where it is empty.
+func drawList[T any](t *rapid.T, most int, name string, one func() T) []T {
 	var out []T
 	for range rapid.IntRange(0, most).Draw(t, name) {
 		out = append(out, one())
@@ -31,7 +31,7 @@
 func drawCompact(t *rapid.T) Compact {
 	number := func() int { return rapid.IntRange(0, 1<<20).Draw(t, "number") }
 	tokens := func() int { return number() * tokenUnit }
-	vital := func() Vital { return drawVital(t) }
+	vital := func() Vital { return drawLiveness(t) }
 	name := func() string { return rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "box") }
 	id := func(label string) ID { return ID(rapid.Uint32Min(1).Draw(t, label)) }
 	out := Compact{
@@ -46,11 +46,11 @@
 		ReadMs:  number(),
 		UpMs:    number(),
 		Lapses:  number(),
-		Vitals:  list(t, 40, "vitals", vital),
-		Silent:  list(t, 4, "silent", vital),
-		Leaving: list(t, 4, "leaving", func() ID { return ID(rapid.Uint32().Draw(t, "leaves")) }),
-		Unknown: list(t, 4, "unknown", func() ID { return ID(rapid.Uint32().Draw(t, "asked")) }),
-		Loads: list(t, 9, "loads", func() CompactLoad {
+		Vitals:  drawList(t, 40, "vitals", vital),
+		Silent:  drawList(t, 4, "silent", vital),
+		Leaving: drawList(t, 4, "leaving", func() ID { return ID(rapid.Uint32().Draw(t, "leaves")) }),
+		Unknown: drawList(t, 4, "unknown", func() ID { return ID(rapid.Uint32().Draw(t, "asked")) }),
+		Loads: drawList(t, 9, "loads", func() CompactLoad {
 			return CompactLoad{
 				Replica: ReplicaID(rapid.Uint32().Draw(t, "replica")),
 				Load: wire.ReplicaLoad{
@@ -58,14 +58,14 @@
 					Tokens:   tokens(),
 					Prompt:   tokens(),
 					Reads:    tokens(),
-					Kept:     list(t, 4, "kept", func() int { return int(rapid.Uint32().Draw(t, "key")) }),
+					Kept:     drawList(t, 4, "kept", func() int { return int(rapid.Uint32().Draw(t, "key")) }),
 				},
 			}
 		}),
-		Rooms: list(t, 2, "rooms", func() CompactRooms {
+		Rooms: drawList(t, 2, "rooms", func() CompactRooms {
 			return CompactRooms{
 				From: vital(),
-				Rooms: list(t, 2, "services", func() wire.ServiceRoom {
+				Rooms: drawList(t, 2, "services", func() wire.ServiceRoom {
 					return wire.ServiceRoom{
 						Service: rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "service"),
 						Usable:  number(),
@@ -76,10 +76,10 @@
 				}),
 			}
 		}),
-		Words: list(t, 9, "words", func() CompactWord {
+		Words: drawList(t, 9, "words", func() CompactWord {
 			return CompactWord{
 				Replica:  ReplicaID(rapid.Uint32().Draw(t, "replica")),
-				Age:      time.Duration(rapid.IntRange(0, 255).Draw(t, "age")) * wordUnit,
+				Age:      time.Duration(rapid.IntRange(0, 255).Draw(t, "age")) * reportAgeUnit,
 				Requests: number(),
 				Waiting:  number(),
 				Tokens:   tokens(),
@@ -90,12 +90,12 @@
 	if rapid.Bool().Draw(t, "question") {
 		out.Check = id("check")
 		out.Sum = id("sum")
-		out.Names = list(t, 40, "names", func() ID { return id("named") })
+		out.Names = drawList(t, 40, "names", func() ID { return id("named") })
 	}
 	if rapid.Bool().Draw(t, "agrees") {
 		out.Agreed = id("agreed")
 	}
-	out.Absent = list(t, mostAbsent, "absent", func() Absence {
+	out.Absent = drawList(t, maxAbsent, "absent", func() Absence {
 		return Absence{
 			Box: name(),
 			Age: time.Duration(rapid.IntRange(0, 600).Draw(t, "since")) * ageUnit,
@@ -128,18 +128,18 @@
 
 func TestAnyBytesAreReadOrRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		buf := append([]byte{compactMark}, rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")...)
+		buf := append([]byte{compactMagic}, rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")...)
 		_, _ = DecodeCompact(buf) // it must not panic, and takes no more memory than the bytes allow
 	})
 }
 
-func TestAVitalTakesWhatTheBudgetCounts(t *testing.T) {
+func TestALivenessEntryTakesTheBytesThatTheBudgetCounts(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(appendVital(nil, Vital{})), vitalBytes)
+	is.Equal(len(appendLiveness(nil, Vital{})), livenessBytes)
 	empty := Compact{
 		Catalog: 1 << 40,
 		Newest:  1 << 40,
 		Policy:  1 << 20,
 	}
-	is.True(len(empty.encode()) <= compactBytes)
+	is.True(len(empty.encode()) <= emptyCompactBytes)
 }
--- a/roster/wirefuzz_test.go
+++ b/roster/compactfuzz_test.go
@@ -27,7 +27,7 @@
 	f.Add(b.encode())
 	f.Add(Compact{}.encode())
 	f.Add([]byte{})
-	f.Add([]byte{compactMark})
+	f.Add([]byte{compactMagic})
 	f.Add([]byte(`{"f":{}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		got, err := DecodeCompact(data)
--- a/roster/converge_test.go
+++ b/roster/converge_test.go
@@ -21,15 +21,15 @@
 
 // network carries datagrams in memory.
 type network struct {
-	mu    sync.Mutex
-	socks map[string]*memory
-	cut   func(from, to string) bool
+	mu      sync.Mutex
+	sockets map[string]*memoryConn
+	cut     func(from, to string) bool
 }
 
 func newNetwork() *network {
 	return &network{
-		socks: make(map[string]*memory),
-		cut:   func(string, string) bool { return false },
+		sockets: make(map[string]*memoryConn),
+		cut:     func(string, string) bool { return false },
 	}
 }
 
@@ -39,16 +39,16 @@
 	n.cut = cut
 }
 
-func (n *network) listen(addr string) *memory {
+func (n *network) listen(addr string) *memoryConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m := &memory{
+	m := &memoryConn{
 		net:    n,
 		addr:   addr,
 		in:     make(chan datagram, 1000),
 		closed: make(chan struct{}),
 	}
-	n.socks[addr] = m
+	n.sockets[addr] = m
 	return m
 }
 
@@ -58,8 +58,8 @@
 	at   time.Time
 }
 
-// memory is a socket of a network.
-type memory struct {
+// memoryConn is a socket of a network.
+type memoryConn struct {
 	net.PacketConn // what a link doesn't use
 	net            *network
 	addr           string
@@ -68,7 +68,7 @@
 	once           sync.Once
 }
 
-func (m *memory) ReadFrom(buf []byte) (int, net.Addr, error) {
+func (m *memoryConn) ReadFrom(buf []byte) (int, net.Addr, error) {
 	select {
 	case <-m.closed:
 		return 0, nil, net.ErrClosed
@@ -82,10 +82,10 @@
 	}
 }
 
-func (m *memory) WriteTo(buf []byte, to net.Addr) (int, error) {
+func (m *memoryConn) WriteTo(buf []byte, to net.Addr) (int, error) {
 	m.net.mu.Lock()
 	defer m.net.mu.Unlock()
-	if s, ok := m.net.socks[to.String()]; ok && !m.net.cut(m.addr, s.addr) {
+	if s, ok := m.net.sockets[to.String()]; ok && !m.net.cut(m.addr, s.addr) {
 		s.in <- datagram{
 			from: m.addr,
 			buf:  append([]byte(nil), buf...),
@@ -95,7 +95,7 @@
 	return len(buf), nil
 }
 
-func (m *memory) Close() error {
+func (m *memoryConn) Close() error {
 	m.once.Do(func() { close(m.closed) })
 	return nil
 }
@@ -125,7 +125,7 @@
 		rnd: rand.New(rand.NewPCG(1, uint64(i))),
 	}
 	b.tab = New(b.self, WithSeeds(seeds))
-	b.link = NewLink(n.listen(addr), b.hear)
+	b.link = NewLink(n.listen(addr), b.receive)
 	go b.link.Run(ctx)
 	go b.run(ctx)
 	return b
@@ -170,7 +170,7 @@
 	}
 }
 
-func (b *box) hear(g wire.Gossip, from net.Addr) {
+func (b *box) receive(g wire.Gossip, from net.Addr) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tab.Hear(g.From, true, b.now())
@@ -188,8 +188,8 @@
 	return len(b.tab.Serving("", b.now()))
 }
 
-// fleet starts n boxes in three regions and returns them.
-func fleet(ctx context.Context, net *network, n int, seeds []string) []*box {
+// startFleet starts n boxes in three regions and returns them.
+func startFleet(ctx context.Context, net *network, n int, seeds []string) []*box {
 	out := make([]*box, n)
 	for i := range out {
 		out[i] = startBox(ctx, net, i, 3, seeds)
@@ -202,7 +202,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		boxes := fleet(ctx, newNetwork(), 9, []string{addrOf(0), addrOf(4), addrOf(99)})
+		boxes := startFleet(ctx, newNetwork(), 9, []string{addrOf(0), addrOf(4), addrOf(99)})
 		time.Sleep(4*Tick + delay)
 		for _, b := range boxes {
 			is.Equal(b.serving(), 8)
@@ -216,15 +216,15 @@
 	})
 }
 
-func TestACutIsNoticedAndSoIsItsEnd(t *testing.T) {
-	for _, length := range []time.Duration{10 * time.Second, 2 * silentFor} {
+func TestAPartitionAndItsEndAreDetected(t *testing.T) {
+	for _, length := range []time.Duration{10 * time.Second, 2 * partitionWindow} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			n := newNetwork()
-			boxes := fleet(ctx, n, 9, []string{addrOf(99)}) // only a dead seed
-			boxes[0].meet(boxes)
+			boxes := startFleet(ctx, n, 9, []string{addrOf(99)}) // only a dead seed
+			boxes[0].introduce(boxes)
 			time.Sleep(2 * time.Second)
 			is.Equal(boxes[8].serving(), 8)
 			n.setCut(func(from, to string) bool { return (from < addrOf(3)) != (to < addrOf(3)) })
@@ -232,7 +232,7 @@
 			is.Equal(boxes[0].serving(), 2)
 			is.Equal(boxes[8].serving(), 5)
 			n.setCut(func(string, string) bool { return false })
-			time.Sleep(silentEvery*Tick + seedEvery*Tick + time.Second)
+			time.Sleep(silentProbeEvery*Tick + seedProbeEvery*Tick + time.Second)
 			for _, b := range boxes {
 				is.Equal(b.serving(), 8)
 			}
@@ -240,8 +240,8 @@
 	}
 }
 
-// meet tells a box of all the others once.
-func (b *box) meet(boxes []*box) {
+// introduce tells a box of all the others once.
+func (b *box) introduce(boxes []*box) {
 	for _, o := range boxes[1:] {
 		o.mu.Lock()
 		s := o.self
@@ -256,12 +256,12 @@
 
 func addrPort(s string) netip.AddrPort { return netip.MustParseAddrPort(s) }
 
-func TestThirtyBoxesKnowEachOtherAllTheTime(t *testing.T) {
+func TestThirtyBoxesCountEachOtherAsAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		boxes := fleet(ctx, newNetwork(), 30, []string{addrOf(0), addrOf(4), addrOf(99)})
+		boxes := startFleet(ctx, newNetwork(), 30, []string{addrOf(0), addrOf(4), addrOf(99)})
 		time.Sleep(5 * time.Second)
 		for range 8 {
 			time.Sleep(Tick)
--- a/roster/full.go
+++ b/roster/datagram.go
@@ -11,16 +11,16 @@
 
 // header returns a compact datagram without lists.
 func (t *Table) header() Compact {
-	s := t.compact.said
+	s := t.compact.selfStatus
 	return Compact{
 		From: Vital{
-			ID:   t.compact.self,
+			ID:   t.compact.selfID,
 			Beat: uint16(s.Seq),
 		},
 		State:   stateOf(s),
 		Closed:  s.Callers == "",
 		Catalog: int64(s.Catalog),
-		Newest:  t.compact.newest,
+		Newest:  t.compact.newestRevision,
 		Policy:  s.Policy,
 		ReadMs:  s.ReadMs,
 		UpMs:    s.UpMs,
@@ -28,23 +28,23 @@
 	}
 }
 
-// full returns a full datagram, a compact one with signs of life: of the own
+// livenessDatagram returns a livenessDatagram datagram, a compact one with signs of life: of the own
 // region's boxes all, of others some in turn, and the deaths known. With far it is
 // for another region.
-func (t *Table) full(c audience, now time.Duration, far bool) Compact {
+func (t *Table) livenessDatagram(c recipients, now time.Duration, far bool) Compact {
 	b := t.header()
-	b.Vitals = t.vitals(c, now, far)
+	b.Vitals = t.livenessEntries(c, now, far)
 	b.Silent = t.deaths(now)
 	for _, r := range c.all {
-		if r.State() == wire.ServingStateLeaving && len(b.Leaving) < mostLeaving {
+		if r.State() == wire.ServingStateLeaving && len(b.Leaving) < maxLeaving {
 			b.Leaving = append(b.Leaving, r.id)
 		}
 	}
 	if far {
-		b.Rooms = t.ownRooms()
+		b.Rooms = t.ownCapacity()
 		return b
 	}
-	b.Rooms = t.otherRooms(now)
+	b.Rooms = t.nextCapacity(now)
 	b.Loads, b.Loaded = c.loads, c.allLoads
 	for len(b.encode()) > datagramBytes { // rooms of long names; statuses and loads are bounded below it
 		b.Rooms = nil
@@ -54,17 +54,17 @@
 	return b
 }
 
-// vitals returns the signs of life to pass on: for a box of the own region also the
+// livenessEntries returns the signs of life to pass on: for a box of the own region also the
 // latest of each other region, which shows that the region is there, and some more.
-func (t *Table) vitals(c audience, now time.Duration, far bool) []Vital {
+func (t *Table) livenessEntries(c recipients, now time.Duration, far bool) []Vital {
 	var own, others []*record
 	for _, r := range c.near {
 		if t.compact.byID[r.id] == r {
 			own = append(own, r)
 		}
 	}
-	byAge(own)
-	out := t.pass(nil, own, mostVitals, now)
+	sortByRelay(own)
+	out := t.appendRelayed(nil, own, maxNearEntries, now)
 	if far {
 		return out
 	}
@@ -74,28 +74,28 @@
 			switch {
 			case t.compact.byID[r.id] != r:
 			case r == latest:
-				out = t.pass(out, []*record{r}, 1, now)
+				out = t.appendRelayed(out, []*record{r}, 1, now)
 			default:
 				others = append(others, r)
 			}
 		}
 	}
-	byAge(others)
-	return t.pass(out, others, farVitals, now)
+	sortByRelay(others)
+	return t.appendRelayed(out, others, maxFarEntries, now)
 }
 
-// pass appends the first of a list, and notes that they were passed on.
-func (t *Table) pass(out []Vital, list []*record, limit int, now time.Duration) []Vital {
+// appendRelayed appends the first of a list, and notes that they were passed on.
+func (t *Table) appendRelayed(out []Vital, list []*record, limit int, now time.Duration) []Vital {
 	for _, r := range list[:min(len(list), limit)] {
-		r.turn = t.compact.rounds
+		r.relayedRound = t.compact.rounds
 		r.fresh = false
-		out = append(out, r.vital(now))
+		out = append(out, r.livenessEntry(now))
 	}
 	return out
 }
 
-// vital returns the latest sign of life of a box.
-func (r *record) vital(now time.Duration) Vital {
+// livenessEntry returns the latest sign of life of a box.
+func (r *record) livenessEntry(now time.Duration) Vital {
 	return Vital{
 		ID:   r.id,
 		Beat: uint16(r.Status.Seq),
@@ -110,34 +110,34 @@
 	var list []Vital
 	for _, r := range t.records {
 		own := r.Status.Region == t.self.Region
-		v := r.vital(now)
+		v := r.livenessEntry(now)
 		switch {
 		case t.compact.byID[r.id] != r:
 			continue
-		case own && (now < t.compact.mute || t.alive(r, now)), (!own || t.monitoring.on) && !r.silent:
+		case own && (now < t.compact.muteUntil || t.alive(r, now)), (!own || t.monitoring.enabled) && !r.declaredDead:
 			continue
-		case !own || t.monitoring.on:
+		case !own || t.monitoring.enabled:
 			v.Age = now - r.deadSince
 		}
-		if v.Age < tellDeathFor {
+		if v.Age < deathGossipWindow {
 			list = append(list, v)
 		}
 	}
 	slices.SortFunc(list, func(a, b Vital) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID))
 	})
-	return list[:min(len(list), mostSilent)]
+	return list[:min(len(list), maxDeaths)]
 }
 
-// loads returns the own loads that matter, as many as the budget pays for, and
+// ownLoads returns the own ownLoads that matter, as many as the budget pays for, and
 // whether these are all.
-func (t *Table) loads() (out []CompactLoad, all bool) {
-	room := t.pace.loads
+func (t *Table) ownLoads() (out []CompactLoad, all bool) {
+	room := t.params.loadsBytes
 	if room == 0 {
 		return nil, false
 	}
-	for _, l := range heaviest(t.compact.said.Loads) {
-		if !matters(l) {
+	for _, l := range byTokens(t.compact.selfStatus.Loads) {
+		if !isSignificant(l) {
 			continue
 		}
 		b := CompactLoad{
@@ -153,29 +153,29 @@
 	return out, true
 }
 
-// leastReads are the prompt tokens a second below which a replica without any
+// minReads are the prompt tokens a second below which a replica without any
 // request in flight isn't told: 5 ms of an engine's time in each second.
-const leastReads = 200
+const minReads = 200
 
-// matters says whether others are told of a load.
-func matters(l wire.ReplicaLoad) bool {
-	return l.InFlight > 0 || l.Prompt > 0 || l.Reads >= leastReads
+// isSignificant says whether others are told of a load.
+func isSignificant(l wire.ReplicaLoad) bool {
+	return l.InFlight > 0 || l.Prompt > 0 || l.Reads >= minReads
 }
 
-// ownRooms returns what this box's region can take.
-func (t *Table) ownRooms() []CompactRooms {
-	if len(t.compact.said.Rooms) == 0 {
+// ownCapacity returns what this box's region can take.
+func (t *Table) ownCapacity() []CompactRooms {
+	if len(t.compact.selfStatus.Rooms) == 0 {
 		return nil
 	}
 	return []CompactRooms{{
 		From:  t.header().From,
-		Rooms: t.compact.said.Rooms,
+		Rooms: t.compact.selfStatus.Rooms,
 	}}
 }
 
-// otherRooms returns what one other region can take: the latest that was not
+// nextCapacity returns what one other region can take: the latest that was not
 // passed on yet.
-func (t *Table) otherRooms(now time.Duration) []CompactRooms {
+func (t *Table) nextCapacity(now time.Duration) []CompactRooms {
 	newest := make(map[string]*record)
 	for _, r := range t.records {
 		if r.Status.Region == t.self.Region || len(r.Status.Rooms) == 0 || now-r.Told > t.RoomsAge() {
@@ -187,15 +187,15 @@
 	}
 	var next *record
 	for _, r := range newest {
-		if r.retold < r.Told && (next == nil || r.Told > next.Told || (r.Told == next.Told && r.id < next.id)) {
+		if r.capacityRelayed < r.Told && (next == nil || r.Told > next.Told || (r.Told == next.Told && r.id < next.id)) {
 			next = r
 		}
 	}
 	if next == nil {
 		return nil
 	}
-	next.retold = next.Told
-	v := next.vital(now)
+	next.capacityRelayed = next.Told
+	v := next.livenessEntry(now)
 	v.Age = now - next.Told
 	return []CompactRooms{{
 		From:  v,
--- a/roster/waited.go
+++ b/roster/delay.go
@@ -16,9 +16,9 @@
 		return 0
 	}
 	ahead := now - time.Duration(s.UpMs)*time.Millisecond
-	if !r.timed || ahead < r.ahead {
-		r.timed = true
-		r.ahead = ahead
+	if !r.hasClockOffset || ahead < r.minClockOffset {
+		r.hasClockOffset = true
+		r.minClockOffset = ahead
 	}
-	return ahead - r.ahead
+	return ahead - r.minClockOffset
 }
--- a/roster/waited_test.go
+++ b/roster/delay_test.go
@@ -9,7 +9,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-func TestAWordIsAsMuchLaterAsItTookLongerThanTheQuickest(t *testing.T) {
+func TestTheDelayOfAStatusIsRelativeToTheSmallestObserved(t *testing.T) {
 	is := is.New(t)
 	table := New(wire.BoxStatus{
 		Box:    "self",
--- a/roster/digest.go
+++ b/roster/digest.go
@@ -8,14 +8,14 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// ownPause is for how many digests a member of the own region is not passed on
+// nearDigestInterval is for how many digests a member of the own region is not passed on
 // again, if there are others: all its region hears it directly, and the space is
 // better used for other regions. It is ten seconds at one digest a second.
-const ownPause = 10
+const nearDigestInterval = 10
 
-// plainEvery is the pace of digests that don't prefer fresh statuses, so that the
+// unprioritizedEvery is the pace of digests that don't prefer fresh statuses, so that the
 // others get their turn also where fresh ones fill each digest.
-const plainEvery = 4
+const unprioritizedEvery = 4
 
 // Digest returns up to limit statuses of other boxes to pass on, fewer when they
 // would not fit a datagram. Fresh ones come first: few boxes of this region hear a
@@ -25,8 +25,8 @@
 // and their rooms for all but the first of each region: the boxes of one region
 // state nearly the same.
 func (t *Table) Digest(now time.Duration, limit int) []wire.BoxStatus {
-	list := t.byTurn(now)
-	t.digests++
+	list := t.digestOrder(now)
+	t.digestCount++
 	var out []wire.BoxStatus
 	room := othersBytes
 	regions := make(map[string]bool)
@@ -39,39 +39,39 @@
 		if regions[s.Region] {
 			s.Rooms = nil
 		}
-		s = compact(s, statusBytes)
-		n := size(s) + 1 // with its comma
+		s = trim(s, statusBytes)
+		n := jsonSize(s) + 1 // with its comma
 		if len(out) > 0 && n > room {
 			break
 		}
 		room -= n
 		regions[s.Region] = true
 		r.fresh = false
-		r.due = t.digests
+		r.nextDigest = t.digestCount
 		if s.Region == t.self.Region {
-			r.due += ownPause
+			r.nextDigest += nearDigestInterval
 		}
 		out = append(out, s)
 	}
 	return out
 }
 
-// byTurn returns the boxes alive in the order in which they are passed on.
-func (t *Table) byTurn(now time.Duration) []*record {
+// digestOrder returns the boxes alive in the order in which they are passed on.
+func (t *Table) digestOrder(now time.Duration) []*record {
 	var list []*record
 	for _, r := range t.records {
 		if t.alive(r, now) {
 			list = append(list, r)
 		}
 	}
-	fresh := func(r *record) bool { return r.fresh && t.digests%plainEvery != 0 }
-	inTurn(list, fresh, func(r *record) int { return r.due })
+	fresh := func(r *record) bool { return r.fresh && t.digestCount%unprioritizedEvery != 0 }
+	sortByTurn(list, fresh, func(r *record) int { return r.nextDigest })
 	return list
 }
 
-// inTurn orders records to be passed on: the fresh ones first, then by turn, then
+// sortByTurn orders records to be passed on: the fresh ones first, then by turn, then
 // the latest heard.
-func inTurn(list []*record, fresh func(r *record) bool, turn func(r *record) int) {
+func sortByTurn(list []*record, fresh func(r *record) bool, turn func(r *record) int) {
 	rank := func(r *record) int {
 		if fresh(r) {
 			return 0
--- a/roster/domain.go
+++ b/roster/domain.go
@@ -4,17 +4,17 @@
 
 // Figures of a failure domain that falls silent as a whole.
 const (
-	domainSilence = 1250 * time.Millisecond // without a sign of life of any of its boxes: five ticks, in which a box of a region of 98 hears some ten datagrams
-	fewestSilent  = 3                       // boxes of it that count as alive; a box or two may be lost each for itself
+	domainTimeout  = 1250 * time.Millisecond // without a sign of life of any of its boxes: five ticks, in which a box of a region of 98 hears some ten datagrams
+	minSilentBoxes = 3                       // boxes of it that count as alive; a box or two may be lost each for itself
 )
 
-// noteDomain takes in a sign of life of a failure domain of the own region.
-func (t *Table) noteDomain(r *record) {
+// recordDomainAlive takes in a sign of life of a failure domain of the own region.
+func (t *Table) recordDomainAlive(r *record) {
 	if r.Status.Region != t.self.Region {
 		return
 	}
-	if at, ok := t.domains[r.Status.Domain]; !ok || r.Heard > at {
-		t.domains[r.Status.Domain] = r.Heard
+	if at, ok := t.domainLastSeen[r.Status.Domain]; !ok || r.Heard > at {
+		t.domainLastSeen[r.Status.Domain] = r.Heard
 	}
 }
 
@@ -25,22 +25,22 @@
 // stay theirs, for they may only be cut off.
 func (t *Table) SilentDomains(now time.Duration) []string {
 	var out []string
-	for domain, heard := range t.domains {
-		if domain == t.self.Domain || now-heard <= domainSilence {
+	for domain, lastSeen := range t.domainLastSeen {
+		if domain == t.self.Domain || now-lastSeen <= domainTimeout {
 			continue
 		}
-		if t.hearsOthers(domain, now) && t.aliveIn(domain, now) >= fewestSilent {
+		if t.otherDomainAlive(domain, now) && t.aliveIn(domain, now) >= minSilentBoxes {
 			out = append(out, domain)
 		}
 	}
 	return out
 }
 
-// hearsOthers says whether another failure domain of the region was heard of late:
+// otherDomainAlive says whether another failure domain of the region was heard of late:
 // otherwise it may be this box that is cut off or was paused.
-func (t *Table) hearsOthers(than string, now time.Duration) bool {
-	for domain, heard := range t.domains {
-		if domain != than && now-heard <= domainSilence {
+func (t *Table) otherDomainAlive(than string, now time.Duration) bool {
+	for domain, lastSeen := range t.domainLastSeen {
+		if domain != than && now-lastSeen <= domainTimeout {
 			return true
 		}
 	}
--- a/roster/tell_test.go
+++ b/roster/gossip_test.go
@@ -12,7 +12,7 @@
 
 // A status in a digest that is not sent would have lost its turn: boxes of other
 // regions that were just heard would be passed on only after all others.
-func TestDatagramsWithoutOtherBoxesTakeNoTurnFromThem(t *testing.T) {
+func TestDatagramsWithoutADigestUseUpNoTurn(t *testing.T) {
 	is := is.New(t)
 	self := wire.BoxStatus{
 		Box:    "self",
@@ -22,7 +22,7 @@
 	}
 	table := New(self)
 	now := time.Second
-	hear := func(name, region string, direct bool) {
+	receive := func(name, region string, direct bool) {
 		table.Hear(wire.BoxStatus{
 			Box:    name,
 			Inc:    1,
@@ -32,7 +32,7 @@
 		}, direct, now)
 	}
 	for i := range 12 {
-		hear(fmt.Sprint("known-", i), "c", false)
+		receive(fmt.Sprint("known-", i), "c", false)
 	}
 	others := func() []wire.BoxStatus {
 		packets := table.Tell(self, now, func(int) int { return 0 })
@@ -43,14 +43,14 @@
 	}
 	is.True(len(others()) > 0)
 	for _, name := range []string{"new-1", "new-2"} {
-		hear(name, "b", true)
+		receive(name, "b", true)
 	}
-	for range passEvery - 1 {
+	for range digestEvery - 1 {
 		is.Equal(len(others()), 0)
 	}
-	passed := make(map[string]bool)
+	relayed := make(map[string]bool)
 	for _, o := range others() {
-		passed[o.Box] = true
+		relayed[o.Box] = true
 	}
-	is.True(passed["new-1"] && passed["new-2"])
+	is.True(relayed["new-1"] && relayed["new-2"])
 }
--- a/roster/start_test.go
+++ b/roster/incarnation_test.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// bytesOf returns the bytes of a compact datagram with a load and a word of each.
-func bytesOf(names []string) int {
+// encodedBytes returns the bytes of a compact datagram with a load and a word of each.
+func encodedBytes(names []string) int {
 	var b Compact
 	for _, name := range names {
 		b.Loads = append(b.Loads, CompactLoad{
@@ -46,16 +46,16 @@
 func TestTheStartOfAReplicaTakesNoByteInCompactDatagrams(t *testing.T) {
 	is := is.New(t)
 	ids, starts := namedReplicas(0), namedReplicas(1764720000123)
-	is.Equal(bytesOf(starts), bytesOf(ids))
+	is.Equal(encodedBytes(starts), encodedBytes(ids))
 	load := func(name string) int {
-		return size(wire.ReplicaLoad{
+		return jsonSize(wire.ReplicaLoad{
 			Replica:  name,
 			InFlight: 3,
 			Tokens:   9000,
 		})
 	}
 	more := load(starts[0]) - load(ids[0])
-	t.Logf("166 replicas: compact %d bytes and %d; a load in a whole status %d and %d", bytesOf(ids), bytesOf(starts), load(ids[0]), load(starts[0]))
+	t.Logf("166 replicas: compact %d bytes and %d; a load in a whole status %d and %d", encodedBytes(ids), encodedBytes(starts), load(ids[0]), load(starts[0]))
 	is.Equal(more, 9)
 	short := make(map[ReplicaID]bool)
 	for _, name := range append(ids, starts...) {
--- a/roster/link.go
+++ b/roster/link.go
@@ -15,27 +15,27 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// readPause is the time after a failed read before the next, so that a socket
+// readRetryInterval is the time after a failed read before the next, so that a socket
 // that keeps failing takes no processor time.
-const readPause = 10 * time.Millisecond
+const readRetryInterval = 10 * time.Millisecond
 
 // errTooLong is the reason to drop a datagram that no box sends.
-var errTooLong = errors.Newf("datagram of more than %d bytes", datagramBytes)
+var errTooLong = errors.Newf("datagram longer than %d bytes", datagramBytes)
 
 // Link reads and sends gossip on one socket. Its methods may be called from any
 // goroutine.
 type Link struct {
-	conn     net.PacketConn
-	handle   func(g wire.Gossip, from net.Addr)
-	compact  func(c Compact, from net.Addr)
-	mark     byte // first byte of datagrams of another package; 0 for none
-	other    func(buf []byte, from net.Addr)
-	sent     atomic.Int64
-	received atomic.Int64
-
-	mu      sync.Mutex // guards what follows
-	dropped int64
-	reason  error
+	conn          net.PacketConn
+	handle        func(g wire.Gossip, from net.Addr)
+	handleCompact func(c Compact, from net.Addr)
+	otherMagic    byte // first byte of datagrams of another package; 0 for none
+	handleOther   func(buf []byte, from net.Addr)
+	sent          atomic.Int64
+	received      atomic.Int64
+
+	mu        sync.Mutex // guards what follows
+	dropped   int64
+	lastError error
 }
 
 // LinkOption changes a Link that is made.
@@ -43,15 +43,15 @@
 
 // WithCompact sets what is called for each compact datagram.
 func WithCompact(f func(c Compact, from net.Addr)) LinkOption {
-	return func(l *Link) { l.compact = f }
+	return func(l *Link) { l.handleCompact = f }
 }
 
 // WithOther sets what is called for each datagram of another package, which its first byte
 // tells. The buffer is used again after the call.
 func WithOther(mark byte, f func(buf []byte, from net.Addr)) LinkOption {
 	return func(l *Link) {
-		l.mark = mark
-		l.other = f
+		l.otherMagic = mark
+		l.handleOther = f
 	}
 }
 
@@ -59,9 +59,9 @@
 // statuses, one after the other, from the goroutine that runs it.
 func NewLink(conn net.PacketConn, handle func(g wire.Gossip, from net.Addr), opts ...LinkOption) *Link {
 	l := &Link{
-		conn:    conn,
-		handle:  handle,
-		compact: func(Compact, net.Addr) {},
+		conn:          conn,
+		handle:        handle,
+		handleCompact: func(Compact, net.Addr) {},
 	}
 	for _, opt := range opts {
 		opt(l)
@@ -84,41 +84,41 @@
 			return
 		}
 		if err != nil {
-			l.drop(errors.Wrap(err, "read"))
+			l.recordDrop(errors.Wrap(err, "read"))
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			sleep.For(ctx, readPause)
+			sleep.For(ctx, readRetryInterval)
 			continue
 		}
-		l.take(buf[:n], from)
+		l.dispatch(buf[:n], from)
 	}
 }
 
-// take handles one datagram.
-func (l *Link) take(buf []byte, from net.Addr) {
+// dispatch handles one datagram.
+func (l *Link) dispatch(buf []byte, from net.Addr) {
 	clock.Check() // it may have waited while the machine was suspended
 	l.received.Add(int64(len(buf)))
 	if len(buf) > datagramBytes {
-		l.drop(errTooLong)
+		l.recordDrop(errTooLong)
 		return
 	}
-	if l.mark != 0 && len(buf) > 0 && buf[0] == l.mark {
-		l.other(buf, from)
+	if l.otherMagic != 0 && len(buf) > 0 && buf[0] == l.otherMagic {
+		l.handleOther(buf, from)
 		return
 	}
 	if IsCompact(buf) {
 		b, err := DecodeCompact(buf)
 		if err != nil {
-			l.drop(err)
+			l.recordDrop(err)
 			return
 		}
-		l.compact(b, from)
+		l.handleCompact(b, from)
 		return
 	}
 	g, err := Decode(buf)
 	if err != nil {
-		l.drop(err)
+		l.recordDrop(err)
 		return
 	}
 	l.handle(g, from)
@@ -160,13 +160,13 @@
 func (l *Link) Dropped() (n int64, reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.dropped, l.reason
+	return l.dropped, l.lastError
 }
 
-// drop counts a datagram or read that failed.
-func (l *Link) drop(reason error) {
+// recordDrop counts a datagram or read that failed.
+func (l *Link) recordDrop(reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropped++
-	l.reason = reason
+	l.lastError = reason
 }
--- a/roster/link_test.go
+++ b/roster/link_test.go
@@ -12,8 +12,8 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// socket opens a UDP socket on the loopback address.
-func socket(t *testing.T) net.PacketConn {
+// listenUDP opens a UDP listenUDP on the loopback address.
+func listenUDP(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	got := make(chan wire.Gossip, 1)
-	in, out := socket(t), socket(t)
+	in, out := listenUDP(t), listenUDP(t)
 	reader := NewLink(in, func(g wire.Gossip, from net.Addr) {
 		is.Equal(from.String(), out.LocalAddr().String())
 		got <- g
@@ -65,7 +65,7 @@
 
 func TestALinkEndsWhenItsSocketIsClosed(t *testing.T) {
 	is := is.New(t)
-	conn := socket(t)
+	conn := listenUDP(t)
 	l := NewLink(conn, nil)
 	is.NoErr(conn.Close())
 	l.Run(t.Context())
@@ -75,7 +75,7 @@
 
 func TestSendingToNoAddressIsAnError(t *testing.T) {
 	is := is.New(t)
-	l := NewLink(socket(t), nil)
+	l := NewLink(listenUDP(t), nil)
 	g := wire.Gossip{
 		From: status("a", "north", 1, 1),
 	}
--- a/roster/creep_test.go
+++ b/roster/liveness_test.go
@@ -11,14 +11,14 @@
 
 // The age of a sign of life doesn't hold the time on the way, so each box that passes
 // it on would make it later. It counts only when it is a newer one.
-func TestASignOfLifeThatIsPassedOnGetsNoLater(t *testing.T) {
+func TestARelayedHeartbeatGetsNoLater(t *testing.T) {
 	is := is.New(t)
 	table := New(wire.BoxStatus{
 		Box:    "self",
 		Inc:    1,
 		Region: "a",
 	})
-	hear := func(box string, seq int, now time.Duration) {
+	receive := func(box string, seq int, now time.Duration) {
 		table.Hear(wire.BoxStatus{
 			Box:    box,
 			Inc:    1,
@@ -28,23 +28,23 @@
 	}
 	const crossing = 80 * time.Millisecond
 	start := time.Minute
-	hear("dead", 7, start)
-	hear("near", 1, start)
-	passed := Vital{
+	receive("dead", 7, start)
+	receive("near", 1, start)
+	relayed := Vital{
 		ID:   IDOf("dead", 1),
 		Beat: 7,
 	}
 	for hop := range 100 { // two regions tell each other what they heard last
 		now := start + time.Duration(hop)*crossing
-		r, _, known := table.hearVital(passed, now)
+		r, _, known := table.recordLiveness(relayed, now)
 		is.True(known)
 		is.Equal(r.Heard, start)
-		passed.Age = now - r.Heard
+		relayed.Age = now - r.Heard
 	}
-	passed.Beat = 8
-	passed.Age = crossing
+	relayed.Beat = 8
+	relayed.Age = crossing
 	later := start + time.Minute
-	r, newer, _ := table.hearVital(passed, later)
+	r, newer, _ := table.recordLiveness(relayed, later)
 	is.True(newer)
 	is.Equal(r.Heard, later-crossing)
 }
--- a/roster/words_test.go
+++ b/roster/loadreports_test.go
@@ -10,11 +10,11 @@
 
 // A word that is passed on from box to box must not get younger, or it would count for
 // ever.
-func TestAWordGetsNoYoungerHoweverOftenItIsPassedOn(t *testing.T) {
+func TestRelayedLoadReportsGetNoYounger(t *testing.T) {
 	is := is.New(t)
 	const transit = 2 * time.Millisecond
 	tab := New(status("a", "north", 1, 1))
-	age, said := 30*time.Millisecond, 30*time.Millisecond
+	age, actual := 30*time.Millisecond, 30*time.Millisecond
 	for range 100 {
 		packets := tab.TellWords([]CompactWord{{
 			Replica:  7,
@@ -24,13 +24,13 @@
 		is.Equal(len(packets), 1)
 		b, err := DecodeCompact(packets[0].Buf)
 		is.NoErr(err)
-		said += transit
+		actual += transit
 		age = b.Words[0].Age
-		is.True(age >= said)
+		is.True(age >= actual)
 	}
 }
 
-func TestNoMoreWordsAreToldThanADatagramHolds(t *testing.T) {
+func TestLoadReportsAreLimitedToOneDatagram(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 1))
 	is.Equal(len(tab.TellWords(nil, []string{"10.0.0.2:7000"}, rand.IntN)), 0)
--- a/roster/monitor.go
+++ b/roster/monitor.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	monitorFrom  = 128                     // other boxes of the region from which on boxes have monitors
-	monitors     = 3                       // of a box, so that two may die with it
-	monitorEvery = 2                       // ticks between two signs of life to a monitor
-	monitorPing  = 1500 * time.Millisecond // of silence from which a monitor asks for a sign of life
-	ringKey      = "monitors"
+	monitorThreshold      = 128                     // other boxes of the region from which on boxes have monitors
+	monitorsPerBox        = 3                       // of a box, so that two may die with it
+	monitorHeartbeatEvery = 2                       // ticks between two signs of life to a monitor
+	monitorProbeDelay     = 1500 * time.Millisecond // of silence from which a monitor asks for a sign of life
+	ringKey               = "monitors"
 )
 
 // monitoring is which boxes this one judges, and which judge it.
 type monitoring struct {
-	on    bool
-	count int                      // boxes of the region among which both were chosen, and their sum
-	sum   ID                       // the same
-	mine  map[string]time.Duration // boxes that this one judges, and since when
-	own   []string                 // boxes that judge this one
+	enabled    bool
+	ringSize   int                      // boxes of the region among which both were chosen, and their sum
+	ringDigest ID                       // the same
+	monitored  map[string]time.Duration // boxes that this one judges, and since when
+	monitors   []string                 // boxes that judge this one
 }
 
 // chooseMonitors works out who judges whom: the boxes of the region stand in a ring, by
@@ -41,13 +41,13 @@
 			names = append(names, r.box)
 		}
 	}
-	if m.on = len(names) > monitorFrom; !m.on {
+	if m.enabled = len(names) > monitorThreshold; !m.enabled {
 		t.monitoring = monitoring{}
 		return
 	}
-	if sum := sumOf(nameIDs(names)); m.mine == nil || m.count != len(names) || m.sum != sum {
-		m.count = len(names)
-		m.sum = sum
+	if sum := digestOf(nameIDs(names)); m.monitored == nil || m.ringSize != len(names) || m.ringDigest != sum {
+		m.ringSize = len(names)
+		m.ringDigest = sum
 		t.placeInRing(names, now)
 	}
 }
@@ -59,67 +59,67 @@
 	})
 	self := slices.Index(names, t.self.Box)
 	m := &t.monitoring
-	m.own = m.own[:0]
-	mine := make(map[string]time.Duration, monitors)
-	for i := 1; i <= monitors; i++ {
-		m.own = append(m.own, names[(self+i)%len(names)])
+	m.monitors = m.monitors[:0]
+	monitored := make(map[string]time.Duration, monitorsPerBox)
+	for i := 1; i <= monitorsPerBox; i++ {
+		m.monitors = append(m.monitors, names[(self+i)%len(names)])
 		box := names[(self-i+len(names))%len(names)]
-		since, judged := m.mine[box]
-		if !judged {
+		since, ok := m.monitored[box]
+		if !ok {
 			since = now
 		}
-		mine[box] = since
+		monitored[box] = since
 	}
-	m.mine = mine
+	m.monitored = monitored
 }
 
-// silence returns for how long a box that this one judges was silent, no longer than it
+// monitoredSilence returns for how long a box that this one judges was silent, no longer than it
 // judges it; false for a box that others judge.
-func (t *Table) silence(r *record, now time.Duration) (time.Duration, bool) {
-	since, ok := t.monitoring.mine[r.box]
+func (t *Table) monitoredSilence(r *record, now time.Duration) (time.Duration, bool) {
+	since, ok := t.monitoring.monitored[r.box]
 	if !ok || r.Status.Region != t.self.Region {
 		return 0, false
 	}
 	return now - max(since, r.Heard), true
 }
 
-// judge takes a box that this one judges for dead once it is silent for too long, unless
-// this box can't judge others now.
-func (t *Table) judge(now time.Duration) {
-	if now < t.compact.mute {
+// checkMonitored takes a box that this one judges for dead once it is silent for too long, unless
+// this box can't checkMonitored others now.
+func (t *Table) checkMonitored(now time.Duration) {
+	if now < t.compact.muteUntil {
 		return
 	}
-	for box := range t.monitoring.mine {
+	for box := range t.monitoring.monitored {
 		r, ok := t.records[box]
-		if !ok || r.silent {
+		if !ok || r.declaredDead {
 			continue
 		}
-		if silent, _ := t.silence(r, now); silent > aliveFor {
-			r.silent = true
+		if silent, _ := t.monitoredSilence(r, now); silent > aliveTimeout {
+			r.declaredDead = true
 			r.deadSince = r.Heard
-			t.compact.died = true
+			t.compact.newDeaths = true
 		}
 	}
 }
 
 // sendToMonitors tells those that judge this box that it lives.
-func (t *Table) sendToMonitors(out *outbox, c audience) {
-	if !t.monitoring.on || t.compact.rounds%monitorEvery != 0 {
+func (t *Table) sendToMonitors(out *outbox, c recipients) {
+	if !t.monitoring.enabled || t.compact.rounds%monitorHeartbeatEvery != 0 {
 		return
 	}
 	buf := t.header().encode()
-	for _, box := range t.monitoring.own {
+	for _, box := range t.monitoring.monitors {
 		if r, ok := c.near[box]; ok {
 			out.send(r.Status.Peers, buf)
 		}
 	}
 }
 
-// deny tells boxes of the region, and who told of it, that this box is not dead.
-func (t *Table) deny(out *outbox, from string) {
+// refute tells boxes of the region, and who told of it, that this box is not dead.
+func (t *Table) refute(out *outbox, from string) {
 	buf := t.header().encode()
 	out.send(from, buf)
-	for _, box := range t.monitoring.own {
+	for _, box := range t.monitoring.monitors {
 		if r, ok := t.records[box]; ok {
 			out.send(r.Status.Peers, buf)
 		}
--- a/roster/fuzz_test.go
+++ b/roster/oracle_test.go
@@ -25,9 +25,9 @@
 	direct bool
 }
 
-// said draws statuses of a few boxes; what a box says under one number is always
+// statusSource draws statuses of a few boxes; what a box says under one number is always
 // the same, but second-hand it comes without loads, and at times without rooms.
-type said struct {
+type statusSource struct {
 	statuses map[string]wire.BoxStatus
 }
 
@@ -40,7 +40,7 @@
 	return "south"
 }
 
-func (s *said) draw(t *rapid.T) message {
+func (s *statusSource) draw(t *rapid.T) message {
 	box := rapid.SampledFrom(boxes).Draw(t, "box")
 	v := version{
 		inc: rapid.IntRange(1, 3).Draw(t, "inc"),
@@ -55,7 +55,7 @@
 			st = withLoad(st, key)
 		}
 		if rapid.Bool().Draw(t, "rooms") {
-			st = withRoom(st, v.seq+1)
+			st = withCapacity(st, v.seq+1)
 		}
 		s.statuses[key] = st
 	}
@@ -72,24 +72,24 @@
 	return m
 }
 
-// belief is what the oracle holds of one box.
-type belief struct {
-	latest version
-	heard  time.Duration
-	left   map[int]bool // incarnations that said they leave
+// expected is what the oracle holds of one box.
+type expected struct {
+	latest   version
+	lastSeen time.Duration
+	left     map[int]bool // incarnations that said they leave
 }
 
 // oracle keeps all that was said, and works its answers out anew each time.
-type oracle map[string]*belief
+type oracle map[string]*expected
 
-func (o oracle) hear(m message, now time.Duration) {
+func (o oracle) receive(m message, now time.Duration) {
 	s := m.status
 	if s.Box == "a" {
 		return
 	}
 	b, ok := o[s.Box]
 	if !ok {
-		b = &belief{
+		b = &expected{
 			latest: version{seq: -1},
 			left:   make(map[int]bool),
 		}
@@ -100,14 +100,14 @@
 	}
 	if v := (version{inc: s.Inc, seq: s.Seq}); v.after(b.latest) {
 		b.latest = v
-		b.heard = now
+		b.lastSeen = now
 	}
 }
 
-func (o oracle) within(region string, now, age time.Duration) int {
+func (o oracle) seenWithin(region string, now, age time.Duration) int {
 	n := 0
 	for box, b := range o {
-		if regionOf(box) == region && now-b.heard <= age {
+		if regionOf(box) == region && now-b.lastSeen <= age {
 			n++
 		}
 	}
@@ -119,14 +119,14 @@
 func TestATableAgreesWithAnOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab := New(status("a", "north", 2, 0))
-		all := said{statuses: make(map[string]wire.BoxStatus)}
+		all := statusSource{statuses: make(map[string]wire.BoxStatus)}
 		held := make(oracle)
 		var now time.Duration
 		t.Repeat(map[string]func(*rapid.T){
 			"hear": func(t *rapid.T) {
 				m := all.draw(t)
 				tab.Hear(m.status, m.direct, now)
-				held.hear(m, now)
+				held.receive(m, now)
 			},
 			"wait": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(1, 15000).Draw(t, "ms")) * time.Millisecond
@@ -134,17 +134,17 @@
 			"send": func(t *rapid.T) {
 				tab.Targets(now, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "random") })
 				for _, s := range tab.Digest(now, 4) {
-					if b := held[s.Box]; now-b.heard > aliveFor || s.Loads != nil {
+					if b := held[s.Box]; now-b.lastSeen > aliveTimeout || s.Loads != nil {
 						t.Fatalf("%+v is passed on", s)
 					}
 				}
 			},
-			"": func(t *rapid.T) { agree(t, tab, held, now) },
+			"": func(t *rapid.T) { checkOracle(t, tab, held, now) },
 		})
 	})
 }
 
-func agree(t *rapid.T, tab *Table, held oracle, now time.Duration) {
+func checkOracle(t *rapid.T, tab *Table, held oracle, now time.Duration) {
 	for _, m := range tab.Members() {
 		b := held[m.Status.Box]
 		if got := (version{inc: m.Status.Inc, seq: m.Status.Seq}); got != b.latest {
@@ -152,16 +152,16 @@
 		}
 	}
 	for box, b := range held {
-		if tab.Alive(box, now) != (now-b.heard <= aliveFor) {
-			t.Fatalf("%s was heard %v ago; alive %t", box, now-b.heard, tab.Alive(box, now))
+		if tab.Alive(box, now) != (now-b.lastSeen <= aliveTimeout) {
+			t.Fatalf("%s was heard %v ago; alive %t", box, now-b.lastSeen, tab.Alive(box, now))
 		}
 	}
 	for _, m := range tab.Serving("", now) {
-		if b := held[m.Status.Box]; b.left[m.Status.Inc] || now-b.heard > aliveFor {
+		if b := held[m.Status.Box]; b.left[m.Status.Inc] || now-b.lastSeen > aliveTimeout {
 			t.Fatalf("%s is serving", m.Status.Box)
 		}
 	}
-	north, south := held.within("north", now, mostFor)+1, held.within("south", now, mostFor)
+	north, south := held.seenWithin("north", now, maxAliveWindow)+1, held.seenWithin("south", now, maxAliveWindow)
 	if tab.MostIn("north", now) < north || tab.MostIn("south", now) < south || tab.Most(now) < north+south {
 		t.Fatalf("%d and %d boxes may be alive; got %d, %d, %d", north, south, tab.MostIn("north", now), tab.MostIn("south", now), tab.Most(now))
 	}
@@ -171,7 +171,7 @@
 // in an order of its own.
 func TestTablesConvergeForAnyOrderOfDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := said{statuses: make(map[string]wire.BoxStatus)}
+		all := statusSource{statuses: make(map[string]wire.BoxStatus)}
 		list := make([]message, rapid.IntRange(1, 30).Draw(t, "messages"))
 		for i := range list {
 			list[i] = all.draw(t)
--- a/roster/pace_test.go
+++ b/roster/params_test.go
@@ -11,38 +11,38 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-func TestFewBoxesKeepTheirPace(t *testing.T) {
+func TestFewBoxesSendFullStatuses(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{1, 2, 8, 9, 12, 18, 24} {
-		p := paceOf((n+2)/3-1, min(2, n-1), n)
-		is.True(p.plain)
-		is.Equal(p.own, aliveFor)
-		is.Equal(p.region, aliveFor)
+		p := paramsFor((n+2)/3-1, min(2, n-1), n)
+		is.True(p.fullStatus)
+		is.Equal(p.nearTimeout, aliveTimeout)
+		is.Equal(p.regionTimeout, aliveTimeout)
 	}
 }
 
 func TestManyBoxesKeepTheBudget(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{30, 64, 86} {
-		p := paceOf(n/3, 2, n)
-		is.True(!p.plain)
-		is.True(p.bytes <= leastBytes*math.Pow(390/float64(n), steepness)+1)
+		p := paramsFor(n/3, 2, n)
+		is.True(!p.fullStatus)
+		is.True(p.bytesPerSecond <= minBytesPerSecond*math.Pow(390/float64(n), budgetExponent)+1)
 	}
 	for _, n := range []int{390, 1000} {
-		p := paceOf(n/11, 10, n)
-		is.Equal(p.bytes, float64(leastBytes))
+		p := paramsFor(n/11, 10, n)
+		is.Equal(p.bytesPerSecond, float64(minBytesPerSecond))
 	}
 }
 
-func TestTheBoundsOnAliveBoxesFollowThePaceAndStayBelowTheirLimits(t *testing.T) {
+func TestTheTimeoutsStayWithinTheirLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 1000).Draw(t, "boxes")
 		regions := rapid.IntRange(1, 11).Draw(t, "regions")
-		p := paceOf(n/regions, regions-1, n)
-		if p.own < aliveFor || p.own > longestAlive || p.region > longestAlive {
+		p := paramsFor(n/regions, regions-1, n)
+		if p.nearTimeout < aliveTimeout || p.nearTimeout > maxAliveTimeout || p.regionTimeout > maxAliveTimeout {
 			t.Fatalf("%+v", p)
 		}
-		if p.nearRound < Tick || p.bytes < leastBytes {
+		if p.nearInterval < Tick || p.bytesPerSecond < minBytesPerSecond {
 			t.Fatalf("%+v", p)
 		}
 	})
@@ -51,34 +51,34 @@
 func TestATickSpendsNoMoreThanTheBudget(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	crowd(tab, "north", 60, 0)
-	crowd(tab, "south", 60, 0)
+	receiveHeartbeats(tab, "north", 60, 0)
+	receiveHeartbeats(tab, "south", 60, 0)
 	spent := 0
 	const seconds = 20
 	for i := range seconds * int(time.Second/Tick) {
 		now := time.Duration(i) * Tick
-		crowd(tab, "north", 60, now)
-		crowd(tab, "south", 60, now)
-		for _, p := range tab.Tell(full("a", 2, 40), now, first) {
-			spent += len(p.Buf) + headerBytes
+		receiveHeartbeats(tab, "north", 60, now)
+		receiveHeartbeats(tab, "south", 60, now)
+		for _, p := range tab.Tell(fullStatus("a", 2, 40), now, pickFirst) {
+			spent += len(p.Buf) + packetHeaderBytes
 		}
 	}
 	is.True(!tab.Plain())
 	is.True(spent > 0)
-	is.True(float64(spent) <= (seconds+1)*tab.pace.bytes)
+	is.True(float64(spent) <= (seconds+1)*tab.params.bytesPerSecond)
 }
 
-// many returns a table of so many boxes that it keeps the budget.
-func many(now time.Duration) *Table {
+// largeTable returns a table of so largeTable boxes that it keeps the budget.
+func largeTable(now time.Duration) *Table {
 	tab := New(status("a", "north", 1, 0))
-	crowd(tab, "north", 60, now)
-	crowd(tab, "south", 60, now)
+	receiveHeartbeats(tab, "north", 60, now)
+	receiveHeartbeats(tab, "south", 60, now)
 	tab.Adapt(now)
 	return tab
 }
 
-// word returns a compact datagram of a box that has nothing else to say.
-func word(box string, beat uint16) Compact {
+// heartbeat returns a compact datagram of a box that has nothing else to say.
+func heartbeat(box string, beat uint16) Compact {
 	return Compact{
 		From: Vital{
 			ID:   IDOf(box, 1),
@@ -88,62 +88,62 @@
 	}
 }
 
-func TestADeathThatItsRegionTellsOfCountsUntilTheBoxIsHeardAnew(t *testing.T) {
+func TestADeathDeclaredByItsRegionHoldsUntilALaterHeartbeat(t *testing.T) {
 	is := is.New(t)
-	tab := many(0)
+	tab := largeTable(0)
 	const now = 7 * time.Second
 	dead := Vital{
 		ID:   IDOf("south-01", 1),
 		Beat: 1,
 		Age:  now,
 	}
-	told := word("south-02", 9)
-	told.Silent = []Vital{dead}
-	tab.HearCompact(told, "south-02:1", now)
+	report := heartbeat("south-02", 9)
+	report.Silent = []Vital{dead}
+	tab.HearCompact(report, "south-02:1", now)
 	is.True(!tab.Alive("south-01", now))
 	is.True(tab.Alive("south-02", now))
 	is.True(tab.Alive("south-03", now)) // its region is heard, and nobody says that it is dead
 
-	late := word("south-02", 10)
+	late := heartbeat("south-02", 10)
 	late.Vitals = []Vital{{ID: dead.ID, Beat: 2, Age: now - time.Second}} // heard by few, just before it died
 	tab.HearCompact(late, "south-02:1", now)
 	is.True(!tab.Alive("south-01", now))
 
-	tab.HearCompact(word("south-01", 3), "south-01:1", now)
+	tab.HearCompact(heartbeat("south-01", 3), "south-01:1", now)
 	is.True(tab.Alive("south-01", now))
-	told.From.Beat = 11
-	tab.HearCompact(told, "south-02:1", now) // those who missed it go on telling
+	report.From.Beat = 11
+	tab.HearCompact(report, "south-02:1", now) // those who missed it go on telling
 	is.True(tab.Alive("south-01", now))
 }
 
-func TestARegionThatIsSilentIsDeadAndAQuotaStillCountsIt(t *testing.T) {
+func TestASilentRegionIsDeadButStillCountsForQuotas(t *testing.T) {
 	is := is.New(t)
-	tab := many(0)
-	tab.Adapt(longestAlive)
-	is.True(tab.Alive("south-01", longestAlive))
-	const now = longestAlive + Tick
+	tab := largeTable(0)
+	tab.Adapt(maxAliveTimeout)
+	is.True(tab.Alive("south-01", maxAliveTimeout))
+	const now = maxAliveTimeout + Tick
 	tab.Adapt(now)
 	is.True(!tab.Alive("south-01", now))
 	is.Equal(len(tab.Serving("south", now)), 0)
 	for _, m := range tab.Members() {
-		is.True(now-m.Seen < silentFor)
+		is.True(now-m.Seen < partitionWindow)
 	}
 }
 
-func TestAnUnknownBoxIsAskedForAndThenKnown(t *testing.T) {
+func TestTheStatusOfAnUnknownBoxIsRequestedAndRecorded(t *testing.T) {
 	is := is.New(t)
-	asker, knows := many(0), many(0)
-	knows.say(status("b", "south", 1, 1))
-	knows.Hear(status("new", "south", 1, 1), true, 0)
+	asker, informed := largeTable(0), largeTable(0)
+	informed.setSelf(status("b", "south", 1, 1))
+	informed.Hear(status("new", "south", 1, 1), true, 0)
 	asker.Hear(status("b", "south", 1, 1), true, 0)
-	b := word("b", 2)
+	b := heartbeat("b", 2)
 	b.Vitals = []Vital{{ID: IDOf("new", 1), Beat: 1}}
 	h := asker.HearCompact(b, "b:1", 0)
 	is.Equal(len(h.Replies), 1)
 	is.Equal(h.Replies[0].Addr, "b:1")
 	q, err := DecodeCompact(h.Replies[0].Buf)
 	is.NoErr(err)
-	answers := knows.HearCompact(q, "c:1", 0).Replies
+	answers := informed.HearCompact(q, "c:1", 0).Replies
 	found := false
 	for _, p := range answers {
 		if IsCompact(p.Buf) {
@@ -161,11 +161,11 @@
 	is.Equal(len(asker.HearCompact(b, "b:1", 0).Replies), 0) // nothing is left to ask for
 }
 
-func TestAPingIsAnsweredAtOnce(t *testing.T) {
+func TestAProbeIsAnsweredAtOnce(t *testing.T) {
 	is := is.New(t)
-	tab := many(0)
-	tab.say(status("a", "north", 1, 5))
-	b := word("north-01", 2)
+	tab := largeTable(0)
+	tab.setSelf(status("a", "north", 1, 5))
+	b := heartbeat("north-01", 2)
 	b.Ping = true
 	h := tab.HearCompact(b, "north-01:1", Tick)
 	is.Equal(len(h.Replies), 1)
--- a/roster/parse.go
+++ b/roster/parse.go
@@ -12,11 +12,11 @@
 // overflow.
 const maxNumber = math.MaxInt32
 
-// maxName is the length of the longest name of a service or box, as in the schema.
-const maxName = 64
+// maxNameBytes is the length of the longest name of a service or box, as in the schema.
+const maxNameBytes = 64
 
 // IsCompact says whether a datagram is a compact datagram.
-func IsCompact(buf []byte) bool { return len(buf) > 0 && buf[0] == compactMark }
+func IsCompact(buf []byte) bool { return len(buf) > 0 && buf[0] == compactMagic }
 
 // DecodeCompact reads a compact datagram and checks it.
 func DecodeCompact(buf []byte) (Compact, error) {
@@ -27,43 +27,43 @@
 		rest: buf[1:],
 	}
 	b := Compact{
-		From: p.vital(),
+		From: p.liveness(),
 	}
 	flags := p.byte()
-	b.Closed = flags&bitClosed != 0
-	b.Loaded = flags&bitLoaded != 0
-	b.Ping = flags&bitPing != 0
+	b.Closed = flags&bitNoCallers != 0
+	b.Loaded = flags&bitAllLoads != 0
+	b.Ping = flags&bitProbe != 0
 	state := int(flags & maskState)
 	if state >= len(states) {
 		return Compact{}, ErrCompact
 	}
 	b.State = states[state]
-	b.Catalog = p.long()
-	b.Newest = p.long()
-	b.Policy = int(p.long())
+	b.Catalog = p.uvarint()
+	b.Newest = p.uvarint()
+	b.Policy = int(p.uvarint())
 	b.ReadMs = p.number()
 	b.UpMs = p.number()
 	b.Lapses = p.number()
-	b.Vitals = parseList(&p, vitalBytes, p.vital)
-	b.Silent = parseList(&p, vitalBytes, p.vital)
-	id := func() ID { return ID(p.four()) }
+	b.Vitals = parseList(&p, livenessBytes, p.liveness)
+	b.Silent = parseList(&p, livenessBytes, p.liveness)
+	id := func() ID { return ID(p.uint32()) }
 	b.Leaving = parseList(&p, 4, id)
 	b.Unknown = parseList(&p, 4, id)
 	b.Loads = parseList(&p, 8, p.load)
-	b.Rooms = parseList(&p, vitalBytes+1, p.rooms)
-	b.Words = parseList(&p, 8, p.word)
+	b.Rooms = parseList(&p, livenessBytes+1, p.regionCapacity)
+	b.Words = parseList(&p, 8, p.loadReport)
 	if flags&bitCheck != 0 {
-		b.Check = p.mark()
+		b.Check = p.token()
 		b.Sum = id()
 		b.Names = parseList(&p, 4, id)
 	}
 	if flags&bitAgreed != 0 {
-		b.Agreed = p.mark()
+		b.Agreed = p.token()
 	}
 	if flags&bitAbsent != 0 {
-		b.Absent = parseList(&p, 2, p.absence)
+		b.Absent = parseList(&p, 2, p.absent)
 	}
-	if p.bad || len(p.rest) > 0 {
+	if p.failed || len(p.rest) > 0 {
 		return Compact{}, ErrCompact
 	}
 	return b, nil
@@ -71,15 +71,15 @@
 
 // parser reads the parts of a compact datagram. After the first mistake it gives zeros.
 type parser struct {
-	rest []byte
-	bad  bool
+	rest   []byte
+	failed bool
 }
 
-// take returns the next n bytes.
-func (p *parser) take(n int) []byte {
-	if p.bad || n > len(p.rest) {
-		p.bad = true
-		return make([]byte, min(n, maxName))
+// next returns the next n bytes.
+func (p *parser) next(n int) []byte {
+	if p.failed || n > len(p.rest) {
+		p.failed = true
+		return make([]byte, min(n, maxNameBytes))
 	}
 	out := p.rest[:n]
 	p.rest = p.rest[n:]
@@ -87,16 +87,16 @@
 }
 
 // byte reads one byte.
-func (p *parser) byte() byte { return p.take(1)[0] }
+func (p *parser) byte() byte { return p.next(1)[0] }
 
-// four reads the four bytes of an ID.
-func (p *parser) four() uint32 { return binary.BigEndian.Uint32(p.take(4)) }
+// uint32 reads the uint32 bytes of an ID.
+func (p *parser) uint32() uint32 { return binary.BigEndian.Uint32(p.next(4)) }
 
-// long reads a revision, or any number of up to 63 bits.
-func (p *parser) long() int64 {
+// uvarint reads a revision, or any number of up to 63 bits.
+func (p *parser) uvarint() int64 {
 	n, used := binary.Uvarint(p.rest)
 	if used <= 0 || n > math.MaxInt64 {
-		p.bad = true
+		p.failed = true
 		return 0
 	}
 	p.rest = p.rest[used:]
@@ -105,19 +105,19 @@
 
 // number reads a number of up to maxNumber.
 func (p *parser) number() int {
-	n := p.long()
+	n := p.uvarint()
 	if n > maxNumber {
-		p.bad = true
+		p.failed = true
 		return 0
 	}
 	return int(n)
 }
 
-// vital reads what appendVital writes.
-func (p *parser) vital() Vital {
+// liveness reads what appendVital writes.
+func (p *parser) liveness() Vital {
 	return Vital{
-		ID:   ID(p.four()),
-		Beat: binary.BigEndian.Uint16(p.take(2)),
+		ID:   ID(p.uint32()),
+		Beat: binary.BigEndian.Uint16(p.next(2)),
 		Age:  time.Duration(p.byte()) * ageUnit,
 	}
 }
@@ -125,7 +125,7 @@
 // load reads what appendLoad writes.
 func (p *parser) load() CompactLoad {
 	out := CompactLoad{
-		Replica: ReplicaID(p.four()),
+		Replica: ReplicaID(p.uint32()),
 	}
 	out.Load = wire.ReplicaLoad{
 		InFlight: p.number(),
@@ -133,36 +133,36 @@
 		Prompt:   p.number() * tokenUnit,
 		Reads:    p.number() * tokenUnit,
 	}
-	if kept := parseList(p, 4, func() int { return int(p.four()) }); len(kept) > 0 {
-		out.Load.Kept = kept
+	if segments := parseList(p, 4, func() int { return int(p.uint32()) }); len(segments) > 0 {
+		out.Load.Kept = segments
 	}
 	return out
 }
 
-// word reads what appendWord writes.
-func (p *parser) word() CompactWord {
+// loadReport reads what appendWord writes.
+func (p *parser) loadReport() CompactWord {
 	out := CompactWord{
-		Replica: ReplicaID(p.four()),
-		Age:     time.Duration(p.byte()) * wordUnit,
+		Replica: ReplicaID(p.uint32()),
+		Age:     time.Duration(p.byte()) * reportAgeUnit,
 	}
 	requests := p.number()
-	out.Silent = requests&bitSilent != 0
+	out.Silent = requests&bitUnreachable != 0
 	out.Requests = requests >> 1
 	out.Waiting = p.number()
 	out.Tokens = p.number() * tokenUnit
 	return out
 }
 
-// rooms reads what appendRooms writes.
-func (p *parser) rooms() CompactRooms {
+// regionCapacity reads what appendRooms writes.
+func (p *parser) regionCapacity() CompactRooms {
 	return CompactRooms{
-		From:  p.vital(),
-		Rooms: parseList(p, 5, p.room),
+		From:  p.liveness(),
+		Rooms: parseList(p, 5, p.serviceCapacity),
 	}
 }
 
-// room reads what one service of a region can take.
-func (p *parser) room() wire.ServiceRoom {
+// serviceCapacity reads what one service of a region can take.
+func (p *parser) serviceCapacity() wire.ServiceRoom {
 	return wire.ServiceRoom{
 		Service: p.text(),
 		Usable:  p.number(),
@@ -175,21 +175,21 @@
 // text reads what appendText writes.
 func (p *parser) text() string {
 	n := p.number()
-	if n == 0 || n > maxName {
-		p.bad = true
+	if n == 0 || n > maxNameBytes {
+		p.failed = true
 	}
-	return string(p.take(min(n, maxName)))
+	return string(p.next(min(n, maxNameBytes)))
 }
 
-// mark reads what marks a question, which is never 0.
-func (p *parser) mark() ID {
-	id := ID(p.four())
-	p.bad = p.bad || id == 0
+// token reads what marks a question, which is never 0.
+func (p *parser) token() ID {
+	id := ID(p.uint32())
+	p.failed = p.failed || id == 0
 	return id
 }
 
-// absence reads a box that is gone.
-func (p *parser) absence() Absence {
+// absent reads a box that is gone.
+func (p *parser) absent() Absence {
 	return Absence{
 		Box: p.text(),
 		Age: time.Duration(p.number()) * ageUnit,
@@ -199,8 +199,8 @@
 // parseList reads a list whose entries take some bytes at least.
 func parseList[T any](p *parser, least int, one func() T) []T {
 	n := p.number()
-	if p.bad || n > len(p.rest)/least {
-		p.bad = true
+	if p.failed || n > len(p.rest)/least {
+		p.failed = true
 		return nil
 	}
 	var out []T
--- /dev/null
+++ b/roster/receive.go
@@ -0,0 +1,147 @@
+package roster
+
+import (
+	"slices"
+	"time"
+
+	"github.com/havenrudder/havenrudder/wire"
+)
+
+// Heard is what a compact datagram says to a box, beside what its table keeps.
+type Heard struct {
+	Sender  string // the box that sent it; empty for one that isn't known yet
+	Status  wire.BoxStatus
+	Loads   []CompactLoad
+	All     bool     // the loads are all that matter
+	Newer   bool     // it is no late or repeated one
+	Replies []Packet // to send at once
+}
+
+// HearCompact takes a compact datagram in that came from an address.
+func (t *Table) HearCompact(b Compact, from string, now time.Duration) Heard {
+	t.compact.lastReceived = now
+	t.recordContact(now)
+	out := &outbox{
+		compact:  &t.compact,
+		selfAddr: t.self.Peers,
+	}
+	var h Heard
+	r, newer, known := t.recordLiveness(b.From, now)
+	switch {
+	case r != nil:
+		h = t.recordSender(r, b, newer)
+	case !known && t.compact.startRequest(b.From.ID, now):
+		out.send(from, t.encodeStatuses(nil, true))
+	}
+	t.recordOthers(out, b, r, from, now)
+	t.recordCapacity(b, now)
+	t.compact.newestRevision = max(t.compact.newestRevision, b.Newest, b.Catalog)
+	if b.Ping {
+		out.send(from, t.header().encode())
+	}
+	t.sendStatuses(out, b.Unknown, from, now)
+	if r != nil {
+		t.recordAnswer(b, r, now)
+	}
+	if r != nil && b.Check != 0 {
+		t.answerCheck(out, b, r, from, now)
+	}
+	h.Replies = out.packets
+	return h
+}
+
+// recordSender takes in what the sender says of itself.
+func (t *Table) recordSender(r *record, b Compact, newer bool) Heard {
+	if newer {
+		s := r.Status
+		s.State = b.State
+		if b.Closed {
+			s.Callers = ""
+		}
+		s.Catalog = int(b.Catalog)
+		s.Policy = b.Policy
+		s.ReadMs = b.ReadMs
+		s.UpMs = b.UpMs
+		s.Lapses = b.Lapses
+		if r.State() == wire.ServingStateLeaving {
+			s.State = wire.ServingStateLeaving
+		}
+		if stateOf(s) != r.State() && len(t.compact.changed) < maxChanged {
+			t.compact.changed = append(t.compact.changed, s.Box)
+		}
+		r.Status = s
+		if s.Region != t.self.Region {
+			r.fresh = true
+		}
+	}
+	return Heard{
+		Sender: r.Status.Box,
+		Status: r.Status,
+		Loads:  b.Loads,
+		All:    b.Loaded,
+		Newer:  newer,
+	}
+}
+
+// recordOthers takes in which other boxes live and which don't, and asks for those
+// not known.
+func (t *Table) recordOthers(out *outbox, b Compact, sender *record, from string, now time.Duration) {
+	var unknown []ID
+	for _, v := range b.Vitals {
+		r, newer, known := t.recordLiveness(v, now)
+		if !known && len(unknown) < maxUnknown && t.compact.startRequest(v.ID, now) {
+			unknown = append(unknown, v.ID)
+		}
+		if newer && sender != nil && r.Status.Region != t.self.Region && r.Status.Region == sender.Status.Region {
+			r.fresh = true
+		}
+	}
+	for _, v := range b.Silent {
+		if v.ID == t.compact.selfID && t.monitoring.enabled {
+			t.refute(out, from)
+			continue
+		}
+		t.recordDeath(v, now)
+	}
+	for _, id := range b.Leaving {
+		if r := t.compact.byID[id]; r != nil {
+			r.Status.State = wire.ServingStateLeaving
+		}
+	}
+	if len(unknown) == 0 {
+		return
+	}
+	q := t.header()
+	q.Unknown = unknown
+	out.send(from, q.encode())
+}
+
+// recordCapacity takes in what other regions can take.
+func (t *Table) recordCapacity(b Compact, now time.Duration) {
+	for _, capacity := range b.Rooms {
+		r := t.compact.byID[capacity.From.ID]
+		if r == nil || now-capacity.From.Age <= r.Told {
+			continue
+		}
+		r.Status.Rooms = slices.Clone(capacity.Rooms)
+		r.capacitySeq = max(r.capacitySeq, expandSeq(r.Status.Seq, capacity.From.Beat))
+		r.Told = now - capacity.From.Age
+	}
+}
+
+// sendStatuses sends the statuses that another box asks for.
+func (t *Table) sendStatuses(out *outbox, ids []ID, from string, now time.Duration) {
+	var list []wire.BoxStatus
+	for _, id := range ids {
+		if r := t.compact.byID[id]; r != nil && t.alive(r, now) {
+			list = append(list, r.staticStatus())
+		}
+	}
+	for chunk := range slices.Chunk(list, statusesPerReply) {
+		if t.compact.statusReplies >= maxStatusReplies {
+			return
+		}
+		t.compact.statusReplies++
+		out.send(from, t.encodeStatuses(chunk, false))
+	}
+}
--- a/roster/send.go
+++ b/roster/send.go
@@ -11,23 +11,23 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// sendNews passes on which boxes have begun, serve or leave, in whole statuses.
-func (t *Table) sendNews(out *outbox, c audience, rnd func(n int) int) {
+// sendChanges passes on which boxes have begun, serve or leave, in whole statuses.
+func (t *Table) sendChanges(out *outbox, c recipients, rnd func(n int) int) {
 	l := &t.compact
-	n := min(len(l.news), newsLoads)
+	n := min(len(l.changed), maxChangesPerTick)
 	var list []wire.BoxStatus
-	for _, box := range l.news[:n] {
+	for _, box := range l.changed[:n] {
 		if r, ok := t.records[box]; ok {
-			list = append(list, r.bare())
+			list = append(list, r.staticStatus())
 		}
 	}
-	l.news = slices.Delete(l.news, 0, n)
+	l.changed = slices.Delete(l.changed, 0, n)
 	if len(list) == 0 {
 		return
 	}
-	targets := pick(slices.Clone(c.all), newsFan, rnd)
-	for chunk := range slices.Chunk(list, perAnswer) {
-		buf := t.gossip(chunk, false)
+	targets := pickRandom(slices.Clone(c.all), changeFanout, rnd)
+	for chunk := range slices.Chunk(list, statusesPerReply) {
+		buf := t.encodeStatuses(chunk, false)
 		for _, m := range targets {
 			out.send(m.Status.Peers, buf)
 		}
@@ -35,134 +35,134 @@
 }
 
 // sendRevision tells a few boxes at once that there is a newer revision.
-func (t *Table) sendRevision(out *outbox, c audience, rnd func(n int) int) {
-	if t.compact.newest <= t.compact.passed {
+func (t *Table) sendRevision(out *outbox, c recipients, rnd func(n int) int) {
+	if t.compact.newestRevision <= t.compact.sentRevision {
 		return
 	}
-	t.compact.passed = t.compact.newest
+	t.compact.sentRevision = t.compact.newestRevision
 	buf := t.header().encode()
-	for _, m := range pick(slices.Clone(c.all), revisionFan, rnd) {
+	for _, m := range pickRandom(slices.Clone(c.all), revisionFanout, rnd) {
 		out.send(m.Status.Peers, buf)
 	}
 }
 
-// sendReading tells a few boxes of the region at once that the publisher was read of late,
+// sendCatalogRead tells a few boxes of the region at once that the publisher was read of late,
 // and they pass it on: by the full datagrams alone that takes a region of 200 boxes longer
 // than a reading counts, and each of them reads for itself. It isn't paid for by the pace.
-func (t *Table) sendReading(out *outbox, c audience, now time.Duration, rnd func(n int) int) {
-	said := t.compact.said
+func (t *Table) sendCatalogRead(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
+	said := t.compact.selfStatus
 	at := now - time.Duration(said.ReadMs)*time.Millisecond
-	if said.ReadMs == 0 || at-t.compact.readAt < readingStep {
+	if said.ReadMs == 0 || at-t.compact.sentReadAt < minReadAdvance {
 		return
 	}
-	t.compact.readAt = at
+	t.compact.sentReadAt = at
 	near := slices.DeleteFunc(slices.Clone(c.all), func(r *record) bool { return r.Status.Region != t.self.Region })
 	buf := t.header().encode()
-	for _, r := range pick(near, readingFan, rnd) {
-		out.sendFree(r.Status.Peers, buf)
+	for _, r := range pickRandom(near, readFanout, rnd) {
+		out.sendUnmetered(r.Status.Peers, buf)
 	}
 }
 
 // sendDeaths tells a few boxes at once of a death just known; they pass it on.
-func (t *Table) sendDeaths(out *outbox, c audience, now time.Duration, rnd func(n int) int) {
-	if !t.compact.died {
+func (t *Table) sendDeaths(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
+	if !t.compact.newDeaths {
 		return
 	}
-	t.compact.died = false
+	t.compact.newDeaths = false
 	b := t.header()
 	b.Silent = t.deaths(now)
 	if len(b.Silent) == 0 {
 		return
 	}
 	buf := b.encode()
-	for _, r := range pick(slices.Clone(c.all), deathFan, rnd) {
+	for _, r := range pickRandom(slices.Clone(c.all), deathFanout, rnd) {
 		out.send(r.Status.Peers, buf)
 	}
 }
 
-// sendSilent tries boxes that fell silent and, more rarely, the seeds, so that
+// probeSilent tries boxes that fell silent and, more rarely, the seeds, so that
 // parts of a fleet that were cut off meet again.
-func (t *Table) sendSilent(out *outbox, now time.Duration, rnd func(n int) int) {
+func (t *Table) probeSilent(out *outbox, now time.Duration, rnd func(n int) int) {
 	buf := t.header().encode()
-	if t.compact.rounds%silentEvery == 0 {
-		late := t.members(func(r *record) bool { return !t.alive(r, now) && now-r.Heard < silentFor })
-		for _, m := range pick(late, 1, rnd) {
+	if t.compact.rounds%silentProbeEvery == 0 {
+		late := t.members(func(r *record) bool { return !t.alive(r, now) && now-r.Heard < partitionWindow })
+		for _, m := range pickRandom(late, 1, rnd) {
 			out.send(m.Status.Peers, buf)
 		}
 	}
-	if t.compact.rounds%seedEvery != 0 {
+	if t.compact.rounds%seedProbeEvery != 0 {
 		return
 	}
 	for _, m := range t.longSilent(now, rnd) {
 		out.send(m.Status.Peers, buf)
 	}
-	if len(t.seeds) > 0 && rnd(len(t.records)+1) < seedsPace {
-		out.send(t.seeds[rnd(len(t.seeds))], t.gossip(nil, true))
+	if len(t.seeds) > 0 && rnd(len(t.records)+1) < seedSenders {
+		out.send(t.seeds[rnd(len(t.seeds))], t.encodeStatuses(nil, true))
 	}
 }
 
-// sendPings asks boxes of the region for a sign of life that are about to count as
+// sendProbes asks boxes of the region for a sign of life that are about to count as
 // dead, and a box of each other region that is, so that a box which only few others
 // heard of by chance isn't taken for dead.
-func (t *Table) sendPings(out *outbox, c audience, now time.Duration, rnd func(n int) int) {
+func (t *Table) sendProbes(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
 	b := t.header()
 	b.Ping = true
 	buf := b.encode()
 	var late []*record
 	for _, r := range c.all {
-		if r.Status.Region == t.self.Region && t.isLate(r, now) {
+		if r.Status.Region == t.self.Region && t.isSuspect(r, now) {
 			late = append(late, r)
 		}
 	}
 	for _, region := range slices.Sorted(maps.Keys(c.far)) {
-		if now-t.compact.regions[region].heard > t.pace.region*pingAt/percent {
+		if now-t.compact.regions[region].lastSeen > t.params.regionTimeout*probePercent/percent {
 			late = append(late, c.far[region][rnd(len(c.far[region]))])
 		}
 	}
-	for _, r := range pick(late, mostPings, rnd) {
+	for _, r := range pickRandom(late, maxProbes, rnd) {
 		out.send(r.Status.Peers, buf)
 	}
 }
 
-// isLate says whether a box of the region is about to count as dead.
-func (t *Table) isLate(r *record, now time.Duration) bool {
-	if !t.monitoring.on {
-		return now-r.Heard > t.pace.own*pingAt/percent
+// isSuspect says whether a box of the region is about to count as dead.
+func (t *Table) isSuspect(r *record, now time.Duration) bool {
+	if !t.monitoring.enabled {
+		return now-r.Heard > t.params.nearTimeout*probePercent/percent
 	}
-	silent, mine := t.silence(r, now)
-	return mine && silent > monitorPing
+	silent, mine := t.monitoredSilence(r, now)
+	return mine && silent > monitorProbeDelay
 }
 
-// sendFull sends a full datagram, with signs of life, to the next box of the region
+// sendLiveness sends a full datagram, with signs of life, to the next box of the region
 // or, at times, of another one.
-func (t *Table) sendFull(out *outbox, c audience, now time.Duration, rnd func(n int) int) {
-	if t.compact.rounds%farFullEvery == 0 {
+func (t *Table) sendLiveness(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
+	if t.compact.rounds%farLivenessEvery == 0 {
 		if m, ok := t.nextFar(c, rnd); ok {
-			out.send(m.Status.Peers, t.full(c, now, true).encode())
+			out.send(m.Status.Peers, t.livenessDatagram(c, now, true).encode())
 			return
 		}
 	}
 	if m, ok := t.nextNear(c, rnd); ok {
-		out.send(m.Status.Peers, t.full(c, now, false).encode())
+		out.send(m.Status.Peers, t.livenessDatagram(c, now, false).encode())
 	}
 }
 
-// sendLight sends light datagrams, with the header and the loads only, to more boxes
+// sendLoads sends light datagrams, with the header and the loads only, to more boxes
 // of the region, each once at most.
-func (t *Table) sendLight(out *outbox, c audience, rnd func(n int) int) {
+func (t *Table) sendLoads(out *outbox, c recipients, rnd func(n int) int) {
 	b := t.header()
 	b.Loads, b.Loaded = c.loads, c.allLoads
 	buf := b.encode()
-	for sent := 1; sent < len(c.near) && out.left(); sent++ { // the full datagram was the first
+	for sent := 1; sent < len(c.near) && out.hasBudget(); sent++ { // the full datagram was the first
 		if m, ok := t.nextNear(c, rnd); ok {
 			out.send(m.Status.Peers, buf)
 		}
 	}
 }
 
-// gossip returns a datagram with whole statuses.
-func (t *Table) gossip(others []wire.BoxStatus, ask bool) []byte {
-	from := t.compact.said
+// encodeStatuses returns a datagram with whole statuses.
+func (t *Table) encodeStatuses(others []wire.BoxStatus, ask bool) []byte {
+	from := t.compact.selfStatus
 	from.Loads = nil
 	from.Rooms = nil
 	buf, err := Encode(wire.Gossip{
@@ -176,8 +176,8 @@
 	return buf
 }
 
-// bare returns the status without what changes all the time.
-func (r *record) bare() wire.BoxStatus {
+// staticStatus returns the status without what changes all the time.
+func (r *record) staticStatus() wire.BoxStatus {
 	s := r.Status
 	s.Loads = nil
 	s.Rooms = nil
--- a/roster/table.go
+++ b/roster/table.go
@@ -14,10 +14,10 @@
 
 // Ages of what was heard.
 const (
-	aliveFor    = 2500 * time.Millisecond // ten ticks: several lost datagrams in a row are no death
-	mostFor     = 12 * time.Second        // a box that others no longer hear has given up its share of a quota by then
-	silentFor   = time.Minute             // a cut of the network heals within this time as a rule
-	forgetAfter = 10 * time.Minute        // as for the members of a failure domain, package membership
+	aliveTimeout    = 2500 * time.Millisecond // ten ticks: several lost datagrams in a row are no death
+	maxAliveWindow  = 12 * time.Second        // a box that others no longer hear has given up its share of a quota by then
+	partitionWindow = time.Minute             // a cut of the network heals within this time as a rule
+	memberTTL       = 10 * time.Minute        // as for the members of a failure domain, package membership
 )
 
 // Member is what is known of one box. Its status is shared: read it only.
@@ -38,34 +38,34 @@
 // rooms have numbers of their own, as not every status carries them.
 type record struct {
 	Member
-	box       string
-	loadsSeq  int  // heartbeat that brought the loads; -1 for none
-	roomsSeq  int  // heartbeat that brought the rooms; -1 for none
-	due       int  // digest from which on it may be passed on again
-	fresh     bool // another region's box sent it itself, and it was not passed on yet
-	id        ID
-	turn      int           // round in which it was last passed on in a compact datagram
-	silent    bool          // its region says that it is dead, and nothing newer was heard
-	deadSince time.Duration // our clock when its region heard it last, where it is silent
-	judged    bool          // this box of the own region was found to be dead, and others were told at once
-	retold    time.Duration // as of when its rooms were last passed on
-	ahead     time.Duration // least that our clock was ahead of the box's time since its start, its words' way with it
-	timed     bool          // ahead is known
+	box             string
+	loadsSeq        int  // heartbeat that brought the loads; -1 for none
+	capacitySeq     int  // heartbeat that brought the rooms; -1 for none
+	nextDigest      int  // digest from which on it may be passed on again
+	fresh           bool // another region's box sent it itself, and it was not passed on yet
+	id              ID
+	relayedRound    int           // round in which it was last passed on in a compact datagram
+	declaredDead    bool          // its region says that it is dead, and nothing newer was heard
+	deadSince       time.Duration // our clock when its region heard it last, where it is silent
+	deathAnnounced  bool          // this box of the own region was found to be dead, and others were told at once
+	capacityRelayed time.Duration // as of when its rooms were last passed on
+	minClockOffset  time.Duration // least that our clock was ahead of the box's time since its start, its words' way with it
+	hasClockOffset  bool          // ahead is known
 }
 
 // Table is the view of one box. It belongs to one actor.
 type Table struct {
-	self    wire.BoxStatus
-	seeds   []string
-	records map[string]*record
-	order   []*record // the same, by name
-	ticks   int       // calls of Targets
-	digests int       // calls of Digest
-	turn    int       // first of the own region's members to send to next
-	silent  int       // first of the silent members to send to next
-	pace    pace
-	compact compactState
-	domains map[string]time.Duration // failure domains of the own region, and our clock at the latest sign of life of any of their boxes
+	self           wire.BoxStatus
+	seeds          []string
+	records        map[string]*record
+	order          []*record // the same, by name
+	ticks          int       // calls of Targets
+	digestCount    int       // calls of Digest
+	nearCursor     int       // first of the own region's members to send to next
+	silentCursor   int       // first of the silent members to send to next
+	params         protocolParams
+	compact        compactState
+	domainLastSeen map[string]time.Duration // failure domains of the own region, and our clock at the latest sign of life of any of their boxes
 
 	agreement  agreement
 	monitoring monitoring
@@ -84,18 +84,18 @@
 // the name, the region and the address for datagrams.
 func New(self wire.BoxStatus, opts ...Option) *Table {
 	t := &Table{
-		self:    self,
-		records: make(map[string]*record),
-		pace:    plainPace(),
-		compact: newCompactState(),
-		domains: make(map[string]time.Duration),
+		self:           self,
+		records:        make(map[string]*record),
+		params:         fullStatusParams(),
+		compact:        newCompactState(),
+		domainLastSeen: make(map[string]time.Duration),
 
 		agreement: newAgreement(),
 	}
 	for _, opt := range opts {
 		opt(t)
 	}
-	t.say(self) // others may ask before the first round
+	t.setSelf(self) // others may ask before the first round
 	t.seeds = slices.DeleteFunc(t.seeds, func(addr string) bool { return addr == self.Peers })
 	return t
 }
@@ -109,7 +109,7 @@
 		return false // our own words, or those of a process that had our name
 	}
 	if direct {
-		t.inContact(now)
+		t.recordContact(now)
 	}
 	r, ok := t.records[s.Box]
 	if ok && s.Inc < r.Status.Inc {
@@ -124,34 +124,34 @@
 				},
 				Known: now,
 			},
-			box:      s.Box,
-			loadsSeq: -1,
-			roomsSeq: -1,
-			id:       IDOf(s.Box, s.Inc),
+			box:         s.Box,
+			loadsSeq:    -1,
+			capacitySeq: -1,
+			id:          IDOf(s.Box, s.Inc),
 		}
 		t.replace(s.Box, r, now)
 	}
-	t.note(r, s, ok)
+	t.noteChange(r, s, ok)
 	newer := s.Seq > r.Status.Seq
-	if newer && s.Region != t.self.Region && (direct || (!ok && !t.pace.plain)) {
+	if newer && s.Region != t.self.Region && (direct || (!ok && !t.params.fullStatus)) {
 		r.fresh = true
 	}
-	changed := r.hear(s, direct, now)
-	t.mark(r, now)
+	changed := r.update(s, direct, now)
+	t.recordRegionAlive(r, now)
 	return changed
 }
 
-// hear takes in a status of the incarnation that the record is of.
-func (r *record) hear(s wire.BoxStatus, direct bool, now time.Duration) bool {
-	loads, rooms := r.Status.Loads, r.Status.Rooms
+// update takes in a status of the incarnation that the record is of.
+func (r *record) update(s wire.BoxStatus, direct bool, now time.Duration) bool {
+	loads, capacity := r.Status.Loads, r.Status.Rooms
 	newLoads := direct && s.Seq > r.loadsSeq
 	if newLoads {
 		loads, r.loadsSeq = s.Loads, s.Seq
 	}
-	// Second-hand statuses may come without rooms, so none says nothing there.
-	newRooms := (direct || len(s.Rooms) > 0) && s.Seq > r.roomsSeq
-	if newRooms {
-		rooms, r.roomsSeq = s.Rooms, s.Seq
+	// Second-hand statuses may come without capacity, so none says nothing there.
+	newCapacity := (direct || len(s.Rooms) > 0) && s.Seq > r.capacitySeq
+	if newCapacity {
+		capacity, r.capacitySeq = s.Rooms, s.Seq
 	}
 	const leaving = wire.ServingStateLeaving
 	left := r.Status.State == leaving || s.State == leaving
@@ -160,18 +160,18 @@
 	if newer {
 		r.Status = s
 		r.Told = now
-		if direct || !r.silent { // what others pass on may be old
+		if direct || !r.declaredDead { // what others pass on may be old
 			r.Heard = now
 			r.Seen = now
-			r.silent = false
+			r.declaredDead = false
 		}
 	}
 	r.Status.Loads = loads
-	r.Status.Rooms = rooms
+	r.Status.Rooms = capacity
 	if left {
 		r.Status.State = leaving // an incarnation that leaves does not come back
 	}
-	return newer || newLoads || newRooms || newState
+	return newer || newLoads || newCapacity || newState
 }
 
 // Members returns every known box but its own, by name.
@@ -188,7 +188,7 @@
 
 // AllServing is Serving as All gives it.
 func (t *Table) AllServing(region string, now time.Duration) iter.Seq[*Member] {
-	return t.each(func(r *record) bool { return t.serves(r, region, now) })
+	return t.each(func(r *record) bool { return t.isServing(r, region, now) })
 }
 
 // each goes through the members for which keep says true.
@@ -215,7 +215,7 @@
 
 // insert puts a record in the place of one of the same box, or in a new one.
 func (t *Table) insert(box string, r *record) {
-	at, found := t.place(box)
+	at, found := t.position(box)
 	if found {
 		t.order[at] = r
 	} else {
@@ -226,19 +226,19 @@
 
 // remove drops the record of a box.
 func (t *Table) remove(box string) {
-	if at, found := t.place(box); found {
+	if at, found := t.position(box); found {
 		t.order = slices.Delete(t.order, at, at+1)
 	}
 	delete(t.records, box)
 }
 
-// place returns where the record of a box stands or belongs.
-func (t *Table) place(box string) (at int, found bool) {
+// position returns where the record of a box stands or belongs.
+func (t *Table) position(box string) (at int, found bool) {
 	return slices.BinarySearchFunc(t.order, box, func(r *record, box string) int { return cmp.Compare(r.box, box) })
 }
 
-// living returns the members alive at now.
-func (t *Table) living(now time.Duration) []Member {
+// aliveMembers returns the members alive at now.
+func (t *Table) aliveMembers(now time.Duration) []Member {
 	return t.members(func(r *record) bool { return t.alive(r, now) })
 }
 
@@ -254,12 +254,12 @@
 // Serving returns the boxes of a region that are alive at now and take new work,
 // by name, without its own. An empty region stands for all.
 func (t *Table) Serving(region string, now time.Duration) []Member {
-	return t.members(func(r *record) bool { return t.serves(r, region, now) })
+	return t.members(func(r *record) bool { return t.isServing(r, region, now) })
 }
 
-// serves says whether a box is one of a region that is alive and takes new work.
-func (t *Table) serves(r *record, region string, now time.Duration) bool {
-	return within(region, r.Status.Region) && r.State() == wire.ServingStateServing && t.alive(r, now)
+// isServing says whether a box is one of a region that is alive and takes new work.
+func (t *Table) isServing(r *record, region string, now time.Duration) bool {
+	return inRegion(region, r.Status.Region) && r.State() == wire.ServingStateServing && t.alive(r, now)
 }
 
 // MostIn returns how many boxes of a region may have been alive at one time of
@@ -268,11 +268,11 @@
 // region stands for all.
 func (t *Table) MostIn(region string, now time.Duration) int {
 	n := 0
-	if within(region, t.self.Region) {
+	if inRegion(region, t.self.Region) {
 		n++
 	}
 	for _, r := range t.records {
-		if within(region, r.Status.Region) && now-r.Seen <= mostFor {
+		if inRegion(region, r.Status.Region) && now-r.Seen <= maxAliveWindow {
 			n++
 		}
 	}
@@ -282,14 +282,14 @@
 // Most is MostIn over all regions.
 func (t *Table) Most(now time.Duration) int { return t.MostIn("", now) }
 
-// within says whether a region is the one asked for; an empty one stands for all.
-func within(region, of string) bool { return region == "" || region == of }
+// inRegion says whether a region is the one asked for; an empty one stands for all.
+func inRegion(region, of string) bool { return region == "" || region == of }
 
-// forget drops the members that were silent for long.
-func (t *Table) forget(now time.Duration) {
+// removeExpired drops the members that were silent for long.
+func (t *Table) removeExpired(now time.Duration) {
 	for name, r := range t.records {
-		if now-r.Heard > forgetAfter {
-			t.compact.drop(r, now)
+		if now-r.Heard > memberTTL {
+			t.compact.retire(r, now)
 			t.remove(name)
 		}
 	}
--- a/roster/table_test.go
+++ b/roster/table_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func in(s wire.BoxStatus, state wire.ServingState) wire.BoxStatus {
+func withState(s wire.BoxStatus, state wire.ServingState) wire.BoxStatus {
 	s.State = state
 	return s
 }
@@ -34,7 +34,7 @@
 	return s
 }
 
-func withRoom(s wire.BoxStatus, usable int) wire.BoxStatus {
+func withCapacity(s wire.BoxStatus, usable int) wire.BoxStatus {
 	s.Rooms = []wire.ServiceRoom{{
 		Service: "chat",
 		Usable:  usable,
@@ -53,7 +53,7 @@
 func ExampleTable() {
 	t := New(status("a", "north", 1, 0))
 	t.Hear(status("b", "north", 1, 1), true, time.Second)
-	t.Hear(in(status("c", "south", 1, 1), wire.ServingStateLeaving), false, time.Second)
+	t.Hear(withState(status("c", "south", 1, 1), wire.ServingStateLeaving), false, time.Second)
 	fmt.Println(t.Alive("b", 2*time.Second), t.Alive("b", time.Minute))
 	fmt.Println(len(t.Serving("", 2*time.Second)), t.MostIn("north", 2*time.Second), t.Most(2*time.Second))
 	// Output:
@@ -81,8 +81,8 @@
 	is.True(tab.Alive("a", time.Hour)) // the own box
 	is.True(!tab.Alive("b", 0))
 	tab.Hear(status("b", "north", 1, 1), true, time.Second)
-	is.True(tab.Alive("b", time.Second+aliveFor))
-	is.True(!tab.Alive("b", time.Second+aliveFor+1))
+	is.True(tab.Alive("b", time.Second+aliveTimeout))
+	is.True(!tab.Alive("b", time.Second+aliveTimeout+1))
 }
 
 func TestTheOwnNameIsNeverAMember(t *testing.T) {
@@ -98,8 +98,8 @@
 func TestALeavingIncarnationDoesNotServeAgainButARestartDoes(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	tab.Hear(in(status("b", "north", 1, 1), wire.ServingStateLeaving), true, 0)
-	tab.Hear(in(status("b", "north", 1, 2), wire.ServingStateServing), true, 0)
+	tab.Hear(withState(status("b", "north", 1, 1), wire.ServingStateLeaving), true, 0)
+	tab.Hear(withState(status("b", "north", 1, 2), wire.ServingStateServing), true, 0)
 	is.Equal(len(tab.Serving("", 0)), 0)
 	is.Equal(tab.Members()[0].State(), wire.ServingStateLeaving)
 	tab.Hear(status("b", "north", 2, 1), false, time.Second)
@@ -107,11 +107,11 @@
 	is.Equal(tab.Members()[0].Known, time.Second)
 }
 
-func TestALateWordThatABoxLeavesCounts(t *testing.T) {
+func TestALateStatusOfALeavingBoxCounts(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	tab.Hear(status("b", "north", 1, 5), true, 0)
-	is.True(tab.Hear(in(status("b", "north", 1, 4), wire.ServingStateLeaving), false, time.Second))
+	is.True(tab.Hear(withState(status("b", "north", 1, 4), wire.ServingStateLeaving), false, time.Second))
 	is.Equal(len(tab.Serving("", 0)), 0)
 	is.Equal(tab.Members()[0].Heard, time.Duration(0)) // but it is no sign of life
 }
@@ -119,7 +119,7 @@
 func TestASecondHandStatusDoesNotEraseLoads(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	tab.Hear(withRoom(withLoad(status("b", "north", 1, 1), "r1"), 3), true, 0)
+	tab.Hear(withCapacity(withLoad(status("b", "north", 1, 1), "r1"), 3), true, 0)
 	tab.Hear(status("b", "north", 1, 2), false, 0)
 	is.Equal(tab.Members()[0].Status.Seq, 2)
 	is.Equal(tab.Members()[0].Status.Loads[0].Replica, "r1")
@@ -137,34 +137,34 @@
 func TestServingGoesByRegionAndState(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	tab.Hear(in(status("c", "north", 1, 1), wire.ServingStateServing), true, 0)
+	tab.Hear(withState(status("c", "north", 1, 1), wire.ServingStateServing), true, 0)
 	tab.Hear(status("b", "north", 1, 1), true, 0)
-	tab.Hear(in(status("d", "north", 1, 1), wire.ServingStateStarting), true, 0)
+	tab.Hear(withState(status("d", "north", 1, 1), wire.ServingStateStarting), true, 0)
 	tab.Hear(status("e", "south", 1, 1), true, 0)
 	is.Equal(names(tab.Serving("north", 0)), []string{"b", "c"})
 	is.Equal(names(tab.Serving("", 0)), []string{"b", "c", "e"})
 	is.Equal(names(tab.Members()), []string{"b", "c", "d", "e"})
-	is.Equal(len(tab.Serving("", aliveFor+1)), 0)
+	is.Equal(len(tab.Serving("", aliveTimeout+1)), 0)
 }
 
-func TestQuotasAreSharedAmongAllHeardOfLate(t *testing.T) {
+func TestMostCountsAllBoxesSeenRecently(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	tab.Hear(in(status("b", "north", 1, 1), wire.ServingStateLeaving), true, 0)
+	tab.Hear(withState(status("b", "north", 1, 1), wire.ServingStateLeaving), true, 0)
 	tab.Hear(status("c", "south", 1, 1), true, 0)
-	is.Equal(tab.MostIn("north", mostFor), 2)
-	is.Equal(tab.MostIn("south", mostFor), 1)
-	is.Equal(tab.Most(mostFor), 3)
-	is.Equal(tab.MostIn("north", mostFor+1), 1)
-	is.Equal(tab.MostIn("south", mostFor+1), 0)
+	is.Equal(tab.MostIn("north", maxAliveWindow), 2)
+	is.Equal(tab.MostIn("south", maxAliveWindow), 1)
+	is.Equal(tab.Most(maxAliveWindow), 3)
+	is.Equal(tab.MostIn("north", maxAliveWindow+1), 1)
+	is.Equal(tab.MostIn("south", maxAliveWindow+1), 0)
 }
 
-func TestAMemberSilentForLongIsForgotten(t *testing.T) {
+func TestAMemberExpiresAfterItsTTL(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	tab.Hear(status("b", "north", 1, 1), true, 0)
-	tab.Targets(forgetAfter, first)
+	tab.Targets(memberTTL, pickFirst)
 	is.Equal(len(tab.Members()), 1)
-	tab.Targets(forgetAfter+1, first)
+	tab.Targets(memberTTL+1, pickFirst)
 	is.Equal(len(tab.Members()), 0)
 }
--- a/roster/targets_test.go
+++ b/roster/targets_test.go
@@ -11,12 +11,12 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-func first(int) int { return 0 }
+func pickFirst(int) int { return 0 }
 
-func last(n int) int { return n - 1 }
+func pickLast(n int) int { return n - 1 }
 
-// crowd lets a table hear n boxes of a region at now.
-func crowd(tab *Table, region string, n int, now time.Duration) {
+// receiveHeartbeats lets a table hear n boxes of a region at now.
+func receiveHeartbeats(tab *Table, region string, n int, now time.Duration) {
 	for i := range n {
 		tab.Hear(status(fmt.Sprintf("%s-%02d", region, i), region, 1, int(now/Tick)+1), true, now)
 	}
@@ -25,33 +25,33 @@
 func TestTheOwnRegionIsSentToAtEachTickAndOthersAtEachSecond(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0), WithSeeds([]string{"seed:1"}))
-	crowd(tab, "north", 2, 0)
-	crowd(tab, "south", 5, 0)
-	crowd(tab, "west", 1, 0)
+	receiveHeartbeats(tab, "north", 2, 0)
+	receiveHeartbeats(tab, "south", 5, 0)
+	receiveHeartbeats(tab, "west", 1, 0)
 	own := []string{"north-00:1", "north-01:1"}
 	far := append(slices.Clone(own), "south-00:1", "south-01:1", "west-00:1")
-	is.Equal(tab.Targets(0, first), append(slices.Clone(far), "seed:1"))
-	for range eagerTicks - 1 { // a box that starts makes itself known
-		is.Equal(tab.Targets(0, first), far)
+	is.Equal(tab.Targets(0, pickFirst), append(slices.Clone(far), "seed:1"))
+	for range startupTicks - 1 { // a box that starts makes itself known
+		is.Equal(tab.Targets(0, pickFirst), far)
 	}
-	is.Equal(tab.Targets(0, first), far)
-	is.Equal(tab.Targets(0, first), own) // four ticks are a second
-	is.Equal(tab.Targets(0, first), append(slices.Clone(own), "seed:1"))
-	is.Equal(tab.Targets(0, first), own)
-	is.Equal(tab.Targets(0, last), append(slices.Clone(own), "south-04:1", "south-00:1", "west-00:1"))
+	is.Equal(tab.Targets(0, pickFirst), far)
+	is.Equal(tab.Targets(0, pickFirst), own) // four ticks are a second
+	is.Equal(tab.Targets(0, pickFirst), append(slices.Clone(own), "seed:1"))
+	is.Equal(tab.Targets(0, pickFirst), own)
+	is.Equal(tab.Targets(0, pickLast), append(slices.Clone(own), "south-04:1", "south-00:1", "west-00:1"))
 	for range 3 {
-		is.Equal(tab.Targets(0, last), own)
+		is.Equal(tab.Targets(0, pickLast), own)
 	}
 }
 
 func TestALargeRegionIsSentToInTurn(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	crowd(tab, "north", 40, 0)
+	receiveHeartbeats(tab, "north", 40, 0)
 	count := make(map[string]int)
 	for range 5 {
-		list := tab.Targets(0, first)
-		is.Equal(len(list), ownTargets)
+		list := tab.Targets(0, pickFirst)
+		is.Equal(len(list), maxNearTargets)
 		for _, addr := range list {
 			count[addr]++
 		}
@@ -64,47 +64,47 @@
 	}
 }
 
-func TestSeedsAreAskedUntilOthersAreAliveAndNowAndThenAfterwards(t *testing.T) {
+func TestSeedsAreContactedUntilOthersAreAliveAndAtTimesAfterwards(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0), WithSeeds([]string{"seed:1", "a:1", "seed:1", ""}))
-	asked := func() bool { return slices.Contains(tab.Targets(0, first), "seed:1") }
-	is.Equal(tab.Targets(0, first), []string{"seed:1"}) // without itself, once
+	contacted := func() bool { return slices.Contains(tab.Targets(0, pickFirst), "seed:1") }
+	is.Equal(tab.Targets(0, pickFirst), []string{"seed:1"}) // without itself, once
 	for range 20 {
-		is.True(asked())
+		is.True(contacted())
 	}
-	crowd(tab, "north", 2, 0)
+	receiveHeartbeats(tab, "north", 2, 0)
 	n := 0
-	for range 3 * seedEvery {
-		if asked() {
+	for range 3 * seedProbeEvery {
+		if contacted() {
 			n++
 		}
 	}
 	is.Equal(n, 3)
 }
 
-func TestSilentMembersAreTriedAtOneTickInFour(t *testing.T) {
+func TestSilentMembersAreProbedAtOneTickInFour(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	tab.Hear(status("b", "south", 1, 1), true, 0)
-	tried := func(now time.Duration) int {
+	probed := func(now time.Duration) int {
 		n := 0
-		for range 2 * silentEvery * seedEvery {
-			n += len(tab.Targets(now, first))
+		for range 2 * silentProbeEvery * seedProbeEvery {
+			n += len(tab.Targets(now, pickFirst))
 		}
 		return n
 	}
-	is.Equal(tried(aliveFor+1), 2*seedEvery)
-	is.Equal(tried(silentFor-1), 2*seedEvery)
-	is.Equal(tried(silentFor), 2*silentEvery) // at the pace of seeds
-	is.Equal(tried(forgetAfter+1), 0)
+	is.Equal(probed(aliveTimeout+1), 2*seedProbeEvery)
+	is.Equal(probed(partitionWindow-1), 2*seedProbeEvery)
+	is.Equal(probed(partitionWindow), 2*silentProbeEvery) // at the pace of seeds
+	is.Equal(probed(memberTTL+1), 0)
 }
 
-func TestADigestPassesOnEachLivingBoxInItsTurn(t *testing.T) {
+func TestADigestRelaysEachLiveBoxInTurn(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	tab.Hear(status("dead", "south", 1, 1), true, 0)
-	crowd(tab, "south", 10, aliveFor+Tick)
-	now := aliveFor + Tick
+	receiveHeartbeats(tab, "south", 10, aliveTimeout+Tick)
+	now := aliveTimeout + Tick
 	var got []string
 	for range 5 {
 		list := tab.Digest(now, 2)
@@ -119,7 +119,7 @@
 	is.Equal(len(tab.Digest(now, 0)), 0)
 }
 
-func TestADigestBeginsWithTheMostRecentlyHeard(t *testing.T) {
+func TestADigestBeginsWithTheLatestSeen(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	for i, name := range []string{"b", "d", "c"} {
@@ -134,13 +134,13 @@
 	is.Equal(len(tab.Members()[0].Status.Loads), 1) // the table keeps them
 }
 
-func TestADigestHasTheRoomsOfOneBoxOfEachRegion(t *testing.T) {
+func TestADigestHasTheCapacityOfOneBoxOfEachRegion(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	for _, name := range []string{"b", "c"} {
-		tab.Hear(withRoom(status(name, "south", 1, 1), 3), true, 0)
+		tab.Hear(withCapacity(status(name, "south", 1, 1), 3), true, 0)
 	}
-	tab.Hear(withRoom(status("d", "west", 1, 1), 3), true, 0)
+	tab.Hear(withCapacity(status("d", "west", 1, 1), 3), true, 0)
 	var got []int
 	for _, s := range tab.Digest(0, 9) {
 		got = append(got, len(s.Rooms))
@@ -151,26 +151,26 @@
 func TestADigestPrefersOtherRegions(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	crowd(tab, "north", 1, 0)
-	crowd(tab, "south", 2, 0)
+	receiveHeartbeats(tab, "north", 1, 0)
+	receiveHeartbeats(tab, "south", 2, 0)
 	count := make(map[string]int)
-	for range ownPause {
+	for range nearDigestInterval {
 		for _, s := range tab.Digest(0, 1) {
 			count[s.Region]++
 		}
 	}
 	is.Equal(count["north"], 1)
-	is.Equal(count["south"], ownPause-1)
+	is.Equal(count["south"], nearDigestInterval-1)
 }
 
 func TestADigestFitsItsPartOfADatagram(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	crowd(tab, "south", 60, 0)
+	receiveHeartbeats(tab, "south", 60, 0)
 	list := tab.Digest(0, 60)
 	is.True(len(list) > 3)
 	g, err := Encode(wire.Gossip{
-		From:   full("a", 0, 30),
+		From:   fullStatus("a", 0, 30),
 		Others: list,
 	})
 	is.NoErr(err)
@@ -183,16 +183,16 @@
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	tab.Hear(status("told", "west", 1, 1), false, 0) // second-hand: the region may know it already
-	crowd(tab, "north", 1, 0)
+	receiveHeartbeats(tab, "north", 1, 0)
 	count := make(map[string]int)
-	for i := range 4 * plainEvery {
+	for i := range 4 * unprioritizedEvery {
 		now := time.Duration(i) * Tick / 2
 		tab.Hear(status("south-00", "south", 1, i+1), true, now) // news each time
 		for _, s := range tab.Digest(now, 1) {
 			count[s.Box]++
 		}
 	}
-	is.Equal(count["south-00"], 3*plainEvery)
-	is.Equal(count["told"]+count["north-00"], plainEvery)
+	is.Equal(count["south-00"], 3*unprioritizedEvery)
+	is.Equal(count["told"]+count["north-00"], unprioritizedEvery)
 	is.Equal(count["north-00"], 1)
 }
