--- a/roster/agreement.go
+++ b/roster/agreement.go
@@ -9,79 +9,74 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// This file finds out whether a box knows every box of its region that may use a
-// quota, before it takes its own share.
-//
-// A box that begins asks the boxes of its region that it knows, and the seeds, whether
-// its list is complete. One that knows it and nobody else of its region agrees; any
-// other tells what is missing. The list is complete once a seed and each box of the
-// region that is alive have agreed. Names are only ever added to it until then, so
-// that what was agreed to stays true.
-//
-// Two boxes that both have a complete list know each other: the seed that the later
-// one asked had heard of the earlier one, so the later one has it on its list, and has
-// asked it; since then the earlier one knows it as well. That leaves boxes between
-// which there is no way at all, by no seed and no other box.
-
 const (
-	// SharesFor is how long after its last sign of life a box counts as one that may
-	// use its share of a quota: a cut of the network heals within this time as a rule,
-	// and a box behind it goes on using its share.
+	// SharesFor is the time since its last heartbeat in which a box may still use its share
+	// of a quota: behind a network partition, which usually heals within this time, it goes
+	// on using it.
 	SharesFor = partitionWindow
 
-	checkInterval    = 500 * time.Millisecond // a box that did not agree is asked again; an answer from another region takes 160 ms
-	maxChecksPerTick = 6                      // boxes that are asked at one tick: a region of 22 within a second, with 1 KB a tick, one of 100 within five
-	maxInlineNames   = 24                     // boxes of a region up to which each question names them, in 100 bytes; of more a sum stands for them
-	namesEvery       = 4                      // ticks; in these the first question names more boxes, too, for the sum doesn't tell which one is missing
-	maxAbsent        = 8                      // names of boxes that are gone in one answer; the rest in the next
-	aloneTimeout     = 3 * time.Second        // a box without seeds waits so long to be found; the others try each 2.5 s
-	seedTimeout      = 10 * time.Second       // where no seed answers, the word of the region's boxes is enough after so long; ten seconds let boxes of 390 hear of each other
+	checkInterval    = 500 * time.Millisecond // between two checks to a box; longer than a round trip between regions
+	maxChecksPerTick = 6
+	maxInlineNames   = 24               // boxes of a region; above it a check carries the digest of the names in their place
+	namesEvery       = 4                // ticks, in one of which the first check carries the names in any case
+	maxAbsent        = 8                // names in one answer
+	aloneTimeout     = 3 * time.Second  // after which a box without seeds considers its list complete
+	seedTimeout      = 10 * time.Second // after which the agreement of the region suffices if no seed answers
 )
 
-// Absence is a box that is gone, but may still use its share of a quota.
+// Absence is a box that counts as dead but may still use its share of a quota.
 type Absence struct {
 	Box string
-	Age time.Duration // since its last sign of life; rounded up to 100 ms when it is told
+	Age time.Duration // since its last heartbeat; rounded up to 100 ms in datagrams
 }
 
-// agreement is what is known of whether the list of the region's boxes is complete.
+// agreement tracks whether this box has a record of every box of its region that may use
+// a quota, which it needs to know before it uses its own share.
+//
+// A box that starts asks the recorded boxes of its region, and the seeds, whether its list
+// is complete. Each agrees if it has no record of a further box, and otherwise sends what
+// is missing. The list is complete once a seed and each live box of the region have agreed.
+// Names are only added until then, so that earlier agreements stay valid.
+//
+// Of two boxes with complete lists, each has a record of the other: the seed that the later
+// one asked had a record of the earlier one, so the later one has asked that box, which
+// thereby has a record of it. The exception is boxes that no path connects.
 type agreement struct {
-	agreed        map[string]bool          // boxes that agreed
-	agreedSeeds   map[string]bool          // addresses of seeds that agreed
-	lastAsked     map[string]time.Duration // addresses, and when they were asked last
-	absent        map[string]time.Duration // boxes that others remember, and their last sign of life
-	contactSince  time.Duration            // since when others are heard without a break
-	lastContact   time.Duration            // when another box was heard last
-	complete      bool                     // the list is complete
-	completeSince time.Duration            // when it became so
+	agreed       map[string]bool          // names of boxes
+	seeds        map[string]bool          // addresses
+	lastAsked    map[string]time.Duration // by address
+	absent       map[string]time.Duration // last heartbeat of boxes that others have a record of
+	contactSince time.Duration            // start of the current period of contact with other boxes
+	lastContact  time.Duration            // last datagram received from another box
+	complete     bool
+	since        time.Duration
 }
 
-// newAgreement returns the agreement of a box that has heard nobody.
 func newAgreement() agreement {
 	return agreement{
 		agreed:      make(map[string]bool),
-		agreedSeeds: make(map[string]bool),
+		seeds:       make(map[string]bool),
 		lastAsked:   make(map[string]time.Duration),
 		absent:      make(map[string]time.Duration),
 		lastContact: never,
 	}
 }
 
-// CompleteSince returns since when this box knows all boxes of its region that may use
-// a quota, and whether it does.
+// CompleteSince returns since when this box has a record of all boxes of its region that
+// may use a quota, and whether it has.
 func (t *Table) CompleteSince(now time.Duration) (since time.Duration, ok bool) {
 	if len(t.seeds) == 0 {
 		return aloneTimeout, now >= aloneTimeout
 	}
-	return t.agreement.completeSince, t.agreement.complete
+	return t.agreement.since, t.agreement.complete
 }
 
-// Sharers returns the other boxes of a region that may use a share of its quotas, by
-// name: those heard of within SharesFor, and of the own region also those that others
-// remember. An empty region stands for all.
+// Sharers returns the other boxes of a region that may use a share of its quotas, by name:
+// those seen within SharesFor and, for the own region, those that others have reported as
+// absent. An empty region stands for all.
 func (t *Table) Sharers(region string, now time.Duration) []string {
 	shares := func(r *record) bool { return inRegion(region, r.Status.Region) && now-r.Seen < SharesFor }
-	out := make([]string, 0, len(t.order)+1) // a caller may add itself
+	out := make([]string, 0, len(t.order)+1) // callers append the own box
 	for _, r := range t.order {
 		if shares(r) {
 			out = append(out, r.box)
@@ -102,7 +97,7 @@
 	return out
 }
 
-// recordContact takes in that another box was heard directly.
+// recordContact records the receipt of a datagram that another box sent itself.
 func (t *Table) recordContact(now time.Duration) {
 	a := &t.agreement
 	if now-a.lastContact > aliveTimeout {
@@ -111,13 +106,13 @@
 	a.lastContact = now
 }
 
-// updateAgreement works out whether the list is complete. A box that heard nobody for a while
-// may have missed boxes that began, and asks anew.
+// updateAgreement works out whether the list is complete. After a time without contact
+// boxes may have started unnoticed, so the box asks again.
 func (t *Table) updateAgreement(now time.Duration) {
 	a := &t.agreement
 	if now-a.lastContact > aliveTimeout {
 		clear(a.agreed)
-		clear(a.agreedSeeds)
+		clear(a.seeds)
 		clear(a.lastAsked)
 		a.complete = false
 		return
@@ -125,7 +120,7 @@
 	if a.complete || len(a.agreed) == 0 {
 		return
 	}
-	if len(a.agreedSeeds) == 0 && now-a.contactSince < seedTimeout {
+	if len(a.seeds) == 0 && now-a.contactSince < seedTimeout {
 		return
 	}
 	if len(t.undecided(now)) > 0 {
@@ -133,19 +128,18 @@
 	}
 	clear(a.lastAsked)
 	a.complete = true
-	a.completeSince = now
+	a.since = now
 }
 
-// undecided returns the boxes of the region that are alive and have not agreed.
+// undecided returns the live boxes of the region that have not agreed.
 func (t *Table) undecided(now time.Duration) []Member {
 	return t.members(func(r *record) bool {
 		return r.Status.Region == t.self.Region && !t.agreement.agreed[r.Status.Box] && t.alive(r, now)
 	})
 }
 
-// checkPackets returns the questions to those that have not agreed, the longest not asked
-// first. They are not paid for by the pace, which would make them wait a minute where
-// a region has 100 boxes: each start costs 14 KB there, once.
+// checkPackets returns checks to those that have not agreed, the longest unasked first.
+// They don't count against the budget, which would delay them for long in a large region.
 func (t *Table) checkPackets(now time.Duration) []Packet {
 	if t.agreement.complete || len(t.seeds) == 0 {
 		return nil
@@ -171,14 +165,13 @@
 	return out
 }
 
-// checkTargets returns the addresses of those to ask now.
 func (t *Table) checkTargets(now time.Duration) []string {
 	a := &t.agreement
 	due := targets{
 		own: t.self.Peers,
 	}
 	for _, seed := range t.seeds {
-		if !a.agreedSeeds[seed] {
+		if !a.seeds[seed] {
 			due.addAddrs([]string{seed})
 		}
 	}
@@ -191,14 +184,14 @@
 	return list
 }
 
-// token marks a question to an address, so that its answer is taken for an answer to
-// no other one, nor to another process of this box.
+// token identifies checks to an address, so that an answer to another address or to an
+// earlier process of this box doesn't count.
 func (t *Table) token(addr string) ID { return IDOf(addr, t.compact.selfStatus.Inc) }
 
-// nameID stands for a box in whatever incarnation.
+// nameID returns the ID of a box regardless of its incarnation.
 func nameID(box string) ID { return IDOf(box, 0) }
 
-// digestOf returns what stands for a set of boxes.
+// digestOf returns an order-independent digest of a set of boxes.
 func digestOf(names []ID) ID {
 	out := ID(0)
 	for _, id := range names {
@@ -207,12 +200,11 @@
 	return out
 }
 
-// ownNameIDs returns the boxes of the region that this one knows, with itself.
+// ownNameIDs returns the recorded boxes of the region and the own one.
 func (t *Table) ownNameIDs(now time.Duration) []ID {
 	return nameIDs(append(t.Sharers(t.self.Region, now), t.self.Box))
 }
 
-// nameIDs returns the IDs of boxes in whatever incarnation.
 func nameIDs(names []string) []ID {
 	out := make([]ID, 0, len(names))
 	for _, name := range names {
@@ -221,8 +213,8 @@
 	return out
 }
 
-// answerCheck agrees that a box's list is complete, or tells it what is missing. It
-// says nothing to a sum that differs: the same box asks again with names.
+// answerCheck agrees that the list of a box is complete, or sends what is missing. It
+// doesn't answer a digest that differs: the box repeats the check with names.
 func (t *Table) answerCheck(out *outbox, b Compact, asker *record, from string, now time.Duration) {
 	known := t.namesInRegion(asker, now)
 	var alive []wire.BoxStatus
@@ -236,7 +228,7 @@
 	reply := t.header()
 	if len(alive)+len(gone) == 0 {
 		reply.Agreed = b.Check
-		out.packets = append(out.packets, Packet{ // not paid for by the pace, like the question
+		out.packets = append(out.packets, Packet{ // outside the budget, as the check
 			Addr: from,
 			Buf:  reply.encode(),
 		})
@@ -252,8 +244,7 @@
 	}
 }
 
-// namesInRegion returns all boxes of an asker's region that this one knows, the asker and
-// itself with them.
+// namesInRegion returns the recorded boxes of the asker's region, with the asker.
 func (t *Table) namesInRegion(asker *record, now time.Duration) []string {
 	out := t.Sharers(asker.Status.Region, now)
 	if !slices.Contains(out, asker.Status.Box) {
@@ -265,8 +256,8 @@
 	return out
 }
 
-// missing returns the known boxes that are not among names: the statuses of those
-// alive, and those gone that may still use a quota.
+// missing returns which of the boxes known are not among names: the statuses of those
+// alive, and those that are dead but may still use a quota.
 func (t *Table) missing(known []string, names []ID, now time.Duration) (alive []wire.BoxStatus, gone []Absence) {
 	for _, name := range known {
 		if slices.Contains(names, nameID(name)) {
@@ -288,8 +279,7 @@
 	return alive, gone
 }
 
-// lastSeen returns when a box that is gone was alive last, by this box's own word or
-// that of others.
+// lastSeen returns when a dead box was last alive, by the own record or that of others.
 func (t *Table) lastSeen(box string) time.Duration {
 	seen := never
 	if r, ok := t.records[box]; ok {
@@ -301,11 +291,11 @@
 	return seen
 }
 
-// recordAnswer takes in what another box says to a question of this one.
+// recordAnswer records an answer to a check of this box.
 func (t *Table) recordAnswer(b Compact, r *record, now time.Duration) {
 	a := &t.agreement
 	for _, gone := range b.Absent {
-		seen := now - gone.Age // below 0 where it was gone before this process began
+		seen := now - gone.Age // negative if the box died before this process started
 		if known, ok := a.absent[gone.Box]; gone.Box != t.self.Box && (!ok || seen > known) {
 			a.absent[gone.Box] = seen
 		}
@@ -315,7 +305,7 @@
 	}
 	for _, seed := range t.seeds {
 		if b.Agreed == t.token(seed) {
-			a.agreedSeeds[seed] = true
+			a.seeds[seed] = true
 			a.agreed[r.Status.Box] = true
 		}
 	}
@@ -324,7 +314,6 @@
 	}
 }
 
-// expireAbsent forgets the boxes that no longer use a quota.
 func (t *Table) expireAbsent(now time.Duration) {
 	maps.DeleteFunc(t.agreement.absent, func(_ string, seen time.Duration) bool { return now-seen >= SharesFor })
 }
--- a/roster/codec.go
+++ b/roster/codec.go
@@ -10,11 +10,11 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Sizes of what is sent, in bytes.
+// Sizes of datagrams and their parts.
 const (
 	datagramBytes = 1200 // below the usual path MTU, as QUIC assumes it (RFC 9000, section 14)
-	othersBytes   = 700  // for the statuses of others; four or so, by TestSizesOfStatuses
-	statusBytes   = 400  // for one status without its loads; rooms beyond it are left out
+	othersBytes   = 700  // for the statuses of other boxes
+	statusBytes   = 400  // for one status without loads; capacity beyond it is left out
 )
 
 // Errors of Encode and Decode.
@@ -23,10 +23,10 @@
 	ErrNoSender = errors.New("gossip has no sender")
 )
 
-// Encode returns g as one datagram. When it would be too large, these are left
-// out: rooms from the end, then loads of few tokens, then others from the end.
-// The statuses of others always come without loads. ErrTooLarge tells of a sender
-// whose bare status doesn't fit.
+// Encode returns g as one datagram. If it would be too large, Encode leaves out the
+// capacity from the end, then the loads with the fewest tokens, then other boxes from the
+// end. The statuses of other boxes never have loads. ErrTooLarge means that the bare status
+// of the sender doesn't fit.
 func Encode(g wire.Gossip) ([]byte, error) {
 	buf, err := json.Marshal(fitDatagram(g))
 	if err != nil {
@@ -38,19 +38,19 @@
 	return buf, nil
 }
 
-// Decode reads one datagram and checks it.
+// Decode decodes and validates one datagram.
 func Decode(buf []byte) (wire.Gossip, error) {
 	var g wire.Gossip
 	if err := json.Unmarshal(buf, &g); err != nil {
 		return wire.Gossip{}, errors.Wrap(err, "decode gossip")
 	}
 	if g.From.Box == "" {
-		return wire.Gossip{}, ErrNoSender // a status that is there has a name
+		return wire.Gossip{}, ErrNoSender // the schema requires a name in a status
 	}
 	return g, nil
 }
 
-// fitDatagram returns g with as much of its lists as a datagram holds.
+// fitDatagram returns g with as much of its lists as one datagram holds.
 func fitDatagram(g wire.Gossip) wire.Gossip {
 	loads, others := g.From.Loads, g.Others
 	g.From.Loads = nil
@@ -67,11 +67,11 @@
 	return g
 }
 
-// appendFitting appends to out from the head of list what fits room, takes its bytes off
-// room, and returns the rest with it.
+// appendFitting appends the elements at the head of list that fit into room, subtracts
+// their bytes from room, and returns the rest of list.
 func appendFitting[T any](out, list []T, room *int) (filled, rest []T) {
 	for i, v := range list {
-		n := jsonSize(v) + 1 // with its comma
+		n := jsonSize(v) + 1 // comma
 		if n > *room {
 			return out, list[i:]
 		}
@@ -81,7 +81,7 @@
 	return out, nil
 }
 
-// byTokens returns the loads with those first that hold most tokens.
+// byTokens returns the loads in order of falling tokens.
 func byTokens(loads []wire.ReplicaLoad) []wire.ReplicaLoad {
 	loads = slices.Clone(loads)
 	slices.SortStableFunc(loads, func(a, b wire.ReplicaLoad) int {
@@ -93,7 +93,6 @@
 	return loads
 }
 
-// withoutLoads returns the statuses without loads.
 func withoutLoads(list []wire.BoxStatus) []wire.BoxStatus {
 	list = slices.Clone(list)
 	for i := range list {
@@ -103,8 +102,7 @@
 	return list
 }
 
-// trim returns s in its shortest form: without the default state, and with no
-// more rooms than fit limit bytes.
+// trim returns s without the default state, and with no more capacity than fits limit.
 func trim(s wire.BoxStatus, limit int) wire.BoxStatus {
 	if s.State == wire.ServingStateServing {
 		s.State = ""
@@ -115,8 +113,7 @@
 	return s
 }
 
-// jsonSize returns the bytes of v in JSON. A value that JSON can't hold counts as
-// nothing: Encode reports it with the whole.
+// jsonSize returns the size of v in JSON, 0 if v can't be encoded; Encode reports the error.
 func jsonSize(v any) int {
 	buf, err := json.Marshal(v)
 	if err != nil {
--- a/roster/compact.go
+++ b/roster/compact.go
@@ -14,96 +14,95 @@
 )
 
 const (
-	compactMagic  = 3                      // first byte of a compact datagram of this form, which boxes of another one drop; gossip begins with a brace
-	livenessBytes = 7                      // of one box in a compact datagram
-	ageUnit       = 100 * time.Millisecond // of an age in a compact datagram; with one byte 25.5 s
-	reportAgeUnit = 20 * time.Millisecond  // of the age of a replica's word; with one byte 5.1 s
-	tokenUnit     = 16                     // tokens in which loads are told; a step of an engine reads more
+	compactMagic  = 3 // first byte, which changes with the format; JSON starts with a brace
+	livenessBytes = 7 // of one liveness entry
+	ageUnit       = 100 * time.Millisecond
+	reportAgeUnit = 20 * time.Millisecond
+	tokenUnit     = 16 // tokens
 )
 
-// ErrCompact is the reason to refuse a compact datagram that no box sends.
+// ErrCompact means that a compact datagram is malformed.
 var ErrCompact = errors.New("malformed compact datagram")
 
-// ID stands for one incarnation of a box in compact datagrams. Two boxes of 390 share one
-// with a chance of 2 in 100,000; a box whose ID is taken is told in whole statuses.
+// ID identifies one incarnation of a box in compact datagrams. If two boxes share an ID,
+// only full statuses refer to them.
 type ID uint32
 
 // IDOf returns the ID of an incarnation.
 func IDOf(box string, inc int) ID {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(box)) // a hash takes everything
+	_, _ = h.Write([]byte(box)) // never fails
 	_, _ = h.Write(strconv.AppendInt([]byte{0}, int64(inc), 10))
 	return ID(h.Sum32())
 }
 
-// ReplicaID stands for a start of a replica in compact datagrams.
+// ReplicaID identifies one incarnation of a replica in compact datagrams.
 type ReplicaID uint32
 
-// ReplicaIDOf returns the short form of a replica's start.
+// ReplicaIDOf returns the ID of a replica's incarnation.
 func ReplicaIDOf(start string) ReplicaID { return ReplicaID(short.Of(start)) }
 
-// Vital says that a box was alive: which heartbeat of it was heard, and how long
-// ago by the sender's clock.
+// Vital is a liveness entry: the last heartbeat received of a box, and its age.
 type Vital struct {
 	ID   ID
-	Beat uint16        // low bits of the number of the heartbeat
-	Age  time.Duration // rounded up to 100 ms, 25.5 s at most
+	Beat uint16        // low bits of the sequence number
+	Age  time.Duration // rounded up to 100 ms, at most 25.5 s
 }
 
-// CompactLoad is what the sender has in flight at a replica.
+// CompactLoad is the load that the sender has at a replica.
 type CompactLoad struct {
 	Replica ReplicaID
-	Load    wire.ReplicaLoad // without the id
+	Load    wire.ReplicaLoad // without the ID
 }
 
-// CompactRooms is what the region of a box can take, as that box told.
+// CompactRooms is the capacity of a box's region, as that box reported it.
 type CompactRooms struct {
 	From  Vital
 	Rooms []wire.ServiceRoom
 }
 
-// CompactWord is what a replica said of its load to some box.
+// CompactWord is the load report of a replica to a box.
 type CompactWord struct {
 	Replica  ReplicaID
-	Age      time.Duration // rounded up to 20 ms, 5.1 s at most
+	Age      time.Duration // rounded up to 20 ms, at most 5.1 s
 	Requests int
-	Waiting  int  // of the requests
-	Tokens   int  // of memory that they hold, rounded up to 16; 0 where it didn't say
-	Silent   bool // it didn't answer
+	Waiting  int  // of Requests
+	Tokens   int  // of memory that the requests hold, rounded up to 16; 0 if not reported
+	Silent   bool // the replica didn't answer
 }
 
-// Compact is a compact datagram, which boxes send where they are many: it names them
-// by ID, and what never changes of a box is told once, in a whole status.
+// Compact is a compact datagram, which boxes send where they are many. It refers to boxes
+// by ID; the fields of a box that never change are sent once, in a full status.
 type Compact struct {
 	From    Vital
 	State   wire.ServingState
-	Closed  bool  // it takes no requests of callers
-	Ping    bool  // the sender asks for a sign of life at once
-	Loaded  bool  // Loads are all that matter of the sender's; false where they were left out
-	Catalog int64 // revision of the catalog that the sender has
-	Newest  int64 // newest revision of the catalog that the sender has heard of
-	Policy  int   // version of the policy that the sender decides by
-	ReadMs  int   // milliseconds; how long ago the publisher was read with nothing newer than Catalog, as in a whole status
-	UpMs    int   // milliseconds; how long ago the sender started when it said this
-	Lapses  int   // replicas whose removal the sender had in doubt, as in a whole status
+	Closed  bool  // the sender accepts no requests of callers
+	Ping    bool  // the sender requests a heartbeat at once
+	Loaded  bool  // Loads has all significant loads of the sender
+	Catalog int64 // revision of the sender's catalog
+	Newest  int64 // newest catalog revision of which the sender has a record
+	Policy  int   // version of the sender's policy
+	ReadMs  int   // milliseconds since the publisher was read with nothing newer than Catalog
+	UpMs    int   // uptime of the sender in milliseconds
+	Lapses  int   // replicas whose removal the sender considered unconfirmed
 	Vitals  []Vital
-	Silent  []Vital // boxes of whose death the sender knows; their last heartbeat
-	Leaving []ID    // boxes that live and have said that they leave
-	Unknown []ID    // boxes whose status the sender asks for
+	Silent  []Vital // boxes that the sender records as dead, with their last heartbeat
+	Leaving []ID    // live boxes that are leaving
+	Unknown []ID    // boxes whose status the sender requests
 	Loads   []CompactLoad
 	Rooms   []CompactRooms
-	Words   []CompactWord // the latest of the region's replicas that the sender knows
-	Check   ID            // marks the question whether Names are all boxes of the sender's region; 0 for none
-	Names   []ID          // boxes in whatever incarnation, of a question; none where Sum says enough
-	Sum     ID            // of Names, also where they are left out
-	Agreed  ID            // the mark of the question that the sender agrees to; 0 for none
-	Absent  []Absence     // boxes that are gone and that the question lacked
+	Words   []CompactWord // latest load reports of the region's replicas
+	Check   ID            // token of the check whether Names are all boxes of the sender's region; 0 for none
+	Names   []ID          // boxes regardless of incarnation; empty where Sum suffices
+	Sum     ID            // digest of the names, also where Names is empty
+	Agreed  ID            // token of the check to which the sender agrees; 0 for none
+	Absent  []Absence     // dead boxes that the check lacked
 }
 
 // states in the order of their numbers in a compact datagram.
 var states = []wire.ServingState{wire.ServingStateServing, wire.ServingStateStarting, wire.ServingStateLeaving}
 
-// bits of the byte after the state.
+// Bits of the flags byte.
 const (
 	bitNoCallers   = 1 << 7
 	bitAllLoads    = 1 << 6
@@ -112,10 +111,9 @@
 	bitAgreed      = 1 << 3
 	bitAbsent      = 1 << 2
 	maskState      = 0x03
-	bitUnreachable = 1 // of the number of a word's requests, which begins above it
+	bitUnreachable = 1 // lowest bit of the number of requests in a load report
 )
 
-// encode returns b as a datagram.
 func (b Compact) encode() []byte {
 	out := make([]byte, 0, datagramBytes)
 	out = append(out, compactMagic)
@@ -146,8 +144,7 @@
 	return b.appendAgreement(out)
 }
 
-// appendAgreement appends a question or an answer about the boxes of a region, of
-// which only those that are there take bytes.
+// appendAgreement appends the check and the answer, if any.
 func (b Compact) appendAgreement(out []byte) []byte {
 	if b.Check != 0 {
 		out = binary.BigEndian.AppendUint32(out, uint32(b.Check))
@@ -168,13 +165,12 @@
 	return out
 }
 
-// appendText appends the length of a text and the text.
 func appendText(out []byte, text string) []byte {
 	out = binary.AppendUvarint(out, uint64(len(text)))
 	return append(out, text...)
 }
 
-// flags returns the state and what is said by single bits.
+// flags returns the byte that holds the state and the single bits.
 func (b Compact) flags() byte {
 	out := byte(0)
 	for i, s := range states {
@@ -203,7 +199,6 @@
 	return out
 }
 
-// appendIDs appends the number of IDs and then four bytes of each.
 func appendIDs(out []byte, list []ID) []byte {
 	out = binary.AppendUvarint(out, uint64(len(list)))
 	for _, id := range list {
@@ -212,7 +207,6 @@
 	return out
 }
 
-// appendLivenessList appends the number of signs of life and then each.
 func appendLivenessList(out []byte, list []Vital) []byte {
 	out = binary.AppendUvarint(out, uint64(len(list)))
 	for _, v := range list {
@@ -221,7 +215,7 @@
 	return out
 }
 
-// appendLiveness appends a sign of life in vitalBytes, its age rounded up to ageUnit.
+// appendLiveness appends a liveness entry, its age rounded up to ageUnit.
 func appendLiveness(out []byte, v Vital) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(v.ID))
 	out = binary.BigEndian.AppendUint16(out, v.Beat)
@@ -242,7 +236,6 @@
 	return out
 }
 
-// appendLoadReport appends a replica's word.
 func appendLoadReport(out []byte, w CompactWord) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(w.Replica))
 	out = append(out, byte(min(max(0, (w.Age+reportAgeUnit-1)/reportAgeUnit), math.MaxUint8)))
@@ -255,7 +248,6 @@
 	return binary.AppendUvarint(out, uint64(max(0, w.Tokens+tokenUnit-1)/tokenUnit))
 }
 
-// appendCapacity appends what a region can take, its services by name.
 func appendCapacity(out []byte, r CompactRooms) []byte {
 	out = appendLiveness(out, r.From)
 	out = binary.AppendUvarint(out, uint64(len(r.Rooms)))
--- a/roster/compactfuzz_test.go
+++ b/roster/compactfuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// FuzzDecodeCompact looks for bytes that end a box, or that are read as something which
-// can't be told again.
+// FuzzDecodeCompact looks for bytes that end the process, or that decode to a datagram which
+// can't be encoded.
 func FuzzDecodeCompact(f *testing.F) {
 	b := Compact{
 		State:   wire.ServingStateServing,
--- a/roster/datagram.go
+++ b/roster/datagram.go
@@ -14,7 +14,7 @@
 	s := t.compact.selfStatus
 	return Compact{
 		From: Vital{
-			ID:   t.compact.selfID,
+			ID:   t.compact.self,
 			Beat: uint16(s.Seq),
 		},
 		State:   stateOf(s),
@@ -28,9 +28,9 @@
 	}
 }
 
-// livenessDatagram returns a livenessDatagram datagram, a compact one with signs of life: of the own
-// region's boxes all, of others some in turn, and the deaths known. With far it is
-// for another region.
+// livenessDatagram returns a compact datagram with liveness entries, of all boxes of the own
+// region and some of others, and the recorded deaths. far means that it is for another
+// region.
 func (t *Table) livenessDatagram(c recipients, now time.Duration, far bool) Compact {
 	b := t.header()
 	b.Vitals = t.livenessEntries(c, now, far)
@@ -46,7 +46,8 @@
 	}
 	b.Rooms = t.nextCapacity(now)
 	b.Loads, b.Loaded = c.loads, c.allLoads
-	for len(b.encode()) > datagramBytes { // rooms of long names; statuses and loads are bounded below it
+	// Only capacity with long service names takes so much; the other lists are limited.
+	for len(b.encode()) > datagramBytes {
 		b.Rooms = nil
 		b.Loads = b.Loads[:len(b.Loads)/2]
 		b.Loaded = false
@@ -54,8 +55,8 @@
 	return b
 }
 
-// livenessEntries returns the signs of life to pass on: for a box of the own region also the
-// latest of each other region, which shows that the region is there, and some more.
+// livenessEntries returns the entries to relay. For the own region these include the latest
+// of each other region, which shows that the region is reachable, and some more.
 func (t *Table) livenessEntries(c recipients, now time.Duration, far bool) []Vital {
 	var own, others []*record
 	for _, r := range c.near {
@@ -84,7 +85,7 @@
 	return t.appendRelayed(out, others, maxFarEntries, now)
 }
 
-// appendRelayed appends the first of a list, and notes that they were passed on.
+// appendRelayed appends the entries of the first records and marks these as relayed.
 func (t *Table) appendRelayed(out []Vital, list []*record, limit int, now time.Duration) []Vital {
 	for _, r := range list[:min(len(list), limit)] {
 		r.relayedRound = t.compact.rounds
@@ -94,7 +95,6 @@
 	return out
 }
 
-// livenessEntry returns the latest sign of life of a box.
 func (r *record) livenessEntry(now time.Duration) Vital {
 	return Vital{
 		ID:   r.id,
@@ -103,9 +103,9 @@
 	}
 }
 
-// deaths returns the boxes that this one knows to be dead: those of its region by
-// its own judgement, unless it can't judge now, others by their region's word. The
-// latest come first.
+// deaths returns the boxes to report as dead, the latest first: of the own region those that
+// time out or whose monitors declare them dead, unless this box is muted, and of other
+// regions those that their region declares dead.
 func (t *Table) deaths(now time.Duration) []Vital {
 	var list []Vital
 	for _, r := range t.records {
@@ -129,10 +129,10 @@
 	return list[:min(len(list), maxDeaths)]
 }
 
-// ownLoads returns the own ownLoads that matter, as many as the budget pays for, and
-// whether these are all.
-func (t *Table) ownLoads() (out []CompactLoad, all bool) {
-	room := t.params.loadsBytes
+// loads returns the significant loads of this box that fit the budget, and whether these
+// are all.
+func (t *Table) loads() (out []CompactLoad, all bool) {
+	room := t.params.loads
 	if room == 0 {
 		return nil, false
 	}
@@ -153,16 +153,16 @@
 	return out, true
 }
 
-// minReads are the prompt tokens a second below which a replica without any
-// request in flight isn't told: 5 ms of an engine's time in each second.
+// minReads is the rate of prompt tokens, per second, from which the load of a replica without
+// requests in flight is significant.
 const minReads = 200
 
-// isSignificant says whether others are told of a load.
+// isSignificant reports whether other boxes receive a load.
 func isSignificant(l wire.ReplicaLoad) bool {
 	return l.InFlight > 0 || l.Prompt > 0 || l.Reads >= minReads
 }
 
-// ownCapacity returns what this box's region can take.
+// ownCapacity returns the capacity of the own region.
 func (t *Table) ownCapacity() []CompactRooms {
 	if len(t.compact.selfStatus.Rooms) == 0 {
 		return nil
@@ -173,8 +173,7 @@
 	}}
 }
 
-// nextCapacity returns what one other region can take: the latest that was not
-// passed on yet.
+// nextCapacity returns the latest capacity of another region that isn't relayed yet.
 func (t *Table) nextCapacity(now time.Duration) []CompactRooms {
 	newest := make(map[string]*record)
 	for _, r := range t.records {
--- a/roster/delay.go
+++ b/roster/delay.go
@@ -6,19 +6,17 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Waited returns for how much longer than the quickest word of the same process this one
-// was under way or waited to be taken in: what it tells of ages is older by that. A box
-// whose link or processor was full for 4 s took datagrams for 20 ms old that had waited
-// all the time, and so what it knew for current.
+// Waited returns the transit and queueing delay of a status beyond the smallest delay
+// observed for the same process. The ages that the status carries are older by it.
 func (t *Table) Waited(s wire.BoxStatus, now time.Duration) time.Duration {
 	r, ok := t.records[s.Box]
 	if !ok || r.Status.Inc != s.Inc || s.UpMs == 0 {
 		return 0
 	}
-	ahead := now - time.Duration(s.UpMs)*time.Millisecond
-	if !r.hasClockOffset || ahead < r.minClockOffset {
+	clockOffset := now - time.Duration(s.UpMs)*time.Millisecond
+	if !r.hasClockOffset || clockOffset < r.clockOffset {
 		r.hasClockOffset = true
-		r.minClockOffset = ahead
+		r.clockOffset = clockOffset
 	}
-	return ahead - r.minClockOffset
+	return clockOffset - r.clockOffset
 }
--- a/roster/digest.go
+++ b/roster/digest.go
@@ -8,22 +8,19 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// nearDigestInterval is for how many digests a member of the own region is not passed on
-// again, if there are others: all its region hears it directly, and the space is
-// better used for other regions. It is ten seconds at one digest a second.
+// nearDigestInterval is the number of digests until a member of the own region is relayed
+// again, if there are others. The region receives its heartbeats directly.
 const nearDigestInterval = 10
 
-// unprioritizedEvery is the pace of digests that don't prefer fresh statuses, so that the
-// others get their turn also where fresh ones fill each digest.
+// unprioritizedEvery is the interval of digests that ignore freshness, so that fresh
+// statuses don't crowd out the rest.
 const unprioritizedEvery = 4
 
-// Digest returns up to limit statuses of other boxes to pass on, fewer when they
-// would not fit a datagram. Fresh ones come first: few boxes of this region hear a
-// box of another one directly, and the rest should know it at once. Then those not
-// passed on for longest come, and among these the most recently heard; so all get
-// their turn. Only boxes that are alive at now are in it. Their loads are left out,
-// and their rooms for all but the first of each region: the boxes of one region
-// state nearly the same.
+// Digest returns up to limit statuses of live boxes to relay, fewer if they don't fit a
+// datagram. Fresh ones come first, as few boxes of this region receive the heartbeats of a
+// box of another region directly. Then come those not relayed for longest, the latest seen
+// first. Loads are left out, and the capacity for all but the first box of each region,
+// since the boxes of one region report nearly the same.
 func (t *Table) Digest(now time.Duration, limit int) []wire.BoxStatus {
 	list := t.digestOrder(now)
 	t.digestCount++
@@ -40,7 +37,7 @@
 			s.Rooms = nil
 		}
 		s = trim(s, statusBytes)
-		n := jsonSize(s) + 1 // with its comma
+		n := jsonSize(s) + 1 // comma
 		if len(out) > 0 && n > room {
 			break
 		}
@@ -56,7 +53,7 @@
 	return out
 }
 
-// digestOrder returns the boxes alive in the order in which they are passed on.
+// digestOrder returns the live boxes in the order in which to relay them.
 func (t *Table) digestOrder(now time.Duration) []*record {
 	var list []*record
 	for _, r := range t.records {
@@ -69,8 +66,7 @@
 	return list
 }
 
-// sortByTurn orders records to be passed on: the fresh ones first, then by turn, then
-// the latest heard.
+// sortByTurn sorts records to relay: fresh ones first, then by turn, then the latest seen.
 func sortByTurn(list []*record, fresh func(r *record) bool, turn func(r *record) int) {
 	rank := func(r *record) int {
 		if fresh(r) {
--- a/roster/domain.go
+++ b/roster/domain.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// Figures of a failure domain that falls silent as a whole.
+// Limits for the failure of a whole failure domain.
 const (
-	domainTimeout  = 1250 * time.Millisecond // without a sign of life of any of its boxes: five ticks, in which a box of a region of 98 hears some ten datagrams
-	minSilentBoxes = 3                       // boxes of it that count as alive; a box or two may be lost each for itself
+	domainTimeout  = 1250 * time.Millisecond // without a heartbeat of any of its boxes
+	minSilentBoxes = 3                       // of the domain that still count as alive; fewer may fail independently
 )
 
-// recordDomainAlive takes in a sign of life of a failure domain of the own region.
 func (t *Table) recordDomainAlive(r *record) {
 	if r.Status.Region != t.self.Region {
 		return
@@ -18,11 +17,10 @@
 	}
 }
 
-// SilentDomains returns the failure domains of the own region that fell silent as a
-// whole: no box of them was heard for a time in which another domain was. One box that is
-// silent for so long may have lost its datagrams; three or more that have nothing in
-// common but their domain are lost with it, and take no callers. Their shares of quotas
-// stay theirs, for they may only be cut off.
+// SilentDomains returns the failure domains of the own region that have failed as a whole:
+// no box of the domain has sent a heartbeat for a time in which another domain has. Their
+// boxes should receive no callers, but keep their shares of quotas, as they may only be
+// partitioned from this box.
 func (t *Table) SilentDomains(now time.Duration) []string {
 	var out []string
 	for domain, lastSeen := range t.domainLastSeen {
@@ -36,8 +34,8 @@
 	return out
 }
 
-// otherDomainAlive says whether another failure domain of the region was heard of late:
-// otherwise it may be this box that is cut off or was paused.
+// otherDomainAlive reports whether another failure domain has sent a heartbeat recently. If
+// not, this box itself may be partitioned or paused.
 func (t *Table) otherDomainAlive(than string, now time.Duration) bool {
 	for domain, lastSeen := range t.domainLastSeen {
 		if domain != than && now-lastSeen <= domainTimeout {
@@ -47,7 +45,7 @@
 	return false
 }
 
-// aliveIn returns how many boxes of a failure domain of the own region count as alive.
+// aliveIn returns the number of live boxes of a failure domain of the own region.
 func (t *Table) aliveIn(domain string, now time.Duration) int {
 	n := 0
 	for _, r := range t.order {
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -6,14 +6,14 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// What is passed on among few boxes.
+// Relay of statuses in full-status mode.
 const (
-	digestEvery = 4 // ticks in which others' statuses are passed on, once a second, as to other regions
-	maxDigest   = 8 // other boxes' statuses in one datagram
+	digestEvery = 4 // ticks
+	maxDigest   = 8 // statuses of other boxes in one datagram
 )
 
-// Tell returns what a box sends at this tick. self is what it says of itself. It
-// is called once each Tick. rnd returns a random number from 0 to n-1.
+// Tell returns the datagrams to send at this tick, of which it is called once. self is the
+// status of this box. rnd returns a random number from 0 to n-1.
 func (t *Table) Tell(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	t.Adapt(now)
 	if !t.params.fullStatus {
@@ -21,7 +21,7 @@
 	}
 	t.setSelf(self)
 	var others []wire.BoxStatus
-	if t.ticks%digestEvery == 0 { // not each time, for bytes are bounded, and one in a digest loses its turn
+	if t.ticks%digestEvery == 0 { // a digest uses up the turn of its boxes, so none is made in vain
 		others = t.Digest(now, maxDigest)
 	}
 	targets := t.Targets(now, rnd)
@@ -31,8 +31,7 @@
 	}), t.checkPackets(now)...)
 }
 
-// TellLoads returns what tells the boxes of the region at once what this one has
-// at its replicas.
+// TellLoads returns datagrams that send the loads of this box to its region at once.
 func (t *Table) TellLoads(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	if !t.params.fullStatus {
 		return t.Loads(self, now, rnd)
@@ -42,20 +41,19 @@
 	})
 }
 
-// TellEveryone returns news that can't wait, for as many boxes as hear it at once.
-// With ask they answer at once.
+// TellEveryone returns the datagrams of an urgent update. ask requests an immediate answer.
 func (t *Table) TellEveryone(self wire.BoxStatus, now time.Duration, ask bool) []Packet {
 	t.setSelf(self)
 	return gossipPackets(t.Everyone(now), t.fullGossip(self, now, ask))
 }
 
-// Answer returns what this box says to one that asks.
+// Answer returns the answer to a box that asks for one.
 func (t *Table) Answer(self wire.BoxStatus, addr string, now time.Duration) []Packet {
 	t.setSelf(self)
 	return gossipPackets([]string{addr}, t.fullGossip(self, now, false))
 }
 
-// fullGossip returns whole statuses: the own one and some of others.
+// fullGossip returns the full statuses of this box and some others.
 func (t *Table) fullGossip(self wire.BoxStatus, now time.Duration, ask bool) wire.Gossip {
 	return wire.Gossip{
 		From:   self,
@@ -64,14 +62,14 @@
 	}
 }
 
-// gossipPackets returns the same gossip for some addresses.
+// gossipPackets addresses the same gossip to several boxes.
 func gossipPackets(targets []string, g wire.Gossip) []Packet {
 	if len(targets) == 0 {
-		return nil
+		return nil // the bare status exceeds a datagram, so other boxes don't receive this one's heartbeats
 	}
 	buf, err := Encode(g)
 	if err != nil {
-		return nil // a box whose bare status doesn't fit is heard by nobody, and shows in their logs as absent
+		return nil
 	}
 	out := make([]Packet, 0, len(targets))
 	for _, addr := range targets {
--- a/roster/gossip_test.go
+++ b/roster/gossip_test.go
@@ -10,8 +10,8 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// A status in a digest that is not sent would have lost its turn: boxes of other
-// regions that were just heard would be passed on only after all others.
+// A digest that isn't sent would use up the turn of its boxes, so that recently seen boxes of
+// other regions would be relayed after all others.
 func TestDatagramsWithoutADigestUseUpNoTurn(t *testing.T) {
 	is := is.New(t)
 	self := wire.BoxStatus{
--- a/roster/link.go
+++ b/roster/link.go
@@ -15,48 +15,45 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// readRetryInterval is the time after a failed read before the next, so that a socket
-// that keeps failing takes no processor time.
+// readRetryInterval limits the processor time that a failing socket takes.
 const readRetryInterval = 10 * time.Millisecond
 
-// errTooLong is the reason to drop a datagram that no box sends.
 var errTooLong = errors.Newf("datagram longer than %d bytes", datagramBytes)
 
-// Link reads and sends gossip on one socket. Its methods may be called from any
-// goroutine.
+// Link sends and receives gossip on one socket. Its methods are safe for concurrent use.
 type Link struct {
 	conn          net.PacketConn
 	handle        func(g wire.Gossip, from net.Addr)
 	handleCompact func(c Compact, from net.Addr)
-	otherMagic    byte // first byte of datagrams of another package; 0 for none
+	magic         byte // first byte of the datagrams of another package; 0 for none
 	handleOther   func(buf []byte, from net.Addr)
 	sent          atomic.Int64
 	received      atomic.Int64
 
-	mu        sync.Mutex // guards what follows
-	dropped   int64
-	lastError error
+	mu      sync.Mutex // guards the fields below
+	dropped int64
+	reason  error
 }
 
-// LinkOption changes a Link that is made.
+// LinkOption configures a Link.
 type LinkOption func(*Link)
 
-// WithCompact sets what is called for each compact datagram.
+// WithCompact sets the handler of compact datagrams.
 func WithCompact(f func(c Compact, from net.Addr)) LinkOption {
 	return func(l *Link) { l.handleCompact = f }
 }
 
-// WithOther sets what is called for each datagram of another package, which its first byte
-// tells. The buffer is used again after the call.
-func WithOther(mark byte, f func(buf []byte, from net.Addr)) LinkOption {
+// WithOther sets the handler of the datagrams of another package, which start with the byte
+// magic. The handler must not keep the buffer.
+func WithOther(magic byte, f func(buf []byte, from net.Addr)) LinkOption {
 	return func(l *Link) {
-		l.otherMagic = mark
+		l.magic = magic
 		l.handleOther = f
 	}
 }
 
-// NewLink returns the link on conn. It calls handle for each datagram of whole
-// statuses, one after the other, from the goroutine that runs it.
+// NewLink returns a link on conn. The goroutine that runs it calls handle for each datagram
+// of full statuses, one at a time.
 func NewLink(conn net.PacketConn, handle func(g wire.Gossip, from net.Addr), opts ...LinkOption) *Link {
 	l := &Link{
 		conn:          conn,
@@ -69,15 +66,14 @@
 	return l
 }
 
-// Run reads datagrams until ctx ends or the socket is closed, and closes the
-// socket then.
+// Run receives datagrams until ctx ends or the socket is closed, and then closes it.
 func (l *Link) Run(ctx context.Context) {
 	closing := func() {
-		_ = l.conn.Close() // nothing is buffered, so nothing is lost
+		_ = l.conn.Close() // nothing is buffered
 	}
 	defer context.AfterFunc(ctx, closing)()
 	defer closing()
-	buf := make([]byte, datagramBytes+1) // one more tells that a datagram was longer
+	buf := make([]byte, datagramBytes+1) // one byte more detects longer datagrams
 	for ctx.Err() == nil {
 		n, from, err := l.conn.ReadFrom(buf)
 		if ctx.Err() != nil {
@@ -95,15 +91,15 @@
 	}
 }
 
-// dispatch handles one datagram.
+// dispatch passes one datagram to its handler.
 func (l *Link) dispatch(buf []byte, from net.Addr) {
-	clock.Check() // it may have waited while the machine was suspended
+	clock.Check() // the machine may have been suspended meanwhile
 	l.received.Add(int64(len(buf)))
 	if len(buf) > datagramBytes {
 		l.recordDrop(errTooLong)
 		return
 	}
-	if l.otherMagic != 0 && len(buf) > 0 && buf[0] == l.otherMagic {
+	if l.magic != 0 && len(buf) > 0 && buf[0] == l.magic {
 		l.handleOther(buf, from)
 		return
 	}
@@ -124,8 +120,7 @@
 	l.handle(g, from)
 }
 
-// Send sends g to an address, IP:port. It does not wait for an answer, and a
-// datagram that is lost on the way is no error.
+// Send sends g to an address, given as IP:port. The loss of the datagram is no error.
 func (l *Link) Send(addr string, g wire.Gossip) error {
 	buf, err := Encode(g)
 	if err != nil {
@@ -137,7 +132,7 @@
 	})
 }
 
-// Post sends a datagram that is ready.
+// Post sends an encoded datagram.
 func (l *Link) Post(p Packet) error {
 	to, err := netip.ParseAddrPort(p.Addr)
 	if err != nil {
@@ -148,25 +143,24 @@
 	return errors.Wrapf(err, "send gossip to %s", p.Addr)
 }
 
-// Sent returns the bytes sent, without the headers of UDP and IP.
+// Sent returns the number of bytes sent, without UDP and IP headers.
 func (l *Link) Sent() int64 { return l.sent.Load() }
 
-// Received returns the bytes received, without the headers of UDP and IP, those
-// of dropped datagrams with them.
+// Received returns the number of bytes received, without UDP and IP headers, but with
+// dropped datagrams.
 func (l *Link) Received() int64 { return l.received.Load() }
 
-// Dropped returns how many datagrams and reads failed, and why the latest did;
-// the reason is nil while none has.
+// Dropped returns the number of datagrams and reads that failed, and the latest error, nil
+// if there was none.
 func (l *Link) Dropped() (n int64, reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.dropped, l.lastError
+	return l.dropped, l.reason
 }
 
-// recordDrop counts a datagram or read that failed.
 func (l *Link) recordDrop(reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropped++
-	l.lastError = reason
+	l.reason = reason
 }
--- a/roster/link_test.go
+++ b/roster/link_test.go
@@ -12,7 +12,6 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// listenUDP opens a UDP listenUDP on the loopback address.
 func listenUDP(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/roster/liveness.go
+++ b/roster/liveness.go
@@ -6,18 +6,17 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// regionLiveness is when a region was heard.
+// regionLiveness records when a region was reachable.
 type regionLiveness struct {
-	lastSeen   time.Duration // latest sign of life of any of its boxes
-	staleUntil time.Duration // the latest before it was silent; what was known until then counts no longer
+	lastSeen   time.Duration // last heartbeat of any of its boxes
+	staleUntil time.Duration // last heartbeat before its latest partition; up to then heartbeats don't count
 }
 
-// never is before every sign of life.
-const never = -time.Hour
+const never = -time.Hour // earlier than any heartbeat
 
-// alive says whether a box counts as alive. Among few boxes it was heard of late.
-// Among many that holds for the own region; of another region a box is alive while
-// the region is, until the region tells of its death.
+// alive reports whether a box counts as alive. Where boxes send full statuses, its last
+// heartbeat is recent. Otherwise that applies to the own region, and a box of another
+// region is alive while the region is reachable and hasn't declared the box dead.
 func (t *Table) alive(r *record, now time.Duration) bool {
 	switch {
 	case t.params.fullStatus:
@@ -25,7 +24,7 @@
 	case r.declaredDead:
 		return false
 	case r.Status.Region == t.self.Region && t.monitoring.enabled:
-		return now-r.Heard <= farAliveTimeout // its monitors tell of its death
+		return now-r.Heard <= farAliveTimeout // its monitors declare it dead
 	case r.Status.Region == t.self.Region:
 		return now-r.Heard <= t.params.nearTimeout
 	}
@@ -33,7 +32,7 @@
 	return ok && now-liveness.lastSeen <= t.params.regionTimeout && now-r.Heard <= t.params.farTimeout && r.Heard > liveness.staleUntil
 }
 
-// recordRegionAlive takes in a sign of life for the region of a box.
+// recordRegionAlive updates the liveness of the region of a box.
 func (t *Table) recordRegionAlive(r *record, now time.Duration) {
 	liveness, ok := t.compact.regions[r.Status.Region]
 	if !ok {
@@ -52,42 +51,42 @@
 	t.recordDomainAlive(r)
 }
 
-// replace puts a new incarnation in the place of an older one.
+// replace inserts the record of a new incarnation.
 func (t *Table) replace(box string, r *record, now time.Duration) {
 	if old, ok := t.records[box]; ok {
 		t.compact.retire(old, now)
 	}
 	t.insert(box, r)
 	if _, taken := t.compact.byID[r.id]; taken {
-		t.compact.byID[r.id] = nil // two boxes share it, so neither is told by it
+		t.compact.byID[r.id] = nil // the ID is ambiguous, so neither box is addressed by it
 		return
 	}
 	t.compact.byID[r.id] = r
 }
 
-// noteChange remembers news that all boxes should hear at once: a box that has begun, or
-// one that takes requests from now on or no longer. known says that the incarnation
-// may have been known before.
+// noteChange queues a box whose change all boxes should receive at once: it has started,
+// or it now accepts or no longer accepts requests. known reports whether there may be an
+// earlier status of this incarnation.
 func (t *Table) noteChange(r *record, s wire.BoxStatus, known bool) {
 	if t.params.fullStatus || len(t.compact.changed) >= maxChanged {
 		return
 	}
 	started := r.Status.Seq < 0 && s.Seq <= startupBeats
-	changed := known && r.Status.Seq >= 0 && s.Seq > r.Status.Seq && (r.State() != stateOf(s) || r.Status.Callers != s.Callers)
-	if started || changed {
+	stateChanged := known && r.Status.Seq >= 0 && s.Seq > r.Status.Seq && (r.State() != stateOf(s) || r.Status.Callers != s.Callers)
+	if started || stateChanged {
 		t.compact.changed = append(t.compact.changed, s.Box)
 	}
 }
 
-// stateOf returns the state of a box; one that states none is serving.
+// stateOf returns the state of a box, which is serving if the status has none.
 func stateOf(s wire.BoxStatus) wire.ServingState {
 	return Member{
 		Status: s,
 	}.State()
 }
 
-// updateLiveness keeps what follows from time: which boxes count as alive, and whether this
-// box was paused or hears nothing, so that it can't judge others.
+// updateLiveness works out which boxes count as alive. After a pause of this process, or a
+// time without any datagram, this box reports no deaths for a while.
 func (t *Table) updateLiveness(now time.Duration) {
 	if now-t.compact.lastTick > pauseThreshold || now-t.compact.lastReceived > pauseThreshold {
 		t.compact.muteUntil = now + t.params.nearTimeout
@@ -110,12 +109,12 @@
 	}
 }
 
-// recordLiveness takes in that a box was alive; false for one that isn't known.
+// recordLiveness records that a box was alive. ok is false if its ID is unknown.
 func (t *Table) recordLiveness(v Vital, now time.Duration) (r *record, newer, ok bool) {
 	r, ok = t.compact.byID[v.ID]
 	if !ok {
-		_, old := t.compact.retired[v.ID]
-		return nil, false, old || v.ID == t.compact.selfID
+		_, retired := t.compact.retired[v.ID]
+		return nil, false, retired || v.ID == t.compact.self
 	}
 	if r == nil {
 		return nil, false, true
@@ -123,7 +122,8 @@
 	seq := expandSeq(r.Status.Seq, v.Beat)
 	newer = seq > r.Status.Seq
 	r.Status.Seq = max(r.Status.Seq, seq)
-	if lastSeen := now - v.Age; newer && lastSeen > r.Heard { // the same one told again is no later: its age lacks the time on the way
+	// The age of a relayed entry lacks its transit time, so a repeated heartbeat isn't later.
+	if lastSeen := now - v.Age; newer && lastSeen > r.Heard {
 		r.Heard = lastSeen
 		r.Seen = max(r.Seen, lastSeen)
 		r.declaredDead = r.declaredDead && lastSeen <= r.deadSince+deathSlack
@@ -132,9 +132,9 @@
 	return r, newer, true
 }
 
-// recordDeath takes in that the region of a box, or one that judges it, has heard nothing of
-// it since a time. A sign of life from later goes before it, and so does what this box
-// judges itself.
+// recordDeath records that the region or a monitor of a box has received no heartbeat of it
+// since a time. A later heartbeat and the result of this box's own monitoring take
+// precedence.
 func (t *Table) recordDeath(v Vital, now time.Duration) {
 	r := t.compact.byID[v.ID]
 	if r == nil || (r.Status.Region == t.self.Region && !t.monitoring.enabled) {
@@ -145,7 +145,7 @@
 	}
 	since := now - v.Age
 	if r.Heard > since+deathSlack {
-		r.fresh = t.alive(r, now) // so that those who believe it hear better
+		r.fresh = t.alive(r, now) // relays the refutation
 		return
 	}
 	if !r.declaredDead {
@@ -155,5 +155,5 @@
 	r.declaredDead = true
 }
 
-// expandSeq returns the number of a heartbeat from its low bits and a number near it.
+// expandSeq returns the sequence number near known that has the low bits beat.
 func expandSeq(known int, beat uint16) int { return known + int(int16(beat-uint16(known))) }
--- a/roster/loadreports.go
+++ b/roster/loadreports.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	maxReports   = 90 // replicas' words in one datagram: some 12 bytes each at most
-	reportFanout = 2  // boxes that they are told at a beat
+	maxReports   = 90 // load reports in one datagram
+	reportFanout = 2  // boxes that receive them in a tick
 )
 
-// TellsLoads says whether boxes tell each other what each has at the replicas. Among
-// many that takes too many bytes, and they tell the replicas' own words.
-func (t *Table) TellsLoads() bool { return t.params.fullStatus || t.params.loadsBytes > 0 }
+// TellsLoads reports whether boxes send each other their loads at the replicas. Where that
+// takes too many bytes they relay the load reports of the replicas.
+func (t *Table) TellsLoads() bool { return t.params.fullStatus || t.params.loads > 0 }
 
-// HeardWithin says whether a datagram of another box came within a time.
+// HeardWithin reports whether a datagram of another box was received within d.
 func (t *Table) HeardWithin(d, now time.Duration) bool { return now-t.agreement.lastContact <= d }
 
-// TellWords returns what tells two boxes of those at some addresses, whose order it
-// changes, the replicas' words. It isn't paid for by the pace: its bytes don't grow with
-// the number of boxes.
+// TellWords returns datagrams that send load reports to random ones of addrs, which it
+// reorders. They don't count against the budget, as their number doesn't grow with the number
+// of boxes.
 func (t *Table) TellWords(reports []CompactWord, addrs []string, rnd func(n int) int) []Packet {
 	if len(reports) == 0 {
 		return nil
 	}
 	b := t.header()
 	for _, report := range reports[:min(len(reports), maxReports)] {
-		report.Age += reportAgeUnit // so that it gets no younger on its way, however often it is passed on
+		report.Age += reportAgeUnit // makes up for the transit time, so that relayed reports don't get younger
 		b.Words = append(b.Words, report)
 	}
 	buf := b.encode()
--- a/roster/loadreports_test.go
+++ b/roster/loadreports_test.go
@@ -8,8 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// A word that is passed on from box to box must not get younger, or it would count for
-// ever.
+// A load report that gets younger while boxes relay it would never expire.
 func TestRelayedLoadReportsGetNoYounger(t *testing.T) {
 	is := is.New(t)
 	const transit = 2 * time.Millisecond
--- a/roster/monitor.go
+++ b/roster/monitor.go
@@ -1,11 +1,5 @@
 package roster
 
-// This file says which boxes of a large region find out that a box has died. Where one
-// datagram has room for the signs of life of all of them, each box judges all others. In a
-// larger region these come round too slowly for that: each box is then judged by a few, its
-// monitors, which it tells that it lives, and counts as alive to all others until a death is
-// told.
-
 import (
 	"cmp"
 	"slices"
@@ -14,25 +8,28 @@
 	"github.com/havenrudder/havenrudder/common/rendezvous"
 )
 
+// In a small region each box tracks the liveness of all others. In a larger one the entries
+// of all boxes don't fit one datagram, so each box sends heartbeats to a few monitors, and
+// the others consider it alive until they receive its death.
 const (
 	monitorThreshold      = 128                     // other boxes of the region from which on boxes have monitors
-	monitorsPerBox        = 3                       // of a box, so that two may die with it
-	monitorHeartbeatEvery = 2                       // ticks between two signs of life to a monitor
-	monitorProbeDelay     = 1500 * time.Millisecond // of silence from which a monitor asks for a sign of life
+	monitorsPerBox        = 3                       // two may fail together with the box
+	monitorHeartbeatEvery = 2                       // ticks
+	monitorProbeDelay     = 1500 * time.Millisecond // since the last heartbeat
 	ringKey               = "monitors"
 )
 
-// monitoring is which boxes this one judges, and which judge it.
+// monitoring records which boxes this one monitors, and which monitor it.
 type monitoring struct {
-	enabled    bool
-	ringSize   int                      // boxes of the region among which both were chosen, and their sum
-	ringDigest ID                       // the same
-	monitored  map[string]time.Duration // boxes that this one judges, and since when
-	monitors   []string                 // boxes that judge this one
+	enabled   bool
+	ringSize  int                      // boxes of the region in the current ring
+	digest    ID                       // digest of the same boxes
+	monitored map[string]time.Duration // boxes that this one monitors, and since when
+	monitors  []string                 // boxes that monitor this one
 }
 
-// chooseMonitors works out who judges whom: the boxes of the region stand in a ring, by
-// their hashes, and each is judged by those that follow it.
+// chooseMonitors places the boxes of the region in a ring by their hashes. Each box is
+// monitored by its successors.
 func (t *Table) chooseMonitors(now time.Duration) {
 	m := &t.monitoring
 	names := []string{t.self.Box}
@@ -45,14 +42,14 @@
 		t.monitoring = monitoring{}
 		return
 	}
-	if sum := digestOf(nameIDs(names)); m.monitored == nil || m.ringSize != len(names) || m.ringDigest != sum {
+	if digest := digestOf(nameIDs(names)); m.monitored == nil || m.ringSize != len(names) || m.digest != digest {
 		m.ringSize = len(names)
-		m.ringDigest = sum
+		m.digest = digest
 		t.placeInRing(names, now)
 	}
 }
 
-// placeInRing takes the neighbours of this box in the ring of some boxes.
+// placeInRing finds the neighbours of this box in the ring.
 func (t *Table) placeInRing(names []string, now time.Duration) {
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvous.Score(ringKey, a), rendezvous.Score(ringKey, b)), cmp.Compare(a, b))
@@ -73,8 +70,8 @@
 	m.monitored = monitored
 }
 
-// monitoredSilence returns for how long a box that this one judges was silent, no longer than it
-// judges it; false for a box that others judge.
+// monitoredSilence returns the time since the last heartbeat of a box, but at most since this
+// box monitors it; false if this box doesn't.
 func (t *Table) monitoredSilence(r *record, now time.Duration) (time.Duration, bool) {
 	since, ok := t.monitoring.monitored[r.box]
 	if !ok || r.Status.Region != t.self.Region {
@@ -83,8 +80,8 @@
 	return now - max(since, r.Heard), true
 }
 
-// checkMonitored takes a box that this one judges for dead once it is silent for too long, unless
-// this box can't checkMonitored others now.
+// checkMonitored declares monitored boxes dead whose heartbeats have timed out, unless this
+// box is muted.
 func (t *Table) checkMonitored(now time.Duration) {
 	if now < t.compact.muteUntil {
 		return
@@ -102,7 +99,7 @@
 	}
 }
 
-// sendToMonitors tells those that judge this box that it lives.
+// sendToMonitors sends a heartbeat to the monitors of this box.
 func (t *Table) sendToMonitors(out *outbox, c recipients) {
 	if !t.monitoring.enabled || t.compact.rounds%monitorHeartbeatEvery != 0 {
 		return
@@ -115,7 +112,7 @@
 	}
 }
 
-// refute tells boxes of the region, and who told of it, that this box is not dead.
+// refute sends a heartbeat to the monitors and to the box that reported this one as dead.
 func (t *Table) refute(out *outbox, from string) {
 	buf := t.header().encode()
 	out.send(from, buf)
--- a/roster/parse.go
+++ b/roster/parse.go
@@ -8,17 +8,16 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// maxNumber bounds the numbers of a compact datagram, so that sums of them don't
-// overflow.
+// maxNumber limits the numbers of a compact datagram, so that their sums don't overflow.
 const maxNumber = math.MaxInt32
 
-// maxNameBytes is the length of the longest name of a service or box, as in the schema.
+// maxNameBytes is the limit of the schema for names of services and boxes.
 const maxNameBytes = 64
 
-// IsCompact says whether a datagram is a compact datagram.
+// IsCompact reports whether a datagram is a compact one.
 func IsCompact(buf []byte) bool { return len(buf) > 0 && buf[0] == compactMagic }
 
-// DecodeCompact reads a compact datagram and checks it.
+// DecodeCompact decodes and validates a compact datagram.
 func DecodeCompact(buf []byte) (Compact, error) {
 	if !IsCompact(buf) {
 		return Compact{}, ErrCompact
@@ -46,7 +45,7 @@
 	b.Lapses = p.number()
 	b.Vitals = parseList(&p, livenessBytes, p.liveness)
 	b.Silent = parseList(&p, livenessBytes, p.liveness)
-	id := func() ID { return ID(p.uint32()) }
+	id := func() ID { return ID(p.fixed32()) }
 	b.Leaving = parseList(&p, 4, id)
 	b.Unknown = parseList(&p, 4, id)
 	b.Loads = parseList(&p, 8, p.load)
@@ -69,13 +68,12 @@
 	return b, nil
 }
 
-// parser reads the parts of a compact datagram. After the first mistake it gives zeros.
+// parser decodes the parts of a compact datagram. After the first error it returns zeros.
 type parser struct {
 	rest   []byte
 	failed bool
 }
 
-// next returns the next n bytes.
 func (p *parser) next(n int) []byte {
 	if p.failed || n > len(p.rest) {
 		p.failed = true
@@ -86,13 +84,11 @@
 	return out
 }
 
-// byte reads one byte.
 func (p *parser) byte() byte { return p.next(1)[0] }
 
-// uint32 reads the uint32 bytes of an ID.
-func (p *parser) uint32() uint32 { return binary.BigEndian.Uint32(p.next(4)) }
+func (p *parser) fixed32() uint32 { return binary.BigEndian.Uint32(p.next(4)) }
 
-// uvarint reads a revision, or any number of up to 63 bits.
+// uvarint decodes a number of up to 63 bits.
 func (p *parser) uvarint() int64 {
 	n, used := binary.Uvarint(p.rest)
 	if used <= 0 || n > math.MaxInt64 {
@@ -103,7 +99,7 @@
 	return int64(n)
 }
 
-// number reads a number of up to maxNumber.
+// number decodes a number of up to maxNumber.
 func (p *parser) number() int {
 	n := p.uvarint()
 	if n > maxNumber {
@@ -113,19 +109,17 @@
 	return int(n)
 }
 
-// liveness reads what appendVital writes.
 func (p *parser) liveness() Vital {
 	return Vital{
-		ID:   ID(p.uint32()),
+		ID:   ID(p.fixed32()),
 		Beat: binary.BigEndian.Uint16(p.next(2)),
 		Age:  time.Duration(p.byte()) * ageUnit,
 	}
 }
 
-// load reads what appendLoad writes.
 func (p *parser) load() CompactLoad {
 	out := CompactLoad{
-		Replica: ReplicaID(p.uint32()),
+		Replica: ReplicaID(p.fixed32()),
 	}
 	out.Load = wire.ReplicaLoad{
 		InFlight: p.number(),
@@ -133,16 +127,15 @@
 		Prompt:   p.number() * tokenUnit,
 		Reads:    p.number() * tokenUnit,
 	}
-	if segments := parseList(p, 4, func() int { return int(p.uint32()) }); len(segments) > 0 {
+	if segments := parseList(p, 4, func() int { return int(p.fixed32()) }); len(segments) > 0 {
 		out.Load.Kept = segments
 	}
 	return out
 }
 
-// loadReport reads what appendWord writes.
 func (p *parser) loadReport() CompactWord {
 	out := CompactWord{
-		Replica: ReplicaID(p.uint32()),
+		Replica: ReplicaID(p.fixed32()),
 		Age:     time.Duration(p.byte()) * reportAgeUnit,
 	}
 	requests := p.number()
@@ -153,7 +146,6 @@
 	return out
 }
 
-// regionCapacity reads what appendRooms writes.
 func (p *parser) regionCapacity() CompactRooms {
 	return CompactRooms{
 		From:  p.liveness(),
@@ -161,7 +153,6 @@
 	}
 }
 
-// serviceCapacity reads what one service of a region can take.
 func (p *parser) serviceCapacity() wire.ServiceRoom {
 	return wire.ServiceRoom{
 		Service: p.text(),
@@ -172,7 +163,6 @@
 	}
 }
 
-// text reads what appendText writes.
 func (p *parser) text() string {
 	n := p.number()
 	if n == 0 || n > maxNameBytes {
@@ -181,14 +171,13 @@
 	return string(p.next(min(n, maxNameBytes)))
 }
 
-// token reads what marks a question, which is never 0.
+// token decodes the token of a check, which is never 0.
 func (p *parser) token() ID {
-	id := ID(p.uint32())
+	id := ID(p.fixed32())
 	p.failed = p.failed || id == 0
 	return id
 }
 
-// absent reads a box that is gone.
 func (p *parser) absent() Absence {
 	return Absence{
 		Box: p.text(),
@@ -196,7 +185,7 @@
 	}
 }
 
-// parseList reads a list whose entries take some bytes at least.
+// parseList decodes a list whose elements take at least some number of bytes each.
 func parseList[T any](p *parser, least int, one func() T) []T {
 	n := p.number()
 	if p.failed || n > len(p.rest)/least {
--- a/roster/receive.go
+++ b/roster/receive.go
@@ -7,17 +7,17 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Heard is what a compact datagram says to a box, beside what its table keeps.
+// Heard is what a caller needs of a compact datagram, beside the updates of the table.
 type Heard struct {
-	Sender  string // the box that sent it; empty for one that isn't known yet
+	Sender  string // empty if there is no record of the box
 	Status  wire.BoxStatus
 	Loads   []CompactLoad
-	All     bool     // the loads are all that matter
-	Newer   bool     // it is no late or repeated one
+	All     bool     // Loads has all significant loads
+	Newer   bool     // false for a late or repeated datagram
 	Replies []Packet // to send at once
 }
 
-// HearCompact takes a compact datagram in that came from an address.
+// HearCompact handles a compact datagram received from an address.
 func (t *Table) HearCompact(b Compact, from string, now time.Duration) Heard {
 	t.compact.lastReceived = now
 	t.recordContact(now)
@@ -50,7 +50,7 @@
 	return h
 }
 
-// recordSender takes in what the sender says of itself.
+// recordSender updates the record of the sender.
 func (t *Table) recordSender(r *record, b Compact, newer bool) Heard {
 	if newer {
 		s := r.Status
@@ -83,8 +83,8 @@
 	}
 }
 
-// recordOthers takes in which other boxes live and which don't, and asks for those
-// not known.
+// recordOthers records the liveness, deaths and departures of other boxes, and requests the
+// status of unknown ones.
 func (t *Table) recordOthers(out *outbox, b Compact, sender *record, from string, now time.Duration) {
 	var unknown []ID
 	for _, v := range b.Vitals {
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, v := range b.Silent {
-		if v.ID == t.compact.selfID && t.monitoring.enabled {
+		if v.ID == t.compact.self && t.monitoring.enabled {
 			t.refute(out, from)
 			continue
 		}
@@ -116,7 +116,7 @@
 	out.send(from, q.encode())
 }
 
-// recordCapacity takes in what other regions can take.
+// recordCapacity records the capacity of other regions.
 func (t *Table) recordCapacity(b Compact, now time.Duration) {
 	for _, capacity := range b.Rooms {
 		r := t.compact.byID[capacity.From.ID]
@@ -129,7 +129,7 @@
 	}
 }
 
-// sendStatuses sends the statuses that another box asks for.
+// sendStatuses sends the statuses that another box requests.
 func (t *Table) sendStatuses(out *outbox, ids []ID, from string, now time.Duration) {
 	var list []wire.BoxStatus
 	for _, id := range ids {
--- a/roster/round.go
+++ b/roster/round.go
@@ -8,8 +8,8 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Adapt begins a tick: it works the pace out from the number of boxes, and forgets
-// those silent for long.
+// Adapt starts a tick: it adapts the parameters to the number of boxes, expires members, and
+// updates the liveness of the others.
 func (t *Table) Adapt(now time.Duration) {
 	t.removeExpired(now)
 	t.updateParams(now)
@@ -21,10 +21,9 @@
 	t.compact.statusReplies = 0
 }
 
-// Round returns what a box among many sends at this tick, within its budget of
-// bytes: news, one full datagram with the signs of life of its region, and light ones
-// with the loads alone to as many boxes as are paid for. self is what it says of itself.
-// Adapt goes before it.
+// Round returns the compact datagrams to send at this tick within the budget: changes, probes,
+// one liveness datagram, and loads to as many boxes as the budget allows. self is the status
+// of this box. Call Adapt first.
 func (t *Table) Round(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	t.setSelf(self)
 	l := &t.compact
@@ -50,22 +49,21 @@
 	return append(out.packets, t.checkPackets(now)...)
 }
 
-// recipients is the boxes alive at one moment.
+// recipients holds the boxes alive at one time, and the loads that they receive.
 type recipients struct {
 	all      []*record
-	near     map[string]*record   // of the own region
-	far      map[string][]*record // of the others
+	near     map[string]*record   // of the own region, by name
+	far      map[string][]*record // by region
 	loads    []CompactLoad
-	allLoads bool // loads are all that matter
+	allLoads bool // loads has all significant ones
 }
 
-// recipients returns the boxes alive at now, and the loads that are told them.
 func (t *Table) recipients(now time.Duration) recipients {
 	c := recipients{
 		near: make(map[string]*record),
 		far:  make(map[string][]*record),
 	}
-	c.loads, c.allLoads = t.ownLoads()
+	c.loads, c.allLoads = t.loads()
 	for _, r := range t.order {
 		if t.alive(r, now) {
 			c.all = append(c.all, r)
@@ -81,15 +79,15 @@
 	return c
 }
 
-// setSelf takes in what this box says of itself.
+// setSelf updates the status of this box.
 func (t *Table) setSelf(self wire.BoxStatus) {
-	t.compact.selfID = IDOf(self.Box, self.Inc)
+	t.compact.self = IDOf(self.Box, self.Inc)
 	t.compact.selfStatus = self
 	t.compact.newestRevision = max(t.compact.newestRevision, int64(self.Catalog))
 }
 
-// Loads returns the datagrams that tell loads at once to the next boxes of the
-// region, when bytes are left for it.
+// Loads returns datagrams that send the loads to the next boxes of the region at once, as far
+// as the budget allows.
 func (t *Table) Loads(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	t.setSelf(self)
 	out := &outbox{
@@ -100,19 +98,19 @@
 	return out.packets
 }
 
-// nextNear returns the next box of the own region: all of them in a random order,
-// then all again in another one.
+// nextNear returns the next box of the own region, cycling through all of them in an order
+// that is shuffled for each cycle.
 func (t *Table) nextNear(c recipients, rnd func(n int) int) (*record, bool) {
 	for range 2 {
-		for len(t.compact.nearQueue) > 0 {
-			box := t.compact.nearQueue[0]
-			t.compact.nearQueue = t.compact.nearQueue[1:]
+		for len(t.compact.near) > 0 {
+			box := t.compact.near[0]
+			t.compact.near = t.compact.near[1:]
 			if r, ok := c.near[box]; ok {
 				return r, true
 			}
 		}
-		t.compact.nearQueue = slices.Sorted(maps.Keys(c.near))
-		shuffle(t.compact.nearQueue, rnd)
+		t.compact.near = slices.Sorted(maps.Keys(c.near))
+		shuffle(t.compact.near, rnd)
 	}
 	return nil, false
 }
@@ -120,20 +118,19 @@
 // nextFar returns a random box of the next other region.
 func (t *Table) nextFar(c recipients, rnd func(n int) int) (*record, bool) {
 	for range 2 {
-		for len(t.compact.farQueue) > 0 {
-			region := t.compact.farQueue[0]
-			t.compact.farQueue = t.compact.farQueue[1:]
+		for len(t.compact.farRegions) > 0 {
+			region := t.compact.farRegions[0]
+			t.compact.farRegions = t.compact.farRegions[1:]
 			if list := c.far[region]; len(list) > 0 {
 				return list[rnd(len(list))], true
 			}
 		}
-		t.compact.farQueue = slices.Sorted(maps.Keys(c.far))
-		shuffle(t.compact.farQueue, rnd)
+		t.compact.farRegions = slices.Sorted(maps.Keys(c.far))
+		shuffle(t.compact.farRegions, rnd)
 	}
 	return nil, false
 }
 
-// shuffle puts a list in a random order.
 func shuffle(list []string, rnd func(n int) int) {
 	for i := len(list) - 1; i > 0; i-- {
 		j := rnd(i + 1)
@@ -141,7 +138,7 @@
 	}
 }
 
-// sortByRelay orders records: those passed on longest ago first, then the latest heard.
+// sortByRelay sorts records: fresh ones, those relayed longest ago, then the latest seen.
 func sortByRelay(list []*record) {
 	sortByTurn(list, func(r *record) bool { return r.fresh }, func(r *record) int { return r.relayedRound })
 }
--- a/roster/send.go
+++ b/roster/send.go
@@ -1,8 +1,5 @@
 package roster
 
-// This file says what each kind of datagram among many boxes holds and which boxes
-// get it; round.go says when they are sent.
-
 import (
 	"maps"
 	"slices"
@@ -11,7 +8,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// sendChanges passes on which boxes have begun, serve or leave, in whole statuses.
+// sendChanges relays the full statuses of boxes that have started, serve or leave.
 func (t *Table) sendChanges(out *outbox, c recipients, rnd func(n int) int) {
 	l := &t.compact
 	n := min(len(l.changed), maxChangesPerTick)
@@ -34,7 +31,7 @@
 	}
 }
 
-// sendRevision tells a few boxes at once that there is a newer revision.
+// sendRevision announces a newer catalog revision to a few boxes at once.
 func (t *Table) sendRevision(out *outbox, c recipients, rnd func(n int) int) {
 	if t.compact.newestRevision <= t.compact.sentRevision {
 		return
@@ -46,13 +43,13 @@
 	}
 }
 
-// sendCatalogRead tells a few boxes of the region at once that the publisher was read of late,
-// and they pass it on: by the full datagrams alone that takes a region of 200 boxes longer
-// than a reading counts, and each of them reads for itself. It isn't paid for by the pace.
+// sendCatalogRead sends a recent read of the publisher to a few boxes of the region at once,
+// which relay it. Liveness datagrams alone would take longer in a large region than a read is
+// valid, and each box would read for itself. It doesn't count against the budget.
 func (t *Table) sendCatalogRead(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
-	said := t.compact.selfStatus
-	at := now - time.Duration(said.ReadMs)*time.Millisecond
-	if said.ReadMs == 0 || at-t.compact.sentReadAt < minReadAdvance {
+	selfStatus := t.compact.selfStatus
+	at := now - time.Duration(selfStatus.ReadMs)*time.Millisecond
+	if selfStatus.ReadMs == 0 || at-t.compact.sentReadAt < minReadAdvance {
 		return
 	}
 	t.compact.sentReadAt = at
@@ -63,7 +60,7 @@
 	}
 }
 
-// sendDeaths tells a few boxes at once of a death just known; they pass it on.
+// sendDeaths sends newly recorded deaths to a few boxes at once, which relay them.
 func (t *Table) sendDeaths(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
 	if !t.compact.newDeaths {
 		return
@@ -80,8 +77,8 @@
 	}
 }
 
-// probeSilent tries boxes that fell silent and, more rarely, the seeds, so that
-// parts of a fleet that were cut off meet again.
+// probeSilent sends to silent members and, less often, to the seeds, so that parts of the
+// fleet meet again after a partition.
 func (t *Table) probeSilent(out *outbox, now time.Duration, rnd func(n int) int) {
 	buf := t.header().encode()
 	if t.compact.rounds%silentProbeEvery == 0 {
@@ -101,9 +98,8 @@
 	}
 }
 
-// sendProbes asks boxes of the region for a sign of life that are about to count as
-// dead, and a box of each other region that is, so that a box which only few others
-// heard of by chance isn't taken for dead.
+// sendProbes requests a heartbeat from boxes of the region and from regions whose timeout is
+// near, so that a box isn't declared dead because its heartbeats reached few others.
 func (t *Table) sendProbes(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
 	b := t.header()
 	b.Ping = true
@@ -124,7 +120,7 @@
 	}
 }
 
-// isSuspect says whether a box of the region is about to count as dead.
+// isSuspect reports whether the timeout of a box of the region is near.
 func (t *Table) isSuspect(r *record, now time.Duration) bool {
 	if !t.monitoring.enabled {
 		return now-r.Heard > t.params.nearTimeout*probePercent/percent
@@ -133,8 +129,8 @@
 	return mine && silent > monitorProbeDelay
 }
 
-// sendLiveness sends a full datagram, with signs of life, to the next box of the region
-// or, at times, of another one.
+// sendLiveness sends a liveness datagram to the next box of the region or, in some rounds, of
+// another region.
 func (t *Table) sendLiveness(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
 	if t.compact.rounds%farLivenessEvery == 0 {
 		if m, ok := t.nextFar(c, rnd); ok {
@@ -147,20 +143,19 @@
 	}
 }
 
-// sendLoads sends light datagrams, with the header and the loads only, to more boxes
-// of the region, each once at most.
+// sendLoads sends datagrams with the loads only to more boxes of the region, one to each.
 func (t *Table) sendLoads(out *outbox, c recipients, rnd func(n int) int) {
 	b := t.header()
 	b.Loads, b.Loaded = c.loads, c.allLoads
 	buf := b.encode()
-	for sent := 1; sent < len(c.near) && out.hasBudget(); sent++ { // the full datagram was the first
+	for sent := 1; sent < len(c.near) && out.hasBudget(); sent++ { // the liveness datagram is the first
 		if m, ok := t.nextNear(c, rnd); ok {
 			out.send(m.Status.Peers, buf)
 		}
 	}
 }
 
-// encodeStatuses returns a datagram with whole statuses.
+// encodeStatuses returns a datagram of full statuses.
 func (t *Table) encodeStatuses(others []wire.BoxStatus, ask bool) []byte {
 	from := t.compact.selfStatus
 	from.Loads = nil
@@ -171,12 +166,12 @@
 		Ask:    ask,
 	})
 	if err != nil {
-		return nil // Encode leaves out what doesn't fit; a bare status that doesn't is told nowhere
+		return nil // Encode leaves out what doesn't fit; a bare status that doesn't is never sent
 	}
 	return buf
 }
 
-// staticStatus returns the status without what changes all the time.
+// staticStatus returns the status without its loads and its capacity.
 func (r *record) staticStatus() wire.BoxStatus {
 	s := r.Status
 	s.Loads = nil
--- a/roster/table.go
+++ b/roster/table.go
@@ -1,6 +1,6 @@
-// Package roster knows the boxes of all regions from the heartbeats they
-// gossip. A Table is pure: time comes in as an argument, and nothing is sent
-// from it. A Link carries the datagrams.
+// Package roster maintains the membership of the boxes of all regions from the
+// heartbeats that they gossip. A Table has neither a clock nor a socket: callers pass
+// in the time and send the datagrams that it returns. A Link sends and receives them.
 package roster
 
 import (
@@ -12,76 +12,76 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Ages of what was heard.
+// Times since the last heartbeat of a box.
 const (
-	aliveTimeout    = 2500 * time.Millisecond // ten ticks: several lost datagrams in a row are no death
-	maxAliveWindow  = 12 * time.Second        // a box that others no longer hear has given up its share of a quota by then
-	partitionWindow = time.Minute             // a cut of the network heals within this time as a rule
-	memberTTL       = 10 * time.Minute        // as for the members of a failure domain, package membership
+	aliveTimeout    = 2500 * time.Millisecond // tolerates several lost datagrams in a row
+	maxAliveWindow  = 12 * time.Second        // by then a box that others consider dead has given up its share of a quota
+	partitionWindow = time.Minute             // a network partition usually heals within it
+	memberTTL       = 10 * time.Minute        // as for the members of a failure domain in package membership
 )
 
-// Member is what is known of one box. Its status is shared: read it only.
+// Member is the record of one box. Its status is shared and must not be modified.
 type Member struct {
 	Status wire.BoxStatus
-	Heard  time.Duration // our clock when it was last known to be alive, by its own or others' word
-	Seen   time.Duration // our clock when it last counted as alive; quotas are divided by it
-	Told   time.Duration // our clock when its rooms were as they are stated
-	Known  time.Duration // our clock when this incarnation was first heard
+	Heard  time.Duration // local time of the last heartbeat, received directly or relayed
+	Seen   time.Duration // local time at which the box last counted as alive; quotas are divided by it
+	Told   time.Duration // local time of the reported capacity
+	Known  time.Duration // local time at which this incarnation was first received
 }
 
-// State returns the state of the box; a box that states none is serving.
+// State returns the state of the box, which is serving if its status has none.
 func (m Member) State() wire.ServingState {
 	return cmp.Or(m.Status.State, wire.ServingStateServing)
 }
 
-// record is a member with what the table needs to keep it. The loads and the
-// rooms have numbers of their own, as not every status carries them.
+// record is a member with the bookkeeping of the table. Loads and capacity have sequence
+// numbers of their own, since not every status carries them.
 type record struct {
 	Member
 	box             string
-	loadsSeq        int  // heartbeat that brought the loads; -1 for none
-	capacitySeq     int  // heartbeat that brought the rooms; -1 for none
-	nextDigest      int  // digest from which on it may be passed on again
-	fresh           bool // another region's box sent it itself, and it was not passed on yet
+	loadsSeq        int  // heartbeat that carried the loads; -1 for none
+	capacitySeq     int  // heartbeat that carried the capacity; -1 for none
+	nextDigest      int  // first digest that may relay the status again
+	fresh           bool // received from another region and not relayed yet
 	id              ID
-	relayedRound    int           // round in which it was last passed on in a compact datagram
-	declaredDead    bool          // its region says that it is dead, and nothing newer was heard
-	deadSince       time.Duration // our clock when its region heard it last, where it is silent
-	deathAnnounced  bool          // this box of the own region was found to be dead, and others were told at once
-	capacityRelayed time.Duration // as of when its rooms were last passed on
-	minClockOffset  time.Duration // least that our clock was ahead of the box's time since its start, its words' way with it
-	hasClockOffset  bool          // ahead is known
+	relayedRound    int           // round in which a compact datagram last relayed it
+	declaredDead    bool          // by its region or its monitors, and not refuted by a later heartbeat
+	deadSince       time.Duration // local time of the last heartbeat that its region received, if declared dead
+	deathAnnounced  bool          // this box considers a box of its region dead and has announced that
+	capacityRelayed time.Duration // time of the capacity that was last relayed
+	clockOffset     time.Duration // smallest difference between the local time of receipt and the uptime of the box
+	hasClockOffset  bool          // minClockOffset is set
 }
 
-// Table is the view of one box. It belongs to one actor.
+// Table is the membership as one box records it. It isn't safe for concurrent use.
 type Table struct {
 	self           wire.BoxStatus
 	seeds          []string
 	records        map[string]*record
-	order          []*record // the same, by name
+	order          []*record // sorted by name
 	ticks          int       // calls of Targets
 	digestCount    int       // calls of Digest
-	nearCursor     int       // first of the own region's members to send to next
-	silentCursor   int       // first of the silent members to send to next
-	params         protocolParams
+	nearCursor     int       // next member of the own region to send to
+	silentCursor   int       // next silent member to send to
+	params         params
 	compact        compactState
-	domainLastSeen map[string]time.Duration // failure domains of the own region, and our clock at the latest sign of life of any of their boxes
+	domainLastSeen map[string]time.Duration // last heartbeat of any box, by failure domain of the own region
 
 	agreement  agreement
 	monitoring monitoring
 }
 
-// Option changes a table that is made.
+// Option configures a Table.
 type Option func(*Table)
 
-// WithSeeds names addresses of other boxes to begin with, as IP:port. They may
-// be stale or down, and the own one is passed over.
+// WithSeeds sets addresses of boxes to contact at the start, as IP:port. They may be
+// stale or down, and the box's own address is ignored.
 func WithSeeds(seeds []string) Option {
 	return func(t *Table) { t.seeds = slices.Clone(seeds) }
 }
 
-// New returns the table of the box self that knows of no other. Of self it uses
-// the name, the region and the address for datagrams.
+// New returns the table of the box self, without any other box. It uses the name, the
+// region and the gossip address of self.
 func New(self wire.BoxStatus, opts ...Option) *Table {
 	t := &Table{
 		self:           self,
@@ -95,18 +95,17 @@
 	for _, opt := range opts {
 		opt(t)
 	}
-	t.setSelf(self) // others may ask before the first round
+	t.setSelf(self) // other boxes may send requests before the first round
 	t.seeds = slices.DeleteFunc(t.seeds, func(addr string) bool { return addr == self.Peers })
 	return t
 }
 
-// Hear takes the status of another box in at now, and says whether it changed
-// anything. direct says that the box itself sent it. A status that is older than
-// the one known, or the same, is a late or repeated message: it doesn't show that
-// the box is alive, but what it alone carries is kept.
+// Hear records a status of another box that was received at now, and reports whether it
+// changed anything. direct means that the box itself sent it. An older or repeated status
+// doesn't show that the box is alive, but the table keeps what only that status carries.
 func (t *Table) Hear(s wire.BoxStatus, direct bool, now time.Duration) bool {
 	if s.Box == t.self.Box {
-		return false // our own words, or those of a process that had our name
+		return false // from this box, or from an earlier process of the same name
 	}
 	if direct {
 		t.recordContact(now)
@@ -141,14 +140,14 @@
 	return changed
 }
 
-// update takes in a status of the incarnation that the record is of.
+// update records a status of the incarnation of the record.
 func (r *record) update(s wire.BoxStatus, direct bool, now time.Duration) bool {
 	loads, capacity := r.Status.Loads, r.Status.Rooms
 	newLoads := direct && s.Seq > r.loadsSeq
 	if newLoads {
 		loads, r.loadsSeq = s.Loads, s.Seq
 	}
-	// Second-hand statuses may come without capacity, so none says nothing there.
+	// Relayed statuses may lack the capacity, so there an empty list has no meaning.
 	newCapacity := (direct || len(s.Rooms) > 0) && s.Seq > r.capacitySeq
 	if newCapacity {
 		capacity, r.capacitySeq = s.Rooms, s.Seq
@@ -160,7 +159,7 @@
 	if newer {
 		r.Status = s
 		r.Told = now
-		if direct || !r.declaredDead { // what others pass on may be old
+		if direct || !r.declaredDead { // a relayed heartbeat may predate the death
 			r.Heard = now
 			r.Seen = now
 			r.declaredDead = false
@@ -169,29 +168,27 @@
 	r.Status.Loads = loads
 	r.Status.Rooms = capacity
 	if left {
-		r.Status.State = leaving // an incarnation that leaves does not come back
+		r.Status.State = leaving // an incarnation that leaves never serves again
 	}
 	return newer || newLoads || newCapacity || newState
 }
 
-// Members returns every known box but its own, by name.
+// Members returns all recorded boxes but this one, by name.
 func (t *Table) Members() []Member {
 	return t.members(func(*record) bool { return true })
 }
 
-// All goes through every known box but its own, by name. What it gives is the table's:
-// it is read only, and only until the table is next told anything. Unlike Members it
-// takes no memory, of which 295 boxes took 88 KB for each request.
+// All iterates over all recorded boxes but this one, by name. Unlike Members it doesn't
+// allocate: the members belong to the table, are read-only, and are valid until it changes.
 func (t *Table) All() iter.Seq[*Member] {
 	return t.each(func(*record) bool { return true })
 }
 
-// AllServing is Serving as All gives it.
+// AllServing iterates over the members that Serving returns, in the manner of All.
 func (t *Table) AllServing(region string, now time.Duration) iter.Seq[*Member] {
 	return t.each(func(r *record) bool { return t.isServing(r, region, now) })
 }
 
-// each goes through the members for which keep says true.
 func (t *Table) each(keep func(*record) bool) iter.Seq[*Member] {
 	return func(yield func(*Member) bool) {
 		for _, r := range t.order {
@@ -202,7 +199,6 @@
 	}
 }
 
-// members returns the members for which keep says true.
 func (t *Table) members(keep func(*record) bool) []Member {
 	var out []Member
 	for _, r := range t.order {
@@ -213,7 +209,7 @@
 	return out
 }
 
-// insert puts a record in the place of one of the same box, or in a new one.
+// insert adds a record, or replaces that of the same box.
 func (t *Table) insert(box string, r *record) {
 	at, found := t.position(box)
 	if found {
@@ -224,7 +220,6 @@
 	t.records[box] = r
 }
 
-// remove drops the record of a box.
 func (t *Table) remove(box string) {
 	if at, found := t.position(box); found {
 		t.order = slices.Delete(t.order, at, at+1)
@@ -232,17 +227,16 @@
 	delete(t.records, box)
 }
 
-// position returns where the record of a box stands or belongs.
+// position returns the index of the record of a box, or where to insert it.
 func (t *Table) position(box string) (at int, found bool) {
 	return slices.BinarySearchFunc(t.order, box, func(r *record, box string) int { return cmp.Compare(r.box, box) })
 }
 
-// aliveMembers returns the members alive at now.
 func (t *Table) aliveMembers(now time.Duration) []Member {
 	return t.members(func(r *record) bool { return t.alive(r, now) })
 }
 
-// Alive says whether name was heard of late at now. The own box always is.
+// Alive reports whether a box counts as alive at now. The own box always does.
 func (t *Table) Alive(name string, now time.Duration) bool {
 	if name == t.self.Box {
 		return true
@@ -251,21 +245,19 @@
 	return ok && t.alive(r, now)
 }
 
-// Serving returns the boxes of a region that are alive at now and take new work,
-// by name, without its own. An empty region stands for all.
+// Serving returns the other boxes of a region that are alive at now and accept new work,
+// by name. An empty region stands for all.
 func (t *Table) Serving(region string, now time.Duration) []Member {
 	return t.members(func(r *record) bool { return t.isServing(r, region, now) })
 }
 
-// isServing says whether a box is one of a region that is alive and takes new work.
 func (t *Table) isServing(r *record, region string, now time.Duration) bool {
 	return inRegion(region, r.Status.Region) && r.State() == wire.ServingStateServing && t.alive(r, now)
 }
 
-// MostIn returns how many boxes of a region may have been alive at one time of
-// late, in whatever state, its own with them. It errs to the high side: a quota
-// that each box divides by it is not exceeded while boxes come and go. An empty
-// region stands for all.
+// MostIn returns an upper bound of the boxes of a region that were recently alive at the
+// same time, in any state and with the own box. A quota that each box divides by it isn't
+// exceeded while boxes come and go. An empty region stands for all.
 func (t *Table) MostIn(region string, now time.Duration) int {
 	n := 0
 	if inRegion(region, t.self.Region) {
@@ -282,10 +274,9 @@
 // Most is MostIn over all regions.
 func (t *Table) Most(now time.Duration) int { return t.MostIn("", now) }
 
-// inRegion says whether a region is the one asked for; an empty one stands for all.
+// inRegion reports whether the region of a box matches a filter; an empty one matches all.
 func inRegion(region, of string) bool { return region == "" || region == of }
 
-// removeExpired drops the members that were silent for long.
 func (t *Table) removeExpired(now time.Duration) {
 	for name, r := range t.records {
 		if now-r.Heard > memberTTL {
--- a/roster/targets.go
+++ b/roster/targets.go
@@ -7,25 +7,22 @@
 	"time"
 )
 
-// Tick is the time between two rounds of datagrams within a region: a quarter
-// second lets a box's loads be known before they have changed much.
+// Tick is the time between two rounds of heartbeats within a region.
 const Tick = 250 * time.Millisecond
 
-// Whom to send to at which tick.
 const (
-	maxNearTargets   = 16 // members of the own region at a tick: 64 datagrams a second at most
-	targetsPerRegion = 2  // members of each other region, so that one lost datagram is no matter
-	farEvery         = 4  // ticks; other regions need no loads, and bytes to them have a price
-	startupTicks     = 8  // first ticks of a box, at each of which other regions are sent to as well: it makes itself known within two seconds
-	maxUrgentTargets = 64 // of news that can't wait; more boxes hear of it from these
-	silentProbeEvery = 4  // ticks; once a second is soon enough to notice that a cut has healed
-	seedProbeEvery   = 10 // ticks; seeds are mostly members, too
-	minAlive         = 2  // with fewer boxes alive than this, the seeds are asked at each tick
+	maxNearTargets   = 16 // members of the own region in a tick
+	targetsPerRegion = 2  // members of each other region, so that the loss of one datagram is harmless
+	farEvery         = 4  // ticks; other regions need no loads, and traffic between regions has a price
+	startupTicks     = 8  // first ticks of a box, each of which also sends to other regions
+	maxUrgentTargets = 64 // of an urgent update; others receive it from these
+	silentProbeEvery = 4  // ticks
+	seedProbeEvery   = 10 // ticks
+	minAlive         = 2  // with fewer live boxes, each tick sends to the seeds
 )
 
-// Targets returns the addresses to send to at this tick, each once. It is called
-// once each Tick, and counts its calls. rnd returns a random number from 0 to
-// n-1. Members that were silent for long are forgotten here.
+// Targets returns the distinct addresses to send to at this tick. It counts its calls, of
+// which each Tick has one, and expires members. rnd returns a random number from 0 to n-1.
 func (t *Table) Targets(now time.Duration, rnd func(n int) int) []string {
 	t.removeExpired(now)
 	tick := t.ticks
@@ -50,8 +47,8 @@
 	return out.list
 }
 
-// Everyone returns the addresses of all members alive, and the seeds, for news
-// that can't wait for the next tick: 64 at most, those of the own region first.
+// Everyone returns the addresses of live members, those of the own region first, and the
+// seeds, up to the limit for urgent updates.
 func (t *Table) Everyone(now time.Duration) []string {
 	alive := t.aliveMembers(now)
 	slices.SortStableFunc(alive, func(a, b Member) int {
@@ -65,8 +62,8 @@
 	return out.list[:min(len(out.list), maxUrgentTargets)]
 }
 
-// OwnRegion returns the addresses of the members alive of the own region, as many
-// as a tick is sent to.
+// OwnRegion returns the addresses of live members of the own region, up to the limit of a
+// tick.
 func (t *Table) OwnRegion(now time.Duration) []string {
 	out := targets{
 		own: t.self.Peers,
@@ -75,7 +72,7 @@
 	return out.list
 }
 
-// regionRank orders members: those of the own region come first.
+// regionRank sorts members of the own region first.
 func (t *Table) regionRank(m Member) int {
 	if m.Status.Region == t.self.Region {
 		return 0
@@ -83,7 +80,7 @@
 	return 1
 }
 
-// nearTargets returns members of the own region, in turn when they are many.
+// nearTargets returns members of the own region, cycling if there are many.
 func (t *Table) nearTargets(alive []Member) []Member {
 	own := slices.DeleteFunc(slices.Clone(alive), func(m Member) bool {
 		return m.Status.Region != t.self.Region
@@ -106,8 +103,7 @@
 	return out
 }
 
-// recentlySilent returns members that were silent for a short time, in turn when they
-// are many.
+// recentlySilent returns dead members seen within partitionWindow, cycling if there are many.
 func (t *Table) recentlySilent(now time.Duration) []Member {
 	silent := t.members(func(r *record) bool {
 		return !t.alive(r, now) && now-r.Heard < partitionWindow
@@ -115,14 +111,14 @@
 	return rotate(silent, &t.silentCursor)
 }
 
-// longSilent returns one member that was silent for longer, at random: two parts
-// of the fleet meet again after a long cut also when no seed is up.
+// longSilent returns a random member not seen within partitionWindow, so that parts of the
+// fleet meet again after a long partition even if no seed is up.
 func (t *Table) longSilent(now time.Duration, rnd func(n int) int) []Member {
 	silent := t.members(func(r *record) bool { return now-r.Heard >= partitionWindow })
 	return pickRandom(silent, 1, rnd)
 }
 
-// rotate returns up to ownTargets members from *turn on, and moves it past them.
+// rotate returns up to maxNearTargets members from the cursor on, and advances the cursor.
 func rotate(list []Member, turn *int) []Member {
 	if len(list) <= maxNearTargets {
 		return list
@@ -135,8 +131,8 @@
 	return out
 }
 
-// pickRandom moves n random members, or all when there are fewer, to the head of list
-// and returns them.
+// pickRandom moves n random elements, or all if there are fewer, to the front of list and
+// returns them.
 func pickRandom[T any](list []T, n int, rnd func(n int) int) []T {
 	n = min(n, len(list))
 	for i := range n {
@@ -146,20 +142,18 @@
 	return list[:n]
 }
 
-// targets collects addresses, each once, without the own one.
+// targets collects distinct addresses, without the own one.
 type targets struct {
 	own  string
 	list []string
 }
 
-// addMembers adds the addresses of members.
 func (o *targets) addMembers(members []Member) {
 	for _, m := range members {
 		o.addAddrs([]string{m.Status.Peers})
 	}
 }
 
-// addAddrs adds the addresses that are new.
 func (o *targets) addAddrs(list []string) {
 	for _, addr := range list {
 		if addr != "" && addr != o.own && !slices.Contains(o.list, addr) {
