--- a/roster/agreement.go
+++ b/roster/agreement.go
@@ -17,9 +17,9 @@
 
 	checkInterval    = 500 * time.Millisecond // between two checks to a box; longer than a round trip between regions
 	maxChecksPerTick = 6
-	maxInlineNames   = 24               // boxes of a region; above it a check carries the digest of the names in their place
-	namesEvery       = 4                // ticks, in one of which the first check carries the names in any case
-	maxAbsent        = 8                // names in one answer
+	maxInlineNames   = 24 // boxes of a region; above it a check carries the digest of the names in their place
+	namesEvery       = 4  // ticks, in one of which the first check carries the names in any case
+	maxAbsent        = 8
 	aloneTimeout     = 3 * time.Second  // after which a box without seeds considers its list complete
 	seedTimeout      = 10 * time.Second // after which the agreement of the region suffices if no seed answers
 )
@@ -42,12 +42,12 @@
 // one asked had a record of the earlier one, so the later one has asked that box, which
 // thereby has a record of it. The exception is boxes that no path connects.
 type agreement struct {
-	agreed       map[string]bool          // names of boxes
+	agreed       map[string]bool
 	seeds        map[string]bool          // addresses
 	lastAsked    map[string]time.Duration // by address
 	absent       map[string]time.Duration // last heartbeat of boxes that others have a record of
 	contactSince time.Duration            // start of the current period of contact with other boxes
-	lastContact  time.Duration            // last datagram received from another box
+	lastContact  time.Duration
 	complete     bool
 	since        time.Duration
 }
@@ -131,7 +131,6 @@
 	a.since = now
 }
 
-// undecided returns the live boxes of the region that have not agreed.
 func (t *Table) undecided(now time.Duration) []Member {
 	return t.members(func(r *record) bool {
 		return r.Status.Region == t.self.Region && !t.agreement.agreed[r.Status.Box] && t.alive(r, now)
@@ -291,7 +290,6 @@
 	return seen
 }
 
-// recordAnswer records an answer to a check of this box.
 func (t *Table) recordAnswer(b Compact, r *record, now time.Duration) {
 	a := &t.agreement
 	for _, gone := range b.Absent {
--- a/roster/agreement_test.go
+++ b/roster/agreement_test.go
@@ -27,7 +27,6 @@
 	}
 }
 
-// join starts a box whose seeds are other boxes.
 func (m *cluster) join(box, region string, seeds ...string) *Table {
 	addrs := make([]string, 0, len(seeds))
 	for _, s := range seeds {
--- a/roster/compact.go
+++ b/roster/compact.go
@@ -15,10 +15,10 @@
 
 const (
 	compactMagic  = 3 // first byte, which changes with the format; JSON starts with a brace
-	livenessBytes = 7 // of one liveness entry
+	livenessBytes = 7
 	ageUnit       = 100 * time.Millisecond
 	reportAgeUnit = 20 * time.Millisecond
-	tokenUnit     = 16 // tokens
+	tokenUnit     = 16
 )
 
 // ErrCompact means that a compact datagram is malformed.
@@ -76,19 +76,19 @@
 type Compact struct {
 	From    Vital
 	State   wire.ServingState
-	Closed  bool  // the sender accepts no requests of callers
-	Ping    bool  // the sender requests a heartbeat at once
-	Loaded  bool  // Loads has all significant loads of the sender
-	Catalog int64 // revision of the sender's catalog
+	Closed  bool // the sender accepts no requests of callers
+	Ping    bool // the sender requests a heartbeat at once
+	Loaded  bool // Loads has all significant loads of the sender
+	Catalog int64
 	Newest  int64 // newest catalog revision of which the sender has a record
-	Policy  int   // version of the sender's policy
-	ReadMs  int   // milliseconds since the publisher was read with nothing newer than Catalog
-	UpMs    int   // uptime of the sender in milliseconds
-	Lapses  int   // replicas whose removal the sender considered unconfirmed
+	Policy  int
+	ReadMs  int // milliseconds since the publisher was read with nothing newer than Catalog
+	UpMs    int
+	Lapses  int // replicas whose removal the sender considered unconfirmed
 	Vitals  []Vital
 	Silent  []Vital // boxes that the sender records as dead, with their last heartbeat
-	Leaving []ID    // live boxes that are leaving
-	Unknown []ID    // boxes whose status the sender requests
+	Leaving []ID
+	Unknown []ID
 	Loads   []CompactLoad
 	Rooms   []CompactRooms
 	Words   []CompactWord // latest load reports of the region's replicas
@@ -170,7 +170,6 @@
 	return append(out, text...)
 }
 
-// flags returns the byte that holds the state and the single bits.
 func (b Compact) flags() byte {
 	out := byte(0)
 	for i, s := range states {
--- a/roster/compactstate.go
+++ b/roster/compactstate.go
@@ -11,50 +11,50 @@
 	maxNearEntries        = 96 // liveness entries of the own region in one datagram
 	maxFarEntries         = 8  // liveness entries of other regions in one datagram, beside one of each region
 	maxDeaths             = 24 // in one datagram; the next one carries the rest
-	maxLeaving            = 16 // in one datagram
+	maxLeaving            = 16
 	deathFanout           = 3  // boxes that receive a newly recorded death at once
 	maxUnknown            = 32 // boxes whose status one datagram requests
-	maxStatusReplies      = 16 // datagrams of requested statuses in a tick
+	maxStatusReplies      = 16
 	maxChanged            = 64 // queued boxes; for others, compact datagrams carry the changes
 	changeFanout          = 6  // boxes to which each box relays changes
 	maxChangesPerTick     = 8
 	revisionFanout        = 6                      // boxes that receive a newer catalog revision at once
 	readFanout            = 3                      // boxes of the region that receive a later catalog read at once
 	minReadAdvance        = 750 * time.Millisecond // since the last catalog read that was sent at once
-	statusesPerReply      = 4                      // statuses in one datagram
-	startupBeats          = 20                     // heartbeats up to which a box has recently started
-	deathGossipWindow     = 25 * time.Second       // since the last heartbeat; the age in an entry holds no more
-	deathSlack            = 2 * time.Second        // by which another region may have received a later heartbeat than the own one
-	pauseThreshold        = time.Second            // without a tick or a datagram, after which the box is muted for a while
-	statusRequestInterval = time.Second            // until the status of the same box is requested again
-	partitionThreshold    = 15 * time.Second       // without a heartbeat of a region, after which its earlier heartbeats don't count
-	probePercent          = 70                     // of a timeout, from which on a box or region is probed
-	maxProbes             = 4                      // in a tick
+	statusesPerReply      = 4
+	startupBeats          = 20               // heartbeats up to which a box has recently started
+	deathGossipWindow     = 25 * time.Second // since the last heartbeat; the age in an entry holds no more
+	deathSlack            = 2 * time.Second  // by which another region may have received a later heartbeat than the own one
+	pauseThreshold        = time.Second      // without a tick or a datagram, after which the box is muted for a while
+	statusRequestInterval = time.Second      // until the status of the same box is requested again
+	partitionThreshold    = 15 * time.Second // without a heartbeat of a region, after which its earlier heartbeats don't count
+	probePercent          = 70               // of a timeout, from which on a box or region is probed
+	maxProbes             = 4
 	percent               = 100
 	seedSenders           = 3 // expected number of boxes that contact a seed in one round
 )
 
 // compactState is the state of a table for the gossip in compact datagrams.
 type compactState struct {
-	self           ID                        // of this box
-	selfStatus     wire.BoxStatus            // last status of this box
-	byID           map[ID]*record            // nil for an ID that two boxes share
-	retired        map[ID]time.Duration      // replaced or expired incarnations, with the time
-	requested      map[ID]time.Duration      // unknown boxes, with the time of the last request for their status
+	self           ID
+	selfStatus     wire.BoxStatus
+	byID           map[ID]*record       // nil for an ID that two boxes share
+	retired        map[ID]time.Duration // replaced or expired incarnations, with the time
+	requested      map[ID]time.Duration
 	regions        map[string]regionLiveness // by name, with the own region
 	changed        []string                  // boxes whose change is not relayed yet
 	near           []string                  // boxes of the own region left to send to in this cycle
-	farRegions     []string                  // regions left to send to in this cycle
-	rounds         int                       // calls of Round
-	budget         float64                   // bytes left to send
-	statusReplies  int                       // datagrams of requested statuses in this tick
-	newestRevision int64                     // newest catalog revision received
-	sentRevision   int64                     // newest catalog revision that was sent at once
-	sentReadAt     time.Duration             // latest catalog read that was sent at once
-	lastTick       time.Duration             // last call of Adapt
-	lastReceived   time.Duration             // receipt of the last compact datagram
-	newDeaths      bool                      // a death was recorded since the last round
-	muteUntil      time.Duration             // until then this box reports no deaths
+	farRegions     []string
+	rounds         int     // calls of Round
+	budget         float64 // bytes left to send
+	statusReplies  int     // datagrams of requested statuses in this tick
+	newestRevision int64
+	sentRevision   int64         // newest catalog revision that was sent at once
+	sentReadAt     time.Duration // latest catalog read that was sent at once
+	lastTick       time.Duration
+	lastReceived   time.Duration // receipt of the last compact datagram
+	newDeaths      bool
+	muteUntil      time.Duration // until then this box reports no deaths
 }
 
 func newCompactState() compactState {
@@ -81,7 +81,6 @@
 	return true
 }
 
-// sweep removes old requests and retired IDs.
 func (l *compactState) sweep(now time.Duration) {
 	for id, at := range l.requested {
 		if now-at >= statusRequestInterval {
--- a/roster/converge_test.go
+++ b/roster/converge_test.go
@@ -19,7 +19,6 @@
 // delay is the transit time of the test network.
 const delay = 5 * time.Millisecond
 
-// network carries datagrams in memory.
 type network struct {
 	mu      sync.Mutex
 	sockets map[string]*memoryConn
@@ -58,7 +57,6 @@
 	at   time.Time
 }
 
-// memoryConn is a socket of a network.
 type memoryConn struct {
 	net.PacketConn // for the methods that a link doesn't use
 	net            *network
@@ -100,7 +98,6 @@
 	return nil
 }
 
-// box is a table with its link.
 type box struct {
 	mu    sync.Mutex
 	start time.Time
@@ -188,7 +185,6 @@
 	return len(b.tab.Serving("", b.now()))
 }
 
-// startFleet starts n boxes in three regions.
 func startFleet(ctx context.Context, net *network, n int, seeds []string) []*box {
 	out := make([]*box, n)
 	for i := range out {
--- a/roster/datagram.go
+++ b/roster/datagram.go
@@ -162,7 +162,6 @@
 	return l.InFlight > 0 || l.Prompt > 0 || l.Reads >= minReads
 }
 
-// ownCapacity returns the capacity of the own region.
 func (t *Table) ownCapacity() []CompactRooms {
 	if len(t.compact.selfStatus.Rooms) == 0 {
 		return nil
--- a/roster/digest.go
+++ b/roster/digest.go
@@ -53,7 +53,6 @@
 	return out
 }
 
-// digestOrder returns the live boxes in the order in which to relay them.
 func (t *Table) digestOrder(now time.Duration) []*record {
 	var list []*record
 	for _, r := range t.records {
--- a/roster/domain.go
+++ b/roster/domain.go
@@ -45,7 +45,6 @@
 	return false
 }
 
-// aliveIn returns the number of live boxes of a failure domain of the own region.
 func (t *Table) aliveIn(domain string, now time.Duration) int {
 	n := 0
 	for _, r := range t.order {
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -9,7 +9,7 @@
 // Relay of statuses in full-status mode.
 const (
 	digestEvery = 4 // ticks
-	maxDigest   = 8 // statuses of other boxes in one datagram
+	maxDigest   = 8
 )
 
 // Tell returns the datagrams to send at this tick, of which it is called once. self is the
--- a/roster/link.go
+++ b/roster/link.go
@@ -91,7 +91,6 @@
 	}
 }
 
-// dispatch passes one datagram to its handler.
 func (l *Link) dispatch(buf []byte, from net.Addr) {
 	clock.Check() // the machine may have been suspended meanwhile
 	l.received.Add(int64(len(buf)))
--- a/roster/liveness.go
+++ b/roster/liveness.go
@@ -32,7 +32,6 @@
 	return ok && now-liveness.lastSeen <= t.params.regionTimeout && now-r.Heard <= t.params.farTimeout && r.Heard > liveness.staleUntil
 }
 
-// recordRegionAlive updates the liveness of the region of a box.
 func (t *Table) recordRegionAlive(r *record, now time.Duration) {
 	liveness, ok := t.compact.regions[r.Status.Region]
 	if !ok {
@@ -78,7 +77,6 @@
 	}
 }
 
-// stateOf returns the state of a box, which is serving if the status has none.
 func stateOf(s wire.BoxStatus) wire.ServingState {
 	return Member{
 		Status: s,
--- a/roster/monitor.go
+++ b/roster/monitor.go
@@ -49,7 +49,6 @@
 	}
 }
 
-// placeInRing finds the neighbours of this box in the ring.
 func (t *Table) placeInRing(names []string, now time.Duration) {
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rendezvous.Score(ringKey, a), rendezvous.Score(ringKey, b)), cmp.Compare(a, b))
@@ -99,7 +98,6 @@
 	}
 }
 
-// sendToMonitors sends a heartbeat to the monitors of this box.
 func (t *Table) sendToMonitors(out *outbox, c recipients) {
 	if !t.monitoring.enabled || t.compact.rounds%monitorHeartbeatEvery != 0 {
 		return
--- a/roster/oracle_test.go
+++ b/roster/oracle_test.go
@@ -19,7 +19,6 @@
 	return v.inc > o.inc || (v.inc == o.inc && v.seq > o.seq)
 }
 
-// message is one delivery of a status.
 type message struct {
 	status wire.BoxStatus
 	direct bool
@@ -72,7 +71,6 @@
 	return m
 }
 
-// expected is the record of one box in the oracle.
 type expected struct {
 	latest   version
 	lastSeen time.Duration
--- a/roster/params.go
+++ b/roster/params.go
@@ -7,10 +7,10 @@
 
 // Limits of the bytes that gossip takes, with UDP and IPv4 headers.
 const (
-	fleetBytesPerSecond = 468_000          // sent by all boxes together; up to it boxes send full statuses
-	minBytesPerSecond   = 1_200            // sent by one box, however many there are
-	budgetExponent      = 1.5              // power of the number of boxes by which the budget of one falls
-	packetHeaderBytes   = 28               // UDP and IPv4
+	fleetBytesPerSecond = 468_000 // sent by all boxes together; up to it boxes send full statuses
+	minBytesPerSecond   = 1_200   // sent by one box, however many there are
+	budgetExponent      = 1.5     // power of the number of boxes by which the budget of one falls
+	packetHeaderBytes   = 28
 	nearStatusBytes     = 450              // typical full status with loads
 	farStatusBytes      = 900              // the same with statuses of other boxes
 	maxDebtTicks        = 1                // of the budget that changes and replies may overdraw; the excess is forgiven
@@ -23,8 +23,8 @@
 	suspicionSpreads    = 2                // a box counts as dead after this multiple of the time that gossip takes to spread
 	maxAliveTimeout     = 6 * time.Second  // limit of nearTimeout, and regionTimeout of many boxes
 	farAliveTimeout     = 40 * time.Second // without a heartbeat of a box of another region, which declares its deaths
-	maxCapacityAge      = 10 * time.Second // of capacity received from another region
-	maxLoadsAge         = 5 * time.Second  // of loads received from another box
+	maxCapacityAge      = 10 * time.Second
+	maxLoadsAge         = 5 * time.Second
 )
 
 // params holds the rates and timeouts that follow from the number of boxes.
@@ -39,7 +39,6 @@
 	farInterval    time.Duration // in which each other region sends to a box once
 }
 
-// fullStatusParams returns the parameters for few boxes.
 func fullStatusParams() params {
 	return params{
 		fullStatus:     true,
@@ -93,7 +92,6 @@
 	return int(min(max(budget*Tick.Seconds()/loadsDivisor, minLoadsBytes), maxLoadsBytes))
 }
 
-// updateParams recalculates the parameters from the recently live boxes.
 func (t *Table) updateParams(now time.Duration) {
 	near, all := 0, 1
 	regions := make(map[string]bool)
--- a/roster/receive.go
+++ b/roster/receive.go
@@ -12,9 +12,9 @@
 	Sender  string // empty if there is no record of the box
 	Status  wire.BoxStatus
 	Loads   []CompactLoad
-	All     bool     // Loads has all significant loads
-	Newer   bool     // false for a late or repeated datagram
-	Replies []Packet // to send at once
+	All     bool // Loads has all significant loads
+	Newer   bool // false for a late or repeated datagram
+	Replies []Packet
 }
 
 // HearCompact handles a compact datagram received from an address.
@@ -50,7 +50,6 @@
 	return h
 }
 
-// recordSender updates the record of the sender.
 func (t *Table) recordSender(r *record, b Compact, newer bool) Heard {
 	if newer {
 		s := r.Status
@@ -116,7 +115,6 @@
 	out.send(from, q.encode())
 }
 
-// recordCapacity records the capacity of other regions.
 func (t *Table) recordCapacity(b Compact, now time.Duration) {
 	for _, capacity := range b.Rooms {
 		r := t.compact.byID[capacity.From.ID]
@@ -129,7 +127,6 @@
 	}
 }
 
-// sendStatuses sends the statuses that another box requests.
 func (t *Table) sendStatuses(out *outbox, ids []ID, from string, now time.Duration) {
 	var list []wire.BoxStatus
 	for _, id := range ids {
--- a/roster/round.go
+++ b/roster/round.go
@@ -52,8 +52,8 @@
 // recipients holds the boxes alive at one time, and the loads that they receive.
 type recipients struct {
 	all      []*record
-	near     map[string]*record   // of the own region, by name
-	far      map[string][]*record // by region
+	near     map[string]*record
+	far      map[string][]*record
 	loads    []CompactLoad
 	allLoads bool // loads has all significant ones
 }
@@ -79,7 +79,6 @@
 	return c
 }
 
-// setSelf updates the status of this box.
 func (t *Table) setSelf(self wire.BoxStatus) {
 	t.compact.self = IDOf(self.Box, self.Inc)
 	t.compact.selfStatus = self
--- a/roster/send.go
+++ b/roster/send.go
@@ -155,7 +155,6 @@
 	}
 }
 
-// encodeStatuses returns a datagram of full statuses.
 func (t *Table) encodeStatuses(others []wire.BoxStatus, ask bool) []byte {
 	from := t.compact.selfStatus
 	from.Loads = nil
--- a/roster/table.go
+++ b/roster/table.go
@@ -50,7 +50,7 @@
 	deathAnnounced  bool          // this box considers a box of its region dead and has announced that
 	capacityRelayed time.Duration // time of the capacity that was last relayed
 	clockOffset     time.Duration // smallest difference between the local time of receipt and the uptime of the box
-	hasClockOffset  bool          // minClockOffset is set
+	hasClockOffset  bool
 }
 
 // Table is the membership as one box records it. It isn't safe for concurrent use.
@@ -60,9 +60,9 @@
 	records        map[string]*record
 	order          []*record // sorted by name
 	ticks          int       // calls of Targets
-	digestCount    int       // calls of Digest
-	nearCursor     int       // next member of the own region to send to
-	silentCursor   int       // next silent member to send to
+	digestCount    int
+	nearCursor     int
+	silentCursor   int
 	params         params
 	compact        compactState
 	domainLastSeen map[string]time.Duration // last heartbeat of any box, by failure domain of the own region
@@ -140,7 +140,6 @@
 	return changed
 }
 
-// update records a status of the incarnation of the record.
 func (r *record) update(s wire.BoxStatus, direct bool, now time.Duration) bool {
 	loads, capacity := r.Status.Loads, r.Status.Rooms
 	newLoads := direct && s.Seq > r.loadsSeq
--- a/roster/targets.go
+++ b/roster/targets.go
@@ -72,7 +72,6 @@
 	return out.list
 }
 
-// regionRank sorts members of the own region first.
 func (t *Table) regionRank(m Member) int {
 	if m.Status.Region == t.self.Region {
 		return 0
