--- a/roster/codec_test.go
+++ b/roster/codec_test.go
@@ -145,7 +145,7 @@
 	}
 	for _, c := range cases {
 		if _, err := Decode([]byte(c)); err == nil {
-			t.Errorf("%s was taken", c)
+			t.Errorf("%s was accepted", c)
 		}
 	}
 }
@@ -172,10 +172,10 @@
 			t.Fatalf("%s\nbecame\n%s\n(%v)", buf, again, err)
 		}
 		if len(g.Others) > 0 && len(got.Others) == 0 {
-			t.Fatal("no status of another box is passed on")
+			t.Fatal("no status of another box is relayed")
 		}
 		if len(g.From.Loads) > 0 && len(got.From.Loads) == 0 {
-			t.Fatal("no load is told")
+			t.Fatal("no load is sent")
 		}
 	})
 }
--- a/roster/compact_test.go
+++ b/roster/compact_test.go
@@ -118,10 +118,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		buf := drawCompact(t).encode()
 		if _, err := DecodeCompact(buf[:rapid.IntRange(0, len(buf)-1).Draw(t, "cut")]); err == nil {
-			t.Fatal("a part of a compact datagram was taken")
+			t.Fatal("a truncated compact datagram was accepted")
 		}
 		if _, err := DecodeCompact(append(buf, 0)); err == nil {
-			t.Fatal("a compact datagram with more behind it was taken")
+			t.Fatal("a compact datagram with trailing bytes was accepted")
 		}
 	})
 }
--- a/roster/compactfuzz_test.go
+++ b/roster/compactfuzz_test.go
@@ -35,7 +35,7 @@
 			return
 		}
 		if _, err := DecodeCompact(got.encode()); err != nil {
-			t.Fatalf("%+v can't be told again: %v", got, err)
+			t.Fatalf("%+v can't be decoded after encoding: %v", got, err)
 		}
 	})
 }
--- a/roster/delay_test.go
+++ b/roster/delay_test.go
@@ -16,8 +16,8 @@
 		Inc:    1,
 		Region: "a",
 	})
-	const clocks = 40 * time.Second // uptime of the other box when this one started
-	waited := func(inc, seq int, up, way time.Duration) time.Duration {
+	const offset = 40 * time.Second // uptime of the other box when this one started
+	waited := func(inc, seq int, up, transit time.Duration) time.Duration {
 		s := wire.BoxStatus{
 			Box:    "other",
 			Inc:    inc,
@@ -25,7 +25,7 @@
 			Region: "a",
 			UpMs:   int(up.Milliseconds()),
 		}
-		now := up - clocks + way
+		now := up - offset + transit
 		table.Hear(s, true, now)
 		return table.Waited(s, now)
 	}
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -21,7 +21,7 @@
 	}
 	t.setSelf(self)
 	var others []wire.BoxStatus
-	if t.ticks%digestEvery == 0 { // a digest uses up the turn of its boxes, so none is made in vain
+	if t.ticks%digestEvery == 0 { // a digest uses up the turns of its boxes even if it isn't sent
 		others = t.Digest(now, maxDigest)
 	}
 	targets := t.Targets(now, rnd)
@@ -65,11 +65,11 @@
 // gossipPackets addresses the same gossip to several boxes.
 func gossipPackets(targets []string, g wire.Gossip) []Packet {
 	if len(targets) == 0 {
-		return nil // the bare status exceeds a datagram, so other boxes don't receive this one's heartbeats
+		return nil
 	}
 	buf, err := Encode(g)
 	if err != nil {
-		return nil
+		return nil // the bare status exceeds a datagram, so other boxes don't receive this one's heartbeats
 	}
 	out := make([]Packet, 0, len(targets))
 	for _, addr := range targets {
--- a/roster/incarnation_test.go
+++ b/roster/incarnation_test.go
@@ -55,7 +55,7 @@
 		})
 	}
 	more := load(starts[0]) - load(ids[0])
-	t.Logf("166 replicas: compact %d bytes and %d; a load in a whole status %d and %d", encodedBytes(ids), encodedBytes(starts), load(ids[0]), load(starts[0]))
+	t.Logf("166 replicas: compact %d bytes and %d; a load in a full status %d and %d", encodedBytes(ids), encodedBytes(starts), load(ids[0]), load(starts[0]))
 	is.Equal(more, 9)
 	short := make(map[ReplicaID]bool)
 	for _, name := range append(ids, starts...) {
--- a/roster/liveness.go
+++ b/roster/liveness.go
@@ -138,7 +138,7 @@
 	if r == nil || (r.Status.Region == t.self.Region && !t.monitoring.enabled) {
 		return
 	}
-	if _, mine := t.monitoredSilence(r, now); mine {
+	if _, monitored := t.monitoredSilence(r, now); monitored {
 		return
 	}
 	since := now - v.Age
--- a/roster/monitor.go
+++ b/roster/monitor.go
@@ -23,7 +23,7 @@
 type monitoring struct {
 	enabled   bool
 	ringSize  int                      // boxes of the region in the current ring
-	digest    ID                       // digest of the same boxes
+	digest    ID                       // of the same boxes
 	monitored map[string]time.Duration // boxes that this one monitors, and since when
 	monitors  []string                 // boxes that monitor this one
 }
--- a/roster/oracle_test.go
+++ b/roster/oracle_test.go
@@ -118,13 +118,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tab := New(status("a", "north", 2, 0))
 		all := statusSource{statuses: make(map[string]wire.BoxStatus)}
-		held := make(oracle)
+		model := make(oracle)
 		var now time.Duration
 		t.Repeat(map[string]func(*rapid.T){
 			"hear": func(t *rapid.T) {
 				m := all.draw(t)
 				tab.Hear(m.status, m.direct, now)
-				held.receive(m, now)
+				model.receive(m, now)
 			},
 			"wait": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(1, 15000).Draw(t, "ms")) * time.Millisecond
@@ -132,34 +132,34 @@
 			"send": func(t *rapid.T) {
 				tab.Targets(now, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "random") })
 				for _, s := range tab.Digest(now, 4) {
-					if b := held[s.Box]; now-b.lastSeen > aliveTimeout || s.Loads != nil {
-						t.Fatalf("%+v is passed on", s)
+					if b := model[s.Box]; now-b.lastSeen > aliveTimeout || s.Loads != nil {
+						t.Fatalf("%+v is relayed", s)
 					}
 				}
 			},
-			"": func(t *rapid.T) { checkOracle(t, tab, held, now) },
+			"": func(t *rapid.T) { checkOracle(t, tab, model, now) },
 		})
 	})
 }
 
-func checkOracle(t *rapid.T, tab *Table, held oracle, now time.Duration) {
+func checkOracle(t *rapid.T, tab *Table, model oracle, now time.Duration) {
 	for _, m := range tab.Members() {
-		b := held[m.Status.Box]
+		b := model[m.Status.Box]
 		if got := (version{inc: m.Status.Inc, seq: m.Status.Seq}); got != b.latest {
-			t.Fatalf("%s is known by %v, not %v", m.Status.Box, got, b.latest)
+			t.Fatalf("%s has a record of version %v, want %v", m.Status.Box, got, b.latest)
 		}
 	}
-	for box, b := range held {
+	for box, b := range model {
 		if tab.Alive(box, now) != (now-b.lastSeen <= aliveTimeout) {
-			t.Fatalf("%s was heard %v ago; alive %t", box, now-b.lastSeen, tab.Alive(box, now))
+			t.Fatalf("%s was last seen %v ago; alive %t", box, now-b.lastSeen, tab.Alive(box, now))
 		}
 	}
 	for _, m := range tab.Serving("", now) {
-		if b := held[m.Status.Box]; b.left[m.Status.Inc] || now-b.lastSeen > aliveTimeout {
+		if b := model[m.Status.Box]; b.left[m.Status.Inc] || now-b.lastSeen > aliveTimeout {
 			t.Fatalf("%s is serving", m.Status.Box)
 		}
 	}
-	north, south := held.seenWithin("north", now, maxAliveWindow)+1, held.seenWithin("south", now, maxAliveWindow)
+	north, south := model.seenWithin("north", now, maxAliveWindow)+1, model.seenWithin("south", now, maxAliveWindow)
 	if tab.MostIn("north", now) < north || tab.MostIn("south", now) < south || tab.Most(now) < north+south {
 		t.Fatalf("%d and %d boxes may be alive; got %d, %d, %d", north, south, tab.MostIn("north", now), tab.MostIn("south", now), tab.Most(now))
 	}
--- a/roster/send.go
+++ b/roster/send.go
@@ -125,8 +125,8 @@
 	if !t.monitoring.enabled {
 		return now-r.Heard > t.params.nearTimeout*probePercent/percent
 	}
-	silent, mine := t.monitoredSilence(r, now)
-	return mine && silent > monitorProbeDelay
+	silent, monitored := t.monitoredSilence(r, now)
+	return monitored && silent > monitorProbeDelay
 }
 
 // sendLiveness sends a liveness datagram to the next box of the region or, in some rounds, of
--- a/roster/targets.go
+++ b/roster/targets.go
@@ -118,15 +118,15 @@
 }
 
 // rotate returns up to maxNearTargets members from the cursor on, and advances the cursor.
-func rotate(list []Member, turn *int) []Member {
+func rotate(list []Member, cursor *int) []Member {
 	if len(list) <= maxNearTargets {
 		return list
 	}
 	out := make([]Member, 0, maxNearTargets)
 	for i := range maxNearTargets {
-		out = append(out, list[(*turn+i)%len(list)])
+		out = append(out, list[(*cursor+i)%len(list)])
 	}
-	*turn = (*turn + maxNearTargets) % len(list)
+	*cursor = (*cursor + maxNearTargets) % len(list)
 	return out
 }
 
