--- a/roster/agreement.go
+++ b/roster/agreement.go
@@ -9,158 +9,151 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// This file finds out whether a box knows every box of its region that may use a
-// quota, before it takes its own share.
-//
-// A box that begins asks the boxes of its region that it knows, and the seeds, whether
-// its list is complete. One that knows it and nobody else of its region agrees; any
-// other tells what is missing. The list is complete once a seed and each box of the
-// region that is alive have agreed. Names are only ever added to it until then, so
-// that what was agreed to stays true.
-//
-// Two boxes that both have a complete list know each other: the seed that the later
-// one asked had heard of the earlier one, so the later one has it on its list, and has
-// asked it; since then the earlier one knows it as well. That leaves boxes between
-// which there is no way at all, by no seed and no other box.
-
 const (
-	// SharesFor is how long after its last sign of life a box counts as one that may
-	// use its share of a quota: a cut of the network heals within this time as a rule,
-	// and a box behind it goes on using its share.
-	SharesFor = silentFor
+	// SharesFor is the time since its last heartbeat in which a box may still use its share
+	// of a quota: behind a network partition, which usually heals within this time, it goes
+	// on using it.
+	SharesFor = partitionWindow
 
-	checkEvery = 500 * time.Millisecond // a box that did not agree is asked again; an answer from another region takes 160 ms
-	mostChecks = 6                      // boxes that are asked at one tick: a region of 22 within a second, with 1 KB a tick, one of 100 within five
-	fewNames   = 24                     // boxes of a region up to which each question names them, in 100 bytes; of more a sum stands for them
-	namesEvery = 4                      // ticks; in these the first question names more boxes, too, for the sum doesn't tell which one is missing
-	mostAbsent = 8                      // names of boxes that are gone in one answer; the rest in the next
-	aloneAfter = 3 * time.Second        // a box without seeds waits so long to be found; the others try each 2.5 s
-	seedless   = 10 * time.Second       // where no seed answers, the word of the region's boxes is enough after so long; ten seconds let boxes of 390 hear of each other
+	checkInterval    = 500 * time.Millisecond // between two checks to a box; longer than a round trip between regions
+	maxChecksPerTick = 6
+	maxInlineNames   = 24 // boxes of a region; above it a check carries the digest of the names in their place
+	namesEvery       = 4  // ticks, in one of which the first check carries the names in any case
+	maxAbsent        = 8
+	aloneTimeout     = 3 * time.Second  // after which a box without seeds considers its list complete
+	seedTimeout      = 10 * time.Second // after which the agreement of the region suffices if no seed answers
 )
 
-// Absence is a box that is gone, but may still use its share of a quota.
+// Absence is a box that counts as dead but may still use its share of a quota.
 type Absence struct {
 	Box string
-	Age time.Duration // since its last sign of life; rounded up to 100 ms when it is told
+	Age time.Duration // since its last heartbeat; rounded up to 100 ms in datagrams
 }
 
-// agreement is what is known of whether the list of the region's boxes is complete.
+// agreement tracks whether this box has a record of every box of its region that may use
+// a quota, which it needs to know before it uses its own share.
+//
+// A box that starts asks the recorded boxes of its region, and the seeds, whether its list
+// is complete. Each agrees if it has no record of a further box, and otherwise sends what
+// is missing. The list is complete once a seed and each live box of the region have agreed.
+// Names are only added until then, so that earlier agreements stay valid.
+//
+// Of two boxes with complete lists, each has a record of the other: the seed that the later
+// one asked had a record of the earlier one, so the later one has asked that box, which
+// thereby has a record of it. The exception is boxes that no path connects.
 type agreement struct {
-	agreed  map[string]bool          // boxes that agreed
-	seeds   map[string]bool          // addresses of seeds that agreed
-	asked   map[string]time.Duration // addresses, and when they were asked last
-	absent  map[string]time.Duration // boxes that others remember, and their last sign of life
-	contact time.Duration            // since when others are heard without a break
-	heard   time.Duration            // when another box was heard last
-	done    bool                     // the list is complete
-	since   time.Duration            // when it became so
+	agreed       map[string]bool
+	seeds        map[string]bool          // addresses
+	lastAsked    map[string]time.Duration // by address
+	absent       map[string]time.Duration // last heartbeat of boxes that others have a record of
+	contactSince time.Duration            // start of the current period of contact with other boxes
+	lastContact  time.Duration
+	complete     bool
+	since        time.Duration
 }
 
-// newAgreement returns the agreement of a box that has heard nobody.
 func newAgreement() agreement {
 	return agreement{
-		agreed: make(map[string]bool),
-		seeds:  make(map[string]bool),
-		asked:  make(map[string]time.Duration),
-		absent: make(map[string]time.Duration),
-		heard:  never,
+		agreed:      make(map[string]bool),
+		seeds:       make(map[string]bool),
+		lastAsked:   make(map[string]time.Duration),
+		absent:      make(map[string]time.Duration),
+		lastContact: never,
 	}
 }
 
-// CompleteSince returns since when this box knows all boxes of its region that may use
-// a quota, and whether it does.
+// CompleteSince returns since when this box has a record of all boxes of its region that
+// may use a quota, and whether it has.
 func (t *Table) CompleteSince(now time.Duration) (since time.Duration, ok bool) {
 	if len(t.seeds) == 0 {
-		return aloneAfter, now >= aloneAfter
+		return aloneTimeout, now >= aloneTimeout
 	}
-	return t.agreement.since, t.agreement.done
+	return t.agreement.since, t.agreement.complete
 }
 
-// Sharers returns the other boxes of a region that may use a share of its quotas, by
-// name: those heard of within SharesFor, and of the own region also those that others
-// remember. An empty region stands for all.
+// Sharers returns the other boxes of a region that may use a share of its quotas, by name:
+// those seen within SharesFor and, for the own region, those that others have reported as
+// absent. An empty region stands for all.
 func (t *Table) Sharers(region string, now time.Duration) []string {
-	shares := func(r *record) bool { return within(region, r.Status.Region) && now-r.Seen < SharesFor }
-	out := make([]string, 0, len(t.order)+1) // a caller may add itself
+	shares := func(r *record) bool { return inRegion(region, r.Status.Region) && now-r.Seen < SharesFor }
+	out := make([]string, 0, len(t.order)+1) // callers append the own box
 	for _, r := range t.order {
 		if shares(r) {
 			out = append(out, r.box)
 		}
 	}
-	if !within(region, t.self.Region) {
+	if !inRegion(region, t.self.Region) {
 		return out
 	}
-	known := len(out)
+	recorded := len(out)
 	for name, seen := range t.agreement.absent {
 		if r, ok := t.records[name]; now-seen < SharesFor && !(ok && shares(r)) {
 			out = append(out, name)
 		}
 	}
-	if len(out) > known {
+	if len(out) > recorded {
 		slices.Sort(out)
 	}
 	return out
 }
 
-// inContact takes in that another box was heard directly.
-func (t *Table) inContact(now time.Duration) {
+// recordContact records the receipt of a datagram that another box sent itself.
+func (t *Table) recordContact(now time.Duration) {
 	a := &t.agreement
-	if now-a.heard > aliveFor {
-		a.contact = now
+	if now-a.lastContact > aliveTimeout {
+		a.contactSince = now
 	}
-	a.heard = now
+	a.lastContact = now
 }
 
-// agree works out whether the list is complete. A box that heard nobody for a while
-// may have missed boxes that began, and asks anew.
-func (t *Table) agree(now time.Duration) {
+// updateAgreement works out whether the list is complete. After a time without contact
+// boxes may have started unnoticed, so the box asks again.
+func (t *Table) updateAgreement(now time.Duration) {
 	a := &t.agreement
-	if now-a.heard > aliveFor {
+	if now-a.lastContact > aliveTimeout {
 		clear(a.agreed)
 		clear(a.seeds)
-		clear(a.asked)
-		a.done = false
+		clear(a.lastAsked)
+		a.complete = false
 		return
 	}
-	if a.done || len(a.agreed) == 0 {
+	if a.complete || len(a.agreed) == 0 {
 		return
 	}
-	if len(a.seeds) == 0 && now-a.contact < seedless {
+	if len(a.seeds) == 0 && now-a.contactSince < seedTimeout {
 		return
 	}
 	if len(t.undecided(now)) > 0 {
 		return
 	}
-	clear(a.asked)
-	a.done = true
+	clear(a.lastAsked)
+	a.complete = true
 	a.since = now
 }
 
-// undecided returns the boxes of the region that are alive and have not agreed.
 func (t *Table) undecided(now time.Duration) []Member {
 	return t.members(func(r *record) bool {
 		return r.Status.Region == t.self.Region && !t.agreement.agreed[r.Status.Box] && t.alive(r, now)
 	})
 }
 
-// checks returns the questions to those that have not agreed, the longest not asked
-// first. They are not paid for by the pace, which would make them wait a minute where
-// a region has 100 boxes: each start costs 14 KB there, once.
-func (t *Table) checks(now time.Duration) []Packet {
-	if t.agreement.done || len(t.seeds) == 0 {
+// checkPackets returns checks to those that have not agreed, the longest unasked first.
+// They don't count against the budget, which would delay them for long in a large region.
+func (t *Table) checkPackets(now time.Duration) []Packet {
+	if t.agreement.complete || len(t.seeds) == 0 {
 		return nil
 	}
-	list := t.toCheck(now)
-	list = list[:min(len(list), mostChecks)]
-	names := t.ownNames(now)
+	list := t.checkTargets(now)
+	list = list[:min(len(list), maxChecksPerTick)]
+	names := t.ownNameIDs(now)
 	b := t.header()
-	b.Sum = sumOf(names)
+	b.Sum = digestOf(names)
 	out := make([]Packet, 0, len(list))
 	for i, addr := range list {
-		t.agreement.asked[addr] = now
+		t.agreement.lastAsked[addr] = now
 		b.Check = t.token(addr)
 		b.Names = nil
-		if len(names) <= fewNames || (i == 0 && t.compact.rounds%namesEvery == 0) {
+		if len(names) <= maxInlineNames || (i == 0 && t.compact.rounds%namesEvery == 0) {
 			b.Names = names
 		}
 		out = append(out, Packet{
@@ -171,35 +164,34 @@
 	return out
 }
 
-// toCheck returns the addresses of those to ask now.
-func (t *Table) toCheck(now time.Duration) []string {
+func (t *Table) checkTargets(now time.Duration) []string {
 	a := &t.agreement
 	due := targets{
 		own: t.self.Peers,
 	}
 	for _, seed := range t.seeds {
 		if !a.seeds[seed] {
-			due.addrs([]string{seed})
+			due.addAddrs([]string{seed})
 		}
 	}
-	due.add(t.undecided(now))
+	due.addMembers(t.undecided(now))
 	list := slices.DeleteFunc(due.list, func(addr string) bool {
-		at, ok := a.asked[addr]
-		return ok && now-at < checkEvery
+		at, ok := a.lastAsked[addr]
+		return ok && now-at < checkInterval
 	})
-	slices.SortStableFunc(list, func(x, y string) int { return cmp.Compare(a.asked[x], a.asked[y]) })
+	slices.SortStableFunc(list, func(x, y string) int { return cmp.Compare(a.lastAsked[x], a.lastAsked[y]) })
 	return list
 }
 
-// token marks a question to an address, so that its answer is taken for an answer to
-// no other one, nor to another process of this box.
-func (t *Table) token(addr string) ID { return IDOf(addr, t.compact.said.Inc) }
+// token identifies checks to an address, so that an answer to another address or to an
+// earlier process of this box doesn't count.
+func (t *Table) token(addr string) ID { return IDOf(addr, t.compact.selfStatus.Inc) }
 
-// nameID stands for a box in whatever incarnation.
+// nameID returns the ID of a box regardless of its incarnation.
 func nameID(box string) ID { return IDOf(box, 0) }
 
-// sumOf returns what stands for a set of boxes.
-func sumOf(names []ID) ID {
+// digestOf returns an order-independent digest of a set of boxes.
+func digestOf(names []ID) ID {
 	out := ID(0)
 	for _, id := range names {
 		out ^= id
@@ -207,12 +199,11 @@
 	return out
 }
 
-// ownNames returns the boxes of the region that this one knows, with itself.
-func (t *Table) ownNames(now time.Duration) []ID {
+// ownNameIDs returns the recorded boxes of the region and the own one.
+func (t *Table) ownNameIDs(now time.Duration) []ID {
 	return nameIDs(append(t.Sharers(t.self.Region, now), t.self.Box))
 }
 
-// nameIDs returns the IDs of boxes in whatever incarnation.
 func nameIDs(names []string) []ID {
 	out := make([]ID, 0, len(names))
 	for _, name := range names {
@@ -221,40 +212,39 @@
 	return out
 }
 
-// answerCheck agrees that a box's list is complete, or tells it what is missing. It
-// says nothing to a sum that differs: the same box asks again with names.
+// answerCheck agrees that the list of a box is complete, or sends what is missing. It
+// doesn't answer a digest that differs: the box repeats the check with names.
 func (t *Table) answerCheck(out *outbox, b Compact, asker *record, from string, now time.Duration) {
-	known := t.namesIn(asker, now)
+	known := t.namesInRegion(asker, now)
 	var alive []wire.BoxStatus
 	var gone []Absence
 	switch {
 	case len(b.Names) > 0:
 		alive, gone = t.missing(known, b.Names, now)
-	case b.Sum != sumOf(nameIDs(known)):
+	case b.Sum != digestOf(nameIDs(known)):
 		return
 	}
 	reply := t.header()
 	if len(alive)+len(gone) == 0 {
 		reply.Agreed = b.Check
-		out.list = append(out.list, Packet{ // not paid for by the pace, like the question
+		out.packets = append(out.packets, Packet{ // outside the budget, as the check
 			Addr: from,
 			Buf:  reply.encode(),
 		})
 		return
 	}
-	if len(alive) > 0 && t.compact.answers < mostAnswers {
-		t.compact.answers++
-		out.send(from, t.gossip(alive[:min(len(alive), perAnswer)], false))
+	if len(alive) > 0 && t.compact.statusReplies < maxStatusReplies {
+		t.compact.statusReplies++
+		out.send(from, t.encodeStatuses(alive[:min(len(alive), statusesPerReply)], false))
 	}
 	if len(gone) > 0 {
-		reply.Absent = gone[:min(len(gone), mostAbsent)]
+		reply.Absent = gone[:min(len(gone), maxAbsent)]
 		out.send(from, reply.encode())
 	}
 }
 
-// namesIn returns all boxes of an asker's region that this one knows, the asker and
-// itself with them.
-func (t *Table) namesIn(asker *record, now time.Duration) []string {
+// namesInRegion returns the recorded boxes of the asker's region, with the asker.
+func (t *Table) namesInRegion(asker *record, now time.Duration) []string {
 	out := t.Sharers(asker.Status.Region, now)
 	if !slices.Contains(out, asker.Status.Box) {
 		out = append(out, asker.Status.Box)
@@ -265,8 +255,8 @@
 	return out
 }
 
-// missing returns the known boxes that are not among names: the statuses of those
-// alive, and those gone that may still use a quota.
+// missing returns which of the boxes known are not among names: the statuses of those
+// alive, and those that are dead but may still use a quota.
 func (t *Table) missing(known []string, names []ID, now time.Duration) (alive []wire.BoxStatus, gone []Absence) {
 	for _, name := range known {
 		if slices.Contains(names, nameID(name)) {
@@ -275,9 +265,9 @@
 		r, ok := t.records[name]
 		switch {
 		case name == t.self.Box:
-			alive = append(alive, t.compact.said)
+			alive = append(alive, t.compact.selfStatus)
 		case ok && t.alive(r, now):
-			alive = append(alive, r.bare())
+			alive = append(alive, r.staticStatus())
 		default:
 			gone = append(gone, Absence{
 				Box: name,
@@ -288,8 +278,7 @@
 	return alive, gone
 }
 
-// lastSeen returns when a box that is gone was alive last, by this box's own word or
-// that of others.
+// lastSeen returns when a dead box was last alive, by the own record or that of others.
 func (t *Table) lastSeen(box string) time.Duration {
 	seen := never
 	if r, ok := t.records[box]; ok {
@@ -301,11 +290,10 @@
 	return seen
 }
 
-// hearAnswer takes in what another box says to a question of this one.
-func (t *Table) hearAnswer(b Compact, r *record, now time.Duration) {
+func (t *Table) recordAnswer(b Compact, r *record, now time.Duration) {
 	a := &t.agreement
 	for _, gone := range b.Absent {
-		seen := now - gone.Age // below 0 where it was gone before this process began
+		seen := now - gone.Age // negative if the box died before this process started
 		if known, ok := a.absent[gone.Box]; gone.Box != t.self.Box && (!ok || seen > known) {
 			a.absent[gone.Box] = seen
 		}
@@ -324,7 +312,6 @@
 	}
 }
 
-// forgetAbsent forgets the boxes that no longer use a quota.
-func (t *Table) forgetAbsent(now time.Duration) {
+func (t *Table) expireAbsent(now time.Duration) {
 	maps.DeleteFunc(t.agreement.absent, func(_ string, seen time.Duration) bool { return now-seen >= SharesFor })
 }
--- /dev/null
+++ b/roster/gossip.go
@@ -0,0 +1,82 @@
+package roster
+
+import (
+	"time"
+
+	"github.com/havenrudder/havenrudder/wire"
+)
+
+// Relay of statuses in full-status mode.
+const (
+	digestEvery = 4 // ticks
+	maxDigest   = 8
+)
+
+// Tell returns the datagrams to send at this tick, of which it is called once. self is the
+// status of this box. rnd returns a random number from 0 to n-1.
+func (t *Table) Tell(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
+	t.Adapt(now)
+	if !t.params.fullStatus {
+		return t.Round(self, now, rnd)
+	}
+	t.setSelf(self)
+	var others []wire.BoxStatus
+	if t.ticks%digestEvery == 0 { // a digest uses up the turns of its boxes even if it isn't sent
+		others = t.Digest(now, maxDigest)
+	}
+	targets := t.Targets(now, rnd)
+	return append(gossipPackets(targets, wire.Gossip{
+		From:   self,
+		Others: others,
+	}), t.checkPackets(now)...)
+}
+
+// TellLoads returns datagrams that send the loads of this box to its region at once.
+func (t *Table) TellLoads(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
+	if !t.params.fullStatus {
+		return t.Loads(self, now, rnd)
+	}
+	return gossipPackets(t.OwnRegion(now), wire.Gossip{
+		From: self,
+	})
+}
+
+// TellEveryone returns the datagrams of an urgent update. ask requests an immediate answer.
+func (t *Table) TellEveryone(self wire.BoxStatus, now time.Duration, ask bool) []Packet {
+	t.setSelf(self)
+	return gossipPackets(t.Everyone(now), t.fullGossip(self, now, ask))
+}
+
+// Answer returns the answer to a box that asks for one.
+func (t *Table) Answer(self wire.BoxStatus, addr string, now time.Duration) []Packet {
+	t.setSelf(self)
+	return gossipPackets([]string{addr}, t.fullGossip(self, now, false))
+}
+
+// fullGossip returns the full statuses of this box and some others.
+func (t *Table) fullGossip(self wire.BoxStatus, now time.Duration, ask bool) wire.Gossip {
+	return wire.Gossip{
+		From:   self,
+		Others: t.Digest(now, maxDigest),
+		Ask:    ask,
+	}
+}
+
+// gossipPackets addresses the same gossip to several boxes.
+func gossipPackets(targets []string, g wire.Gossip) []Packet {
+	if len(targets) == 0 {
+		return nil
+	}
+	buf, err := Encode(g)
+	if err != nil {
+		return nil // the bare status exceeds a datagram, so other boxes don't receive this one's heartbeats
+	}
+	out := make([]Packet, 0, len(targets))
+	for _, addr := range targets {
+		out = append(out, Packet{
+			Addr: addr,
+			Buf:  buf,
+		})
+	}
+	return out
+}
--- a/roster/link.go
+++ b/roster/link.go
@@ -15,53 +15,50 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// readPause is the time after a failed read before the next, so that a socket
-// that keeps failing takes no processor time.
-const readPause = 10 * time.Millisecond
+// readRetryInterval limits the processor time that a failing socket takes.
+const readRetryInterval = 10 * time.Millisecond
 
-// errTooLong is the reason to drop a datagram that no box sends.
-var errTooLong = errors.Newf("datagram of more than %d bytes", datagramBytes)
+var errTooLong = errors.Newf("datagram longer than %d bytes", datagramBytes)
 
-// Link reads and sends gossip on one socket. Its methods may be called from any
-// goroutine.
+// Link sends and receives gossip on one socket. Its methods are safe for concurrent use.
 type Link struct {
-	conn     net.PacketConn
-	handle   func(g wire.Gossip, from net.Addr)
-	compact  func(c Compact, from net.Addr)
-	mark     byte // first byte of datagrams of another package; 0 for none
-	other    func(buf []byte, from net.Addr)
-	sent     atomic.Int64
-	received atomic.Int64
-
-	mu      sync.Mutex // guards what follows
+	conn          net.PacketConn
+	handle        func(g wire.Gossip, from net.Addr)
+	handleCompact func(c Compact, from net.Addr)
+	magic         byte // first byte of the datagrams of another package; 0 for none
+	handleOther   func(buf []byte, from net.Addr)
+	sent          atomic.Int64
+	received      atomic.Int64
+
+	mu      sync.Mutex // guards the fields below
 	dropped int64
 	reason  error
 }
 
-// LinkOption changes a Link that is made.
+// LinkOption configures a Link.
 type LinkOption func(*Link)
 
-// WithCompact sets what is called for each compact datagram.
+// WithCompact sets the handler of compact datagrams.
 func WithCompact(f func(c Compact, from net.Addr)) LinkOption {
-	return func(l *Link) { l.compact = f }
+	return func(l *Link) { l.handleCompact = f }
 }
 
-// WithOther sets what is called for each datagram of another package, which its first byte
-// tells. The buffer is used again after the call.
-func WithOther(mark byte, f func(buf []byte, from net.Addr)) LinkOption {
+// WithOther sets the handler of the datagrams of another package, which start with the byte
+// magic. The handler must not keep the buffer.
+func WithOther(magic byte, f func(buf []byte, from net.Addr)) LinkOption {
 	return func(l *Link) {
-		l.mark = mark
-		l.other = f
+		l.magic = magic
+		l.handleOther = f
 	}
 }
 
-// NewLink returns the link on conn. It calls handle for each datagram of whole
-// statuses, one after the other, from the goroutine that runs it.
+// NewLink returns a link on conn. The goroutine that runs it calls handle for each datagram
+// of full statuses, one at a time.
 func NewLink(conn net.PacketConn, handle func(g wire.Gossip, from net.Addr), opts ...LinkOption) *Link {
 	l := &Link{
-		conn:    conn,
-		handle:  handle,
-		compact: func(Compact, net.Addr) {},
+		conn:          conn,
+		handle:        handle,
+		handleCompact: func(Compact, net.Addr) {},
 	}
 	for _, opt := range opts {
 		opt(l)
@@ -69,63 +66,60 @@
 	return l
 }
 
-// Run reads datagrams until ctx ends or the socket is closed, and closes the
-// socket then.
+// Run receives datagrams until ctx ends or the socket is closed, and then closes it.
 func (l *Link) Run(ctx context.Context) {
 	closing := func() {
-		_ = l.conn.Close() // nothing is buffered, so nothing is lost
+		_ = l.conn.Close() // nothing is buffered
 	}
 	defer context.AfterFunc(ctx, closing)()
 	defer closing()
-	buf := make([]byte, datagramBytes+1) // one more tells that a datagram was longer
+	buf := make([]byte, datagramBytes+1) // one byte more detects longer datagrams
 	for ctx.Err() == nil {
 		n, from, err := l.conn.ReadFrom(buf)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			l.drop(errors.Wrap(err, "read"))
+			l.recordDrop(errors.Wrap(err, "read"))
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			sleep.For(ctx, readPause)
+			sleep.For(ctx, readRetryInterval)
 			continue
 		}
-		l.take(buf[:n], from)
+		l.dispatch(buf[:n], from)
 	}
 }
 
-// take handles one datagram.
-func (l *Link) take(buf []byte, from net.Addr) {
-	clock.Check() // it may have waited while the machine was suspended
+func (l *Link) dispatch(buf []byte, from net.Addr) {
+	clock.Check() // the machine may have been suspended meanwhile
 	l.received.Add(int64(len(buf)))
 	if len(buf) > datagramBytes {
-		l.drop(errTooLong)
+		l.recordDrop(errTooLong)
 		return
 	}
-	if l.mark != 0 && len(buf) > 0 && buf[0] == l.mark {
-		l.other(buf, from)
+	if l.magic != 0 && len(buf) > 0 && buf[0] == l.magic {
+		l.handleOther(buf, from)
 		return
 	}
 	if IsCompact(buf) {
 		b, err := DecodeCompact(buf)
 		if err != nil {
-			l.drop(err)
+			l.recordDrop(err)
 			return
 		}
-		l.compact(b, from)
+		l.handleCompact(b, from)
 		return
 	}
 	g, err := Decode(buf)
 	if err != nil {
-		l.drop(err)
+		l.recordDrop(err)
 		return
 	}
 	l.handle(g, from)
 }
 
-// Send sends g to an address, IP:port. It does not wait for an answer, and a
-// datagram that is lost on the way is no error.
+// Send sends g to an address, given as IP:port. The loss of the datagram is no error.
 func (l *Link) Send(addr string, g wire.Gossip) error {
 	buf, err := Encode(g)
 	if err != nil {
@@ -137,7 +131,7 @@
 	})
 }
 
-// Post sends a datagram that is ready.
+// Post sends an encoded datagram.
 func (l *Link) Post(p Packet) error {
 	to, err := netip.ParseAddrPort(p.Addr)
 	if err != nil {
@@ -148,23 +142,22 @@
 	return errors.Wrapf(err, "send gossip to %s", p.Addr)
 }
 
-// Sent returns the bytes sent, without the headers of UDP and IP.
+// Sent returns the number of bytes sent, without UDP and IP headers.
 func (l *Link) Sent() int64 { return l.sent.Load() }
 
-// Received returns the bytes received, without the headers of UDP and IP, those
-// of dropped datagrams with them.
+// Received returns the number of bytes received, without UDP and IP headers, but with
+// dropped datagrams.
 func (l *Link) Received() int64 { return l.received.Load() }
 
-// Dropped returns how many datagrams and reads failed, and why the latest did;
-// the reason is nil while none has.
+// Dropped returns the number of datagrams and reads that failed, and the latest error, nil
+// if there was none.
 func (l *Link) Dropped() (n int64, reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dropped, l.reason
 }
 
-// drop counts a datagram or read that failed.
-func (l *Link) drop(reason error) {
+func (l *Link) recordDrop(reason error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropped++
--- /dev/null
+++ b/roster/params.go
@@ -0,0 +1,129 @@
+package roster
+
+import (
+	"math"
+	"time"
+)
+
+// Limits of the bytes that gossip takes, with UDP and IPv4 headers.
+const (
+	fleetBytesPerSecond = 468_000 // sent by all boxes together; up to it boxes send full statuses
+	minBytesPerSecond   = 1_200   // sent by one box, however many there are
+	budgetExponent      = 1.5     // power of the number of boxes by which the budget of one falls
+	packetHeaderBytes   = 28
+	nearStatusBytes     = 450              // typical full status with loads
+	farStatusBytes      = 900              // the same with statuses of other boxes
+	maxDebtTicks        = 1                // of the budget that changes and replies may overdraw; the excess is forgiven
+	maxSavedTicks       = 2                // of unused budget
+	loadsDivisor        = 4                // of a tick's bytes; the quotient limits the loads in one datagram
+	minLoadsBytes       = 60               // some five loads
+	maxLoadsBytes       = 600              // the rest of a datagram is for statuses
+	emptyCompactBytes   = 40               // a compact datagram without lists; packet headers come on top
+	farLivenessEvery    = 4                // rounds, in one of which the liveness datagram goes to another region
+	suspicionSpreads    = 2                // a box counts as dead after this multiple of the time that gossip takes to spread
+	maxAliveTimeout     = 6 * time.Second  // limit of nearTimeout, and regionTimeout of many boxes
+	farAliveTimeout     = 40 * time.Second // without a heartbeat of a box of another region, which declares its deaths
+	maxCapacityAge      = 10 * time.Second
+	maxLoadsAge         = 5 * time.Second
+)
+
+// params holds the rates and timeouts that follow from the number of boxes.
+type params struct {
+	loads          int           // bytes of loads in one datagram; 0 if boxes don't send them
+	fullStatus     bool          // boxes send full statuses to the whole region at each tick
+	bytesPerSecond float64       // unlimited for few boxes
+	nearTimeout    time.Duration // since the last heartbeat of a box of the own region
+	regionTimeout  time.Duration // since the last heartbeat of another region
+	farTimeout     time.Duration // since the last heartbeat of a box of a reachable region
+	nearInterval   time.Duration // in which each box of the region is sent to once
+	farInterval    time.Duration // in which each other region sends to a box once
+}
+
+func fullStatusParams() params {
+	return params{
+		fullStatus:     true,
+		bytesPerSecond: math.Inf(1),
+		nearTimeout:    aliveTimeout,
+		regionTimeout:  aliveTimeout,
+		farTimeout:     aliveTimeout,
+		nearInterval:   Tick,
+		farInterval:    farEvery * Tick,
+	}
+}
+
+// paramsFor returns the parameters for near other boxes in the own region, a number of other
+// regions, and the number of all boxes.
+func paramsFor(near, regions, all int) params {
+	fleet := float64(fleetBytesPerSecond) / float64(max(all, 1))
+	cost := min(near, maxNearTargets)*nearStatusBytes*int(time.Second/Tick) + regions*targetsPerRegion*farStatusBytes
+	if float64(cost) <= fleet {
+		return fullStatusParams()
+	}
+	budget := minBytesPerSecond * max(1, math.Pow(fleet/minBytesPerSecond, budgetExponent))
+	tick := budget * Tick.Seconds()
+	loads := loadsBudget(budget, near)
+	// bytes of a liveness datagram and one of loads, with half of the room for loads used
+	livenessCost := float64(packetHeaderBytes + emptyCompactBytes + livenessBytes*(min(near+1, maxNearEntries)+regions+maxFarEntries) + loads/2)
+	loadsCost := float64(packetHeaderBytes + emptyCompactBytes + loads/2)
+	// datagrams of each kind per tick
+	livenessRate := min(1, tick/livenessCost)
+	loadsRate := min(max(0, (tick-livenessCost)/loadsCost), float64(near))
+	nearRate := livenessRate*(farLivenessEvery-1)/farLivenessEvery + loadsRate
+	spread := 2 * math.Log(float64(near+2)) / (livenessRate * (farLivenessEvery - 1) / farLivenessEvery)
+	nearInterval := time.Duration(float64(max(near, 1)) / nearRate * float64(Tick))
+	return params{
+		loads:          loads,
+		bytesPerSecond: budget,
+		nearTimeout:    min(max(aliveTimeout, suspicionSpreads*time.Duration(spread*float64(Tick))), maxAliveTimeout),
+		regionTimeout:  maxAliveTimeout,
+		farTimeout:     farAliveTimeout,
+		nearInterval:   max(Tick, nearInterval),
+		farInterval:    time.Duration(float64(max(regions, 1)) * farLivenessEvery / livenessRate * float64(Tick)),
+	}
+}
+
+// loadsBudget returns the bytes for loads in one datagram: 0 if loads would expire before all
+// boxes of the region receive them.
+func loadsBudget(budget float64, near int) int {
+	round := float64(near*(packetHeaderBytes+emptyCompactBytes+minLoadsBytes)) / budget
+	if round > maxLoadsAge.Seconds()/2 {
+		return 0
+	}
+	return int(min(max(budget*Tick.Seconds()/loadsDivisor, minLoadsBytes), maxLoadsBytes))
+}
+
+func (t *Table) updateParams(now time.Duration) {
+	near, all := 0, 1
+	regions := make(map[string]bool)
+	for _, r := range t.records {
+		if now-r.Seen >= partitionWindow {
+			continue
+		}
+		all++
+		if r.Status.Region == t.self.Region {
+			near++
+			continue
+		}
+		regions[r.Status.Region] = true
+	}
+	t.params = paramsFor(near, len(regions), all)
+}
+
+// LoadsAge returns how long loads received from another box are valid.
+func (t *Table) LoadsAge() time.Duration {
+	if t.params.fullStatus {
+		return 0
+	}
+	return min(2*t.params.nearInterval+2*Tick, maxLoadsAge)
+}
+
+// RoomsAge returns how long capacity received from another region is valid.
+func (t *Table) RoomsAge() time.Duration {
+	if t.params.fullStatus {
+		return 0
+	}
+	return min(3*t.params.farInterval, maxCapacityAge)
+}
+
+// Plain reports whether there are so few boxes that they send full statuses.
+func (t *Table) Plain() bool { return t.params.fullStatus }
--- /dev/null
+++ b/roster/params_test.go
@@ -0,0 +1,175 @@
+package roster
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"pgregory.net/rapid"
+
+	"github.com/havenrudder/havenrudder/wire"
+)
+
+func TestFewBoxesSendFullStatuses(t *testing.T) {
+	is := is.New(t)
+	for _, n := range []int{1, 2, 8, 9, 12, 18, 24} {
+		p := paramsFor((n+2)/3-1, min(2, n-1), n)
+		is.True(p.fullStatus)
+		is.Equal(p.nearTimeout, aliveTimeout)
+		is.Equal(p.regionTimeout, aliveTimeout)
+	}
+}
+
+func TestManyBoxesKeepTheBudget(t *testing.T) {
+	is := is.New(t)
+	for _, n := range []int{30, 64, 86} {
+		p := paramsFor(n/3, 2, n)
+		is.True(!p.fullStatus)
+		is.True(p.bytesPerSecond <= minBytesPerSecond*math.Pow(390/float64(n), budgetExponent)+1)
+	}
+	for _, n := range []int{390, 1000} {
+		p := paramsFor(n/11, 10, n)
+		is.Equal(p.bytesPerSecond, float64(minBytesPerSecond))
+	}
+}
+
+func TestTheTimeoutsStayWithinTheirLimits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(1, 1000).Draw(t, "boxes")
+		regions := rapid.IntRange(1, 11).Draw(t, "regions")
+		p := paramsFor(n/regions, regions-1, n)
+		if p.nearTimeout < aliveTimeout || p.nearTimeout > maxAliveTimeout || p.regionTimeout > maxAliveTimeout {
+			t.Fatalf("%+v", p)
+		}
+		if p.nearInterval < Tick || p.bytesPerSecond < minBytesPerSecond {
+			t.Fatalf("%+v", p)
+		}
+	})
+}
+
+func TestATickSpendsNoMoreThanTheBudget(t *testing.T) {
+	is := is.New(t)
+	tab := New(status("a", "north", 1, 0))
+	receiveHeartbeats(tab, "north", 60, 0)
+	receiveHeartbeats(tab, "south", 60, 0)
+	spent := 0
+	const seconds = 20
+	for i := range seconds * int(time.Second/Tick) {
+		now := time.Duration(i) * Tick
+		receiveHeartbeats(tab, "north", 60, now)
+		receiveHeartbeats(tab, "south", 60, now)
+		for _, p := range tab.Tell(fullStatus("a", 2, 40), now, pickFirst) {
+			spent += len(p.Buf) + packetHeaderBytes
+		}
+	}
+	is.True(!tab.Plain())
+	is.True(spent > 0)
+	is.True(float64(spent) <= (seconds+1)*tab.params.bytesPerSecond)
+}
+
+// largeTable returns a table of so many boxes that they send compact datagrams.
+func largeTable(now time.Duration) *Table {
+	tab := New(status("a", "north", 1, 0))
+	receiveHeartbeats(tab, "north", 60, now)
+	receiveHeartbeats(tab, "south", 60, now)
+	tab.Adapt(now)
+	return tab
+}
+
+// heartbeat returns a compact datagram without lists.
+func heartbeat(box string, beat uint16) Compact {
+	return Compact{
+		From: Vital{
+			ID:   IDOf(box, 1),
+			Beat: beat,
+		},
+		State: wire.ServingStateServing,
+	}
+}
+
+func TestADeathDeclaredByItsRegionHoldsUntilALaterHeartbeat(t *testing.T) {
+	is := is.New(t)
+	tab := largeTable(0)
+	const now = 7 * time.Second
+	dead := Vital{
+		ID:   IDOf("south-01", 1),
+		Beat: 1,
+		Age:  now,
+	}
+	report := heartbeat("south-02", 9)
+	report.Silent = []Vital{dead}
+	tab.HearCompact(report, "south-02:1", now)
+	is.True(!tab.Alive("south-01", now))
+	is.True(tab.Alive("south-02", now))
+	is.True(tab.Alive("south-03", now)) // its region is reachable and doesn't declare it dead
+
+	late := heartbeat("south-02", 10)
+	late.Vitals = []Vital{{ID: dead.ID, Beat: 2, Age: now - time.Second}} // received by few boxes, just before the death
+	tab.HearCompact(late, "south-02:1", now)
+	is.True(!tab.Alive("south-01", now))
+
+	tab.HearCompact(heartbeat("south-01", 3), "south-01:1", now)
+	is.True(tab.Alive("south-01", now))
+	report.From.Beat = 11
+	tab.HearCompact(report, "south-02:1", now) // from a box that missed the later heartbeat
+	is.True(tab.Alive("south-01", now))
+}
+
+func TestASilentRegionIsDeadButStillCountsForQuotas(t *testing.T) {
+	is := is.New(t)
+	tab := largeTable(0)
+	tab.Adapt(maxAliveTimeout)
+	is.True(tab.Alive("south-01", maxAliveTimeout))
+	const now = maxAliveTimeout + Tick
+	tab.Adapt(now)
+	is.True(!tab.Alive("south-01", now))
+	is.Equal(len(tab.Serving("south", now)), 0)
+	for _, m := range tab.Members() {
+		is.True(now-m.Seen < partitionWindow)
+	}
+}
+
+func TestTheStatusOfAnUnknownBoxIsRequestedAndRecorded(t *testing.T) {
+	is := is.New(t)
+	asker, informed := largeTable(0), largeTable(0)
+	informed.setSelf(status("b", "south", 1, 1))
+	informed.Hear(status("new", "south", 1, 1), true, 0)
+	asker.Hear(status("b", "south", 1, 1), true, 0)
+	b := heartbeat("b", 2)
+	b.Vitals = []Vital{{ID: IDOf("new", 1), Beat: 1}}
+	h := asker.HearCompact(b, "b:1", 0)
+	is.Equal(len(h.Replies), 1)
+	is.Equal(h.Replies[0].Addr, "b:1")
+	q, err := DecodeCompact(h.Replies[0].Buf)
+	is.NoErr(err)
+	answers := informed.HearCompact(q, "c:1", 0).Replies
+	found := false
+	for _, p := range answers {
+		if IsCompact(p.Buf) {
+			continue
+		}
+		g, err := Decode(p.Buf)
+		is.NoErr(err)
+		for _, s := range g.Others {
+			asker.Hear(s, false, 0)
+			found = found || s.Box == "new"
+		}
+	}
+	is.True(found)
+	is.True(asker.Alive("new", 0))
+	is.Equal(len(asker.HearCompact(b, "b:1", 0).Replies), 0) // nothing is left to request
+}
+
+func TestAProbeIsAnsweredAtOnce(t *testing.T) {
+	is := is.New(t)
+	tab := largeTable(0)
+	tab.setSelf(status("a", "north", 1, 5))
+	b := heartbeat("north-01", 2)
+	b.Ping = true
+	h := tab.HearCompact(b, "north-01:1", Tick)
+	is.Equal(len(h.Replies), 1)
+	got, err := DecodeCompact(h.Replies[0].Buf)
+	is.NoErr(err)
+	is.Equal(got.From.ID, IDOf("a", 1))
+}
