--- a/pacing/fuzz_test.go
+++ b/pacing/fuzz_test.go
@@ -37,7 +37,6 @@
 	writeDelay time.Duration
 }
 
-// takenAt returns the time of the send's Take.
 func (s send) takenAt() time.Duration { return s.sent - s.writeDelay }
 
 // maxSendsPerSecond returns the maximum number of sends in any second; sends are in order
@@ -139,7 +138,6 @@
 	}
 }
 
-// listedBoxes returns the boxes on the list of box i.
 func (r *region) listedBoxes(i int) []string {
 	var out []string
 	for j := range r.boxes {
@@ -253,7 +251,7 @@
 			t.Fatalf("%d sends in a second", most)
 		}
 	})
-	t.Logf("most sends in a second: %d", seen)
+	t.Logf("maximum of sends in a second: %d", seen)
 	is.New(t).True(seen >= 5) // otherwise the runs don't test the bound
 }
 
--- a/pacing/history.go
+++ b/pacing/history.go
@@ -15,7 +15,6 @@
 	hasDropped bool
 }
 
-// add records a send.
 func (h *history) add(now time.Duration) {
 	h.times = append(h.times, now)
 }
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -13,10 +13,10 @@
 // The shares under one list of boxes add up to at most bound, and neither a longer
 // list nor a lower perSecond raises the share of a box. So the bound holds in a
 // window if the list behind each send contains all boxes that send in that window.
-// The caller ensures this: it keeps a lost box listed for a window after the box's
-// last send, and it sets the start of a Pacer to the time from which its box and
-// all others list each other. The Pacer then waits for one window, after which
-// earlier sends, also those of a previous process of the same name, no longer count.
+// The caller ensures this: it keeps a failed box listed for a window after its last
+// send, and it sets the start of a Pacer to the time from which its box and all others
+// list each other. The Pacer then waits for one window, after which no earlier send
+// counts, including those of a previous process of the same name.
 //
 // Times are read from the monotonic clock since the start of the process. A Pacer is
 // not safe for concurrent use.
@@ -33,8 +33,7 @@
 )
 
 const (
-	// window adds a tenth to the second of the bound for the delay between the write
-	// of a send and its arrival.
+	// window is a second and a tenth for the delay between the write and the arrival.
 	window = 1100 * time.Millisecond
 	// gapDivisor sets the minimum gap between sends: window / (gapDivisor x share).
 	gapDivisor = 2
@@ -50,7 +49,6 @@
 	Slack float64
 }
 
-// cold is the record of a cold replica.
 type cold struct {
 	perSecond float64
 	until     time.Duration
@@ -107,9 +105,8 @@
 	p.start = now
 }
 
-// Cold records that replica is cold until the given time and serves perSecond
-// requests meanwhile. Later calls may extend until but not shorten it, and they
-// replace the rate.
+// Cold records that replica is cold until the given time and serves perSecond requests
+// meanwhile. Further calls replace the rate; they may extend until but not shorten it.
 func (p *Pacer) Cold(replica string, perSecond float64, until time.Duration) {
 	c := p.cold[replica]
 	if c == nil {
@@ -145,10 +142,9 @@
 	return p.coldAt(replica, now) != nil
 }
 
-// Allow reports whether a send to replica is allowed now, without counting one.
-// The list has the names of all boxes of the region that may be alive or have sent
-// within the last window, including this one. Sends to replicas that aren't cold are
-// always allowed.
+// Allow reports whether a send to replica is allowed now, which it always is if the
+// replica is not cold. It counts no send. The list names all boxes of the region that
+// may be alive or have sent within the last window, including this one.
 func (p *Pacer) Allow(replica string, boxes []string, now time.Duration) bool {
 	return p.Next(replica, boxes, now) <= now
 }
@@ -181,9 +177,8 @@
 	p.warmHistory(replica).move(taken, now)
 }
 
-// Next returns the earliest time, from now on, at which a send to replica is allowed
-// under the same list of boxes. For a box without a share this is the time at which
-// the replica is no longer cold.
+// Next returns the earliest time, from now on, at which a send to replica is allowed.
+// For a box without a share this is the time at which the replica is no longer cold.
 func (p *Pacer) Next(replica string, boxes []string, now time.Duration) time.Duration {
 	c := p.coldAt(replica, now)
 	if c == nil {
