--- a/meter/count.go
+++ b/meter/count.go
@@ -63,12 +63,12 @@
 // ForeignEntry counts an entry of the store that does not name a replica.
 func (m *Meter) ForeignEntry() { m.foreignEntries.Inc() }
 
-// FirstByte observes the time from a request to the first byte of its answer.
+// FirstByte observes the time from a request to the first byte of its response.
 func (m *Meter) FirstByte(service string, d time.Duration) {
 	m.firstByte.WithLabelValues(service).Observe(d.Seconds())
 }
 
-// Answer observes the time from a request to the end of its answer.
+// Answer observes the time from a request to the end of its response.
 func (m *Meter) Answer(service string, d time.Duration) {
 	m.answer.WithLabelValues(service).Observe(d.Seconds())
 }
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -59,7 +59,6 @@
 	return m
 }
 
-// scrape returns the lines that the handler of m serves.
 func scrape(is *is.I, m *Meter) []string {
 	is.Helper()
 	w := httptest.NewRecorder()
