--- a/admission/admission.go
+++ b/admission/admission.go
@@ -127,8 +127,7 @@
 func (l *Limiter) InFlight() int { return l.inFlight }
 
 // RetryAfter returns the time after which a refused caller should retry: the expected
-// wait, lengthened by spread, a random number in [0, 1), so that callers don't retry
-// at once.
+// wait with a jitter by spread, a number in [0, 1) that differs between callers.
 func RetryAfter(wait time.Duration, spread float64) time.Duration {
 	d := min(max(wait, minRetryAfter), maxRetryAfter)
 	return d + time.Duration(spread*float64(d))
