--- a/budget/budget.go
+++ b/budget/budget.go
@@ -5,7 +5,7 @@
 //
 // holds, also while boxes crash, restart without state, freeze or are partitioned.
 //
-// # The rule of one box
+// # The rule for each box
 //
 // A box allows a retry at time t if for every start s in the last window its own
 // counts satisfy
@@ -37,8 +37,8 @@
 //
 // The rule depends only on the order of a box's own events, so a frozen process or a
 // stopped clock makes it stricter. The unused 15% of the ratio and 10% of the window
-// cover clock drift and the delay between Take and the send. After a longer delay the
-// caller has to call Take again.
+// cover clock drift and the delay between Take and the send; after a longer delay the
+// caller must call Take again.
 //
 // Times are read from the monotonic clock since the start of the process. A Budget is
 // not safe for concurrent use.
@@ -58,8 +58,7 @@
 	// minBoxesForMargin is the number of boxes from which one more is assumed, since a
 	// box that has just joined may not be listed yet.
 	minBoxesForMargin = 2
-	// sweepThreshold is the number of services from which idle ones are removed before a
-	// new one is added.
+	// sweepThreshold is the number of services from which idle ones are removed.
 	sweepThreshold = 1024
 )
 
@@ -73,7 +72,6 @@
 	Extra int
 }
 
-// span returns the window with its slack.
 func (t Terms) span() time.Duration {
 	return t.Window + t.Window/windowSlackDivisor
 }
@@ -93,8 +91,7 @@
 	}
 }
 
-// SetTerms replaces the terms and keeps the counts. The new limit holds for windows
-// that begin after the change.
+// SetTerms replaces the terms, for windows that begin after it, and keeps the counts.
 func (b *Budget) SetTerms(terms Terms) {
 	b.terms = terms
 	for _, c := range b.services {
--- a/budget/counts.go
+++ b/budget/counts.go
@@ -2,7 +2,6 @@
 
 import "time"
 
-// bucketLength is the resolution of the counts.
 const bucketLength = 100 * time.Millisecond
 
 // bucket counts the events of one period of bucketLength.
@@ -31,7 +30,6 @@
 	return int(whole) + 1
 }
 
-// bucketOf returns the index of the bucket that holds now.
 func bucketOf(now time.Duration) int64 {
 	return int64(now / bucketLength)
 }
--- a/budget/fuzz_test.go
+++ b/budget/fuzz_test.go
@@ -26,9 +26,8 @@
 	events []event
 }
 
-// maxExcess returns the maximum excess of retries over ratio x requests in any window.
-// It is reached in a window that begins and ends with a retry, so only those are
-// checked.
+// maxExcess returns the maximum excess of retries over ratio x requests in any window;
+// it checks only windows that begin and end with a retry, where the maximum is.
 func (o *oracle) maxExcess(terms Terms) float64 {
 	maxExcess := 0.0
 	for i, first := range o.events {
@@ -55,7 +54,7 @@
 type process struct {
 	budget       *Budget
 	startedAt    time.Duration
-	clockStopped time.Duration // how long its clock was stopped
+	clockStopped time.Duration
 	frozenUntil  time.Duration
 }
 
@@ -180,7 +179,6 @@
 	f.now += time.Duration(rapid.IntRange(longest/2, longest).Draw(f.t, "wait")) * time.Millisecond
 }
 
-// run takes random actions.
 func (f *fleet) run() {
 	actions := []func(){
 		f.request,
