--- a/quota/allocator.go
+++ b/quota/allocator.go
@@ -13,11 +13,10 @@
 type Bank struct {
 	mu          sync.Mutex
 	lastRequest time.Duration
-	boxes       map[string]boxRecord // that send requests
+	boxes       map[string]boxRecord
 	balances    map[string]*balance
 }
 
-// boxRecord is an allocator's record of a box.
 type boxRecord struct {
 	lastSeen time.Duration
 	uptime   time.Duration // at its last request
@@ -32,11 +31,11 @@
 // balance is an allocator's record of one organisation.
 type balance struct {
 	granted      window
-	reports      map[string]report // by box
-	demand       decay.Count       // units that callers requested
-	sharedDemand float64           // units per second that other regions received; -1 before the first report
-	round        int               // of reports between regions
-	remaining    float64           // units that may be granted in that round
+	reports      map[string]report
+	demand       decay.Count
+	sharedDemand float64 // units per second that other regions received; -1 before the first report
+	round        int     // of reports between regions
+	remaining    float64 // units that may be granted in that round
 }
 
 // NewBank returns an allocator without records of boxes.
@@ -138,7 +137,6 @@
 	return out
 }
 
-// perSecond returns the rate of demand.
 func (b *balance) perSecond(now time.Duration) float64 {
 	return perSecond(&b.demand, now)
 }
@@ -165,7 +163,6 @@
 	}
 }
 
-// reportedUnits returns the sum of the usage reports.
 func (b *balance) reportedUnits() (sum float64) {
 	for _, r := range b.reports {
 		sum += r.units
@@ -225,7 +222,6 @@
 	return clamp(minWait, time.Duration(seconds*float64(time.Second)), maxWait)
 }
 
-func clamp(least, d, most time.Duration) time.Duration { return min(max(d, least), most) }
+func clamp(lower, d, upper time.Duration) time.Duration { return min(max(d, lower), upper) }
 
-// millis converts d for JSON.
 func millis(d time.Duration) catalog.Millis { return catalog.Millis(d.Milliseconds()) }
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -12,9 +12,9 @@
 type Purse struct {
 	mu      sync.Mutex
 	credits map[string]*credit
-	window  time.Duration                                  // of the quotas
+	window  time.Duration
 	request func(ctx context.Context, a Ask) (Grant, bool) // sends a request to an allocator; false without a response
-	now     func() time.Duration                           // the box's clock
+	now     func() time.Duration
 }
 
 // credit is a box's credit of one organisation.
@@ -102,8 +102,8 @@
 	c.used.add(-cost, p.now())
 }
 
-// Due returns the requests for credit in advance that are due for the organisations that match
-// of. It removes those without callers.
+// Due returns the requests for credit in advance that are due for the organisations for which of
+// is true. It removes the credits of those without callers.
 func (p *Purse) Due(of func(organisation string) bool) (out []Ask) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -2,8 +2,8 @@
 // every sliding window the boxes admit at most the units of an organisation's quota, plus the
 // tolerances below.
 //
-// A few boxes of each region, chosen by rendezvous hashing, run a quota allocator. It grants
-// credit to the boxes of its region. A box admits a request only against credit in its credit
+// A few boxes of each region, chosen by rendezvous hashing, run a quota allocator, which grants
+// credit to the boxes of the region. A box admits a request only against credit in its credit
 // pool, which it requests in advance, so that few requests wait for an allocator.
 //
 // # Why the limit holds
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -51,7 +51,6 @@
 	}
 }
 
-// timedGrant is the units that an allocator granted at a time.
 type timedGrant struct {
 	at    time.Duration
 	units float64
@@ -209,7 +208,6 @@
 	is.True(got < 1.2*units) // reports are one round old
 }
 
-// exchangeUsage has all regions report their usage to each other.
 func exchangeUsage(banks map[string]*Bank, rounds map[string]Round, regions []string, at time.Duration) {
 	for _, region := range regions {
 		for _, other := range regions {
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -13,7 +13,7 @@
 	mu           sync.Mutex
 	others       []string // regions except this one
 	reports      map[string]regionReport
-	round        int                           // number of completed rounds of reports
+	round        int                           // completed rounds of reports
 	agreedShares map[string]map[string]float64 // of the other regions by organisation, from the last round in which all were reachable
 }
 
@@ -150,7 +150,6 @@
 	return 1 / float64(len(s.others)+1)
 }
 
-// perSecond returns the rate of a count.
 func perSecond(n *decay.Count, now time.Duration) float64 {
 	return n.At(now, demandHalfLife) * math.Ln2 / demandHalfLife.Seconds()
 }
