--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -29,7 +29,6 @@
 	// 1s 7
 }
 
-// publication is a version and the time at which it was published.
 type publication struct {
 	version int
 	at      time.Duration
