--- a/catalog/change.go
+++ b/catalog/change.go
@@ -44,22 +44,22 @@
 
 // fewestGone is how many replicas that are gone are remembered at least, beside one for
 // each that is there: a failure domain that is lost takes its part of them at once.
-const fewestGone = 512
+const minRemovals = 512
 
 const (
-	fewestLapsed = 64   // replicas that are told again at least, beside one for each that is left
-	lapsedFor    = 1000 // revisions for which they are told; minutes at the six changes a second of a service that is replaced
+	minConfirmedRemovals   = 64   // replicas that are told again at least, beside one for each that is left
+	confirmedRemovalWindow = 1000 // revisions for which they are told; minutes at the six changes a second of a service that is replaced
 )
 
 // past is what a copy remembers of its changes: what is gone and when other things
 // changed. Replicas tell the revision of their last change themselves.
-type past struct {
-	since     int64 // removals after this revision are known
-	gone      map[string]int64
-	recent    recent                // the same
-	lapsed    []string              // the latest replicas whose removal was in doubt before it was believed
-	lapses    int                   // how many there were
-	evacuated map[string]evacuation // by failure domain
+type history struct {
+	since          int64 // removals after this revision are known
+	removals       map[string]int64
+	index          revisionIndex         // the same
+	confirmed      []string              // the latest replicas whose removal was in doubt before it was believed
+	confirmedCount int                   // how many there were
+	evacuated      map[string]evacuation // by failure domain
 }
 
 // evacuation is the last change of a failure domain.
@@ -68,16 +68,16 @@
 	on       bool
 }
 
-func newPast() past {
-	return past{
-		gone:      make(map[string]int64),
+func newHistory() history {
+	return history{
+		removals:  make(map[string]int64),
 		evacuated: make(map[string]evacuation),
 	}
 }
 
 // begin takes in that a snapshot replaces the copy of a revision. Of what was
 // removed before the first one nothing is known.
-func (p *past) begin(before, now int64) {
+func (p *history) recordSnapshot(before, now int64) {
 	if before == 0 {
 		p.since = now
 	}
@@ -85,26 +85,26 @@
 
 // remove takes in that a replica is gone and how many are left. When too many are gone,
 // all are forgotten.
-func (p *past) remove(id string, revision int64, left int) {
-	if len(p.gone) >= max(fewestGone, left) {
-		clear(p.gone)
-		p.recent = recent{}
+func (p *history) recordRemoval(id string, revision int64, left int) {
+	if len(p.removals) >= max(minRemovals, left) {
+		clear(p.removals)
+		p.index = revisionIndex{}
 		p.since = revision + 1
 	}
-	p.gone[id] = revision
-	p.recent.add(id, revision, len(p.gone), p.goneAt)
+	p.removals[id] = revision
+	p.index.insert(id, revision, len(p.removals), p.removedAt)
 }
 
 // goneAt returns the revision at which a replica was removed; 0 for none that is known.
-func (p *past) goneAt(id string) int64 { return p.gone[id] }
+func (p *history) removedAt(id string) int64 { return p.removals[id] }
 
 // removed returns the replicas of which a box that knows a revision is told that they are
 // gone, in order. It may have learned a later revision than that of a reading before the
 // reading, and would go on sending to those whose removal was in doubt.
-func (p *past) removed(revision int64) []string {
-	out := p.recent.since(revision, p.goneAt)
-	for _, id := range p.lapsed {
-		if at := p.gone[id]; at > 0 && at < revision && revision < at+lapsedFor {
+func (p *history) removedSince(revision int64) []string {
+	out := p.index.since(revision, p.removedAt)
+	for _, id := range p.confirmed {
+		if at := p.removals[id]; at > 0 && at < revision && revision < at+confirmedRemovalWindow {
 			out = append(out, id)
 		}
 	}
@@ -114,20 +114,20 @@
 
 // lapse takes in that a replica whose removal was in doubt is gone. Others that asked
 // meanwhile may know its revision without it.
-func (p *past) lapse(id string, revision int64, left int) {
-	p.remove(id, revision, left)
-	p.lapses++
-	p.lapsed = append(p.lapsed, id)
-	p.lapsed = p.lapsed[max(0, len(p.lapsed)-max(fewestLapsed, left)):]
+func (p *history) confirmRemoval(id string, revision int64, left int) {
+	p.recordRemoval(id, revision, left)
+	p.confirmedCount++
+	p.confirmed = append(p.confirmed, id)
+	p.confirmed = p.confirmed[max(0, len(p.confirmed)-max(minConfirmedRemovals, left)):]
 }
 
 // isGone says whether a replica was removed after what an entry says of it. A box that
 // still has the removal in doubt tells others of the replica as it was.
-func (p *past) isGone(r Replica) bool { return p.gone[r.ID] > r.Revision }
+func (p *history) isRemoved(r Replica) bool { return p.removals[r.ID] > r.Revision }
 
 // evacuate takes in that a failure domain gets no work from a revision on, or work
 // again.
-func (p *past) evacuate(domain string, on bool, revision int64) {
+func (p *history) recordEvacuation(domain string, on bool, revision int64) {
 	p.evacuated[domain] = evacuation{
 		revision: revision,
 		on:       on,
@@ -136,11 +136,11 @@
 
 // Lapses returns how many replicas were found gone after their removal had been in
 // doubt.
-func (c *Content) Lapses() int { return c.past.lapses }
+func (c *Content) Lapses() int { return c.history.confirmedCount }
 
 // TellsAll says whether a box that knows a revision is told all of the catalog, for what
 // changed since isn't known.
-func (c *Content) TellsAll(revision int64) bool { return revision < c.past.since || revision == 0 }
+func (c *Content) TellsAll(revision int64) bool { return revision < c.history.since || revision == 0 }
 
 // Since returns what changed after a revision, as far as it is still so, and all of
 // the catalog where that isn't known, but for the policy. What changed at the revision itself is in it
@@ -152,33 +152,33 @@
 		s.Policy = nil
 		return News{
 			Snapshot: &s,
-			Doubts:   c.tell(),
-			Policy:   c.newestPolicy(),
+			Doubts:   c.unconfirmedForPeers(),
+			Policy:   c.newestPolicyVersion(),
 			Revision: s.Revision,
 		}
 	}
 	out := News{
-		Doubts:   c.tell(),
-		Policy:   c.newestPolicy(),
+		Doubts:   c.unconfirmedForPeers(),
+		Policy:   c.newestPolicyVersion(),
 		Revision: c.newest,
 	}
-	for _, id := range c.past.removed(revision) {
+	for _, id := range c.history.removedSince(revision) {
 		if _, back := c.replicas[id]; !back {
 			out.Changes = append(out.Changes, Change{
-				Revision: c.past.gone[id],
+				Revision: c.history.removals[id],
 				Gone:     id,
 			})
 		}
 	}
-	for _, id := range c.recent.since(revision, c.changedAt) {
+	for _, id := range c.index.since(revision, c.changedAt) {
 		r := c.replicas[id]
 		out.Changes = append(out.Changes, Change{
 			Revision: r.Revision,
 			Replica:  &r,
 		})
 	}
-	for _, d := range slices.Sorted(maps.Keys(c.past.evacuated)) {
-		if e := c.past.evacuated[d]; e.revision >= revision {
+	for _, d := range slices.Sorted(maps.Keys(c.history.evacuated)) {
+		if e := c.history.evacuated[d]; e.revision >= revision {
 			out.Changes = append(out.Changes, e.change(d))
 		}
 	}
--- a/catalog/touched.go
+++ b/catalog/changelog.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-const mostTouched = 1024 // ids that are remembered: those of one update, as a rule
+const maxLogged = 1024 // ids that are remembered: those of one update, as a rule
 
 // touched is which entries of a copy changed last, for those who keep something of them.
-type touched struct {
-	ids    []string
-	before int // changes that are no longer remembered
+type changeLog struct {
+	ids     []string
+	dropped int // changes that are no longer remembered
 }
 
 // add notes that the entry of an id, or the doubt in it, has changed.
-func (t *touched) add(id string) {
-	if len(t.ids) >= mostTouched {
-		t.before += len(t.ids)
+func (t *changeLog) add(id string) {
+	if len(t.ids) >= maxLogged {
+		t.dropped += len(t.ids)
 		t.ids = nil
 	}
 	t.ids = append(t.ids, id)
@@ -23,11 +23,11 @@
 // changes, in their order, and the count by now. It is false where these are no longer
 // remembered, and before the first count: then any may have changed.
 func (c *Content) Touched(after int) (ids []string, count int, ok bool) {
-	count = c.touched.before + len(c.touched.ids)
-	if after <= 0 || after < c.touched.before || after > count {
+	count = c.changes.dropped + len(c.changes.ids)
+	if after <= 0 || after < c.changes.dropped || after > count {
 		return nil, count, false
 	}
-	ids = slices.Clone(c.touched.ids[after-c.touched.before:])
+	ids = slices.Clone(c.changes.ids[after-c.changes.dropped:])
 	slices.Sort(ids)
 	return slices.Compact(ids), count, true
 }
--- a/catalog/compress.go
+++ b/catalog/compress.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	mostDecompressed = 8 << 20 // bytes that an answer may grow to: 4,000 replicas have 0.7 MB, and a published value 1 MB at most
-	compressFrom     = 8 << 10 // bytes from which news are compressed: some 50 replicas; what compresses takes 0.6 MB for a moment
+	maxDecompressed = 8 << 20 // bytes that an answer may grow to: 4,000 replicas have 0.7 MB, and a published value 1 MB at most
+	minCompressed   = 8 << 10 // bytes from which news are compressed: some 50 replicas; what compresses takes 0.6 MB for a moment
 )
 
 // EncodedNews is how news go from box to box.
@@ -25,7 +25,7 @@
 // Encode returns news as they go to another box. All of 4,000 replicas, which who begins
 // without the publisher asks for, took 0.6 s of a link of 10 Mbit/s as they are.
 func (n News) Encode() (EncodedNews, error) {
-	if !n.long() {
+	if !n.isLarge() {
 		return EncodedNews{
 			News: &n,
 		}, nil
@@ -37,13 +37,13 @@
 }
 
 // long says whether news are worth compressing.
-func (n News) long() bool {
+func (n News) isLarge() bool {
 	const usual = 160 // bytes of a replica
 	items := len(n.Changes)
 	if n.Snapshot != nil {
 		items += len(n.Snapshot.Replicas)
 	}
-	return items*usual > compressFrom
+	return items*usual > minCompressed
 }
 
 // Decode returns the news.
@@ -81,5 +81,5 @@
 func decompress(data []byte, out any) error {
 	r := flate.NewReader(bytes.NewReader(data))
 	defer func() { _ = r.Close() }() // it has nothing to lose
-	return errors.Wrap(json.NewDecoder(io.LimitReader(r, mostDecompressed)).Decode(out), "compressed")
+	return errors.Wrap(json.NewDecoder(io.LimitReader(r, maxDecompressed)).Decode(out), "compressed")
 }
--- a/catalog/delta.go
+++ b/catalog/delta.go
@@ -62,7 +62,7 @@
 		Keyed:    later.Keyed,
 	}
 	var err error
-	if out.Sum, err = later.sum(); err != nil {
+	if out.Sum, err = later.checksum(); err != nil {
 		return out, err
 	}
 	known := &Policy{}
@@ -84,16 +84,16 @@
 	for i := range later {
 		item := &later[i]
 		if n, ok := at[key(item)]; ok && reflect.DeepEqual(earlier[n], *item) {
-			out = keep(out, n)
+			out = appendExisting(out, n)
 		} else {
-			out = add(out, *item)
+			out = appendNew(out, *item)
 		}
 	}
 	return out
 }
 
 // keep adds an item of the earlier list.
-func keep[T any](list []Span[T], at int) []Span[T] {
+func appendExisting[T any](list []Span[T], at int) []Span[T] {
 	if n := len(list) - 1; n >= 0 && list[n].Count > 0 && list[n].At+list[n].Count == at {
 		list[n].Count++
 		return list
@@ -105,7 +105,7 @@
 }
 
 // add adds an item that the earlier list lacks.
-func add[T any](list []Span[T], item T) []Span[T] {
+func appendNew[T any](list []Span[T], item T) []Span[T] {
 	if n := len(list) - 1; n < 0 || list[n].Count > 0 {
 		list = append(list, Span[T]{})
 	}
@@ -131,13 +131,13 @@
 		Keyed:    a.Keyed,
 	}
 	var err error
-	if out.Routes, err = joined(known.Routes, a.Routes); err != nil {
+	if out.Routes, err = applySpans(known.Routes, a.Routes); err != nil {
 		return nil, errors.Wrapf(err, "delta of policy %d: routes", a.From)
 	}
-	if out.Organisations, err = joined(known.Organisations, a.Organisations); err != nil {
+	if out.Organisations, err = applySpans(known.Organisations, a.Organisations); err != nil {
 		return nil, errors.Wrapf(err, "delta of policy %d: organisations", a.From)
 	}
-	sum, err := out.sum()
+	sum, err := out.checksum()
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 }
 
 // joined returns the later list.
-func joined[T any](earlier []T, list []Span[T]) (out []T, err error) {
+func applySpans[T any](earlier []T, list []Span[T]) (out []T, err error) {
 	for _, s := range list {
 		if s.At < 0 || s.Count < 0 || s.Count > len(earlier) || s.At > len(earlier)-s.Count {
 			return nil, errors.Newf("none from %d to %d", s.At, s.At+s.Count)
@@ -160,7 +160,7 @@
 }
 
 // sum returns a sum of all that a policy says.
-func (p *Policy) sum() (uint64, error) {
+func (p *Policy) checksum() (uint64, error) {
 	h := xxhash.New()
 	err := json.NewEncoder(h).Encode(struct {
 		Routes   []Route
@@ -171,8 +171,8 @@
 		Keyed         bool           `json:",omitempty"` // boxes of a version without keys come to the same sum
 		Organisations []Organisation `json:",omitempty"`
 	}{
-		Routes:        orNone(p.Routes),
-		Services:      orNone(p.Services),
+		Routes:        nilIfEmpty(p.Routes),
+		Services:      nilIfEmpty(p.Services),
 		Limits:        p.Limits,
 		Version:       p.Version,
 		Keyed:         p.Keyed,
@@ -182,7 +182,7 @@
 }
 
 // orNone returns a list, nil for an empty one, which is encoded otherwise.
-func orNone[T any](list []T) []T {
+func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
 	}
--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -13,8 +13,8 @@
 // entries that lapsed are back within lapseWait, and news of that takes as long as
 // backSlack.
 const (
-	doubtFor  = lapseWait + backSlack
-	backSlack = 100 * time.Millisecond // until a watch has brought the last that is back; with 0.5 s a watcher that was turned away held to a removed replica for 3.55 s
+	unconfirmedTimeout = recoveryWindow + recoverySlack
+	recoverySlack      = 100 * time.Millisecond // until a watch has brought the last that is back; with 0.5 s a watcher that was turned away held to a removed replica for 3.55 s
 )
 
 // Doubt is a replica that was found removed while entries that lapsed may still come
@@ -41,7 +41,7 @@
 }
 
 // doubt is a Doubt as a copy holds it.
-type doubt struct {
+type unconfirmedRemoval struct {
 	revision int64
 	until    time.Time
 }
@@ -54,20 +54,20 @@
 		return c.floor
 	}
 	c.floor = c.newest
-	for _, d := range c.doubts {
+	for _, d := range c.unconfirmed {
 		c.floor = min(c.floor, d.revision)
 	}
 	return c.floor
 }
 
 // endDoubt takes in that a replica is not in doubt.
-func (c *Content) endDoubt(id string) {
+func (c *Content) clearUnconfirmed(id string) {
 	if !c.InDoubt(id) {
 		return
 	}
-	delete(c.doubts, id)
+	delete(c.unconfirmed, id)
 	c.floor = 0
-	c.touched.add(id)
+	c.changes.add(id)
 }
 
 // Newest returns the newest revision that was taken in. Each removal up to it is
@@ -75,36 +75,36 @@
 func (c *Content) Newest() int64 { return c.newest }
 
 // Doubtful says whether any removal is in doubt.
-func (c *Content) Doubtful() bool { return len(c.doubts) > 0 }
+func (c *Content) Doubtful() bool { return len(c.unconfirmed) > 0 }
 
 // InDoubt says whether a replica may be gone.
 func (c *Content) InDoubt(id string) bool {
-	_, ok := c.doubts[id]
+	_, ok := c.unconfirmed[id]
 	return ok
 }
 
 // doubt notes that a replica may be gone since a revision. An earlier end of the doubt
 // stays.
-func (c *Content) doubt(id string, revision int64, left time.Duration) {
+func (c *Content) markUnconfirmed(id string, revision int64, left time.Duration) {
 	if _, ok := c.replicas[id]; !ok {
 		return
 	}
-	next := doubt{
+	next := unconfirmedRemoval{
 		revision: max(revision, c.Revision()), // so that it doesn't go back
 		until:    c.now().Add(left),
 	}
-	if was, ok := c.doubts[id]; ok {
+	if was, ok := c.unconfirmed[id]; ok {
 		next.revision = min(next.revision, was.revision)
 		if was.until.Before(next.until) {
 			next.until = was.until
 		}
 	}
-	c.doubts[id] = next // no earlier than the floor, which stays
-	c.touched.add(id)
+	c.unconfirmed[id] = next // no earlier than the floor, which stays
+	c.changes.add(id)
 }
 
 // Doubts returns the replicas that may be gone, in order.
-func (c *Content) Doubts() []string { return slices.Sorted(maps.Keys(c.doubts)) }
+func (c *Content) Doubts() []string { return slices.Sorted(maps.Keys(c.unconfirmed)) }
 
 // Settle believes the removals whose time is over, and says whether there were any.
 //
@@ -112,23 +112,23 @@
 // again, went on sending to such a replica for up to 5 s.
 func (c *Content) Settle() bool {
 	settled := false
-	for _, id := range slices.Sorted(maps.Keys(c.doubts)) { // so that the latest that are told again don't depend on chance
-		d := c.doubts[id]
+	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) { // so that the latest that are told again don't depend on chance
+		d := c.unconfirmed[id]
 		if c.now().Before(d.until) {
 			continue
 		}
 		c.drop(id)
-		c.past.lapse(id, d.revision, len(c.replicas))
+		c.history.confirmRemoval(id, d.revision, len(c.replicas))
 		settled = true
 	}
 	return settled
 }
 
 // tell returns the doubts as another box is told of them.
-func (c *Content) tell() []Doubt {
+func (c *Content) unconfirmedForPeers() []Doubt {
 	var out []Doubt
-	for _, id := range slices.Sorted(maps.Keys(c.doubts)) {
-		d := c.doubts[id]
+	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) {
+		d := c.unconfirmed[id]
 		out = append(out, Doubt{
 			Replica:  id,
 			Born:     c.replicas[id].Born,
@@ -140,10 +140,10 @@
 }
 
 // hear takes in what another box has in doubt, but for what is known to be gone.
-func (c *Content) hear(list []Doubt) {
+func (c *Content) mergeUnconfirmed(list []Doubt) {
 	for _, d := range list {
-		if r, ok := c.replicas[d.Replica]; ok && r.Revision <= d.Revision && isSameStart(r.Born, d.Born) {
-			c.doubt(d.Replica, d.Revision, d.Left.Duration())
+		if r, ok := c.replicas[d.Replica]; ok && r.Revision <= d.Revision && isSameIncarnation(r.Born, d.Born) {
+			c.markUnconfirmed(d.Replica, d.Revision, d.Left.Duration())
 		}
 	}
 }
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -22,13 +22,13 @@
 var ErrTold = errors.New("catalog: told by another box")
 
 const (
-	watchFor     = 10 * time.Second       // one waiting call; each call has a price, and a new one costs no more than that
-	rereadEvery  = 2 * time.Second        // a watch may stay silent while changes are made; half of the shortest bound on configurations
-	firstBackOff = 50 * time.Millisecond  // after a failed call
-	maxBackOff   = 600 * time.Millisecond // so that a publisher that is back is used within a second
-	lapseWait    = 2 * time.Second        // entries that lapsed while the publisher was away are back within this time
-	followLook   = 200 * time.Millisecond // between two looks whether it still follows
-	neverRead    = math.MaxInt64          // the age of what was never read, in nanoseconds
+	watchTimeout       = 10 * time.Second       // one waiting call; each call has a price, and a new one costs no more than that
+	rereadInterval     = 2 * time.Second        // a watch may stay silent while changes are made; half of the shortest bound on configurations
+	firstBackOff       = 50 * time.Millisecond  // after a failed call
+	maxBackOff         = 600 * time.Millisecond // so that a publisher that is back is used within a second
+	recoveryWindow     = 2 * time.Second        // entries that lapsed while the publisher was away are back within this time
+	followPollInterval = 200 * time.Millisecond // between two looks whether it still follows
+	neverRead          = math.MaxInt64          // the age of what was never read, in nanoseconds
 )
 
 // Source is where the catalog is read. Read returns all of it. Wait returns what
@@ -71,40 +71,40 @@
 }
 
 // doubtFor returns how long what is missing in an update is not believed to be gone.
-func (u Update) doubtFor() time.Duration { return cmp.Or(u.Settles, doubtFor) }
+func (u Update) unconfirmedTimeout() time.Duration { return cmp.Or(u.Settles, unconfirmedTimeout) }
 
 // Feed keeps a copy of the catalog current from a source.
 type Feed struct {
-	source   Source
-	update   func(Update)
-	health   func(err error)
-	now      func() time.Time
-	jitter   func() float64
-	every    time.Duration
-	reader   func() bool // this box reads again on behalf of others
-	follow   func() bool // other boxes watch on behalf of this one
-	confirms func() bool // this box has to know that the policy is the newest
-	proved   func(version int, at time.Time)
-	turn     func(ctx context.Context, took time.Duration, first bool) error
-	refresh  func(ctx context.Context) // asks another box for what this one knows too old
-	age      func() time.Duration      // of what this box knows, by what others say
-	behind   chan struct{}             // another box knows more
-	wanted   atomic.Int64              // the revision that it knows
-	known    atomic.Int64              // the newest that was handed on
-	replicas atomic.Int64              // that were read last
-	at       chan int64                // revisions read, from which the watch goes on
-	again    chan struct{}             // asks for all to be read at once
-	whole    atomic.Bool               // also where that takes many calls and only what changed would do
-
-	mu      sync.Mutex
-	away    bool      // the last reading failed; a watch may also end for other reasons
-	failed  time.Time // when it did
-	settled time.Time // until then entries may come back that lapsed
-
-	confirmed confirmed // the last answer about the policy
-
-	quick  float64   // calls of the watch that may follow each other at once; the task that watches owns it
-	called time.Time // when a watch brought changes last; the same
+	source      Source
+	update      func(Update)
+	health      func(err error)
+	now         func() time.Time
+	jitter      func() float64
+	interval    time.Duration
+	isReader    func() bool // this box reads again on behalf of others
+	isFollower  func() bool // other boxes watch on behalf of this one
+	mustConfirm func() bool // this box has to know that the policy is the newest
+	onConfirmed func(version int, at time.Time)
+	readGate    func(ctx context.Context, took time.Duration, first bool) error
+	refresh     func(ctx context.Context) // asks another box for what this one knows too old
+	age         func() time.Duration      // of what this box knows, by what others say
+	behind      chan struct{}             // another box knows more
+	wanted      atomic.Int64              // the revision that it knows
+	delivered   atomic.Int64              // the newest that was handed on
+	replicas    atomic.Int64              // that were read last
+	resume      chan int64                // revisions read, from which the watch goes on
+	rereadNow   chan struct{}             // asks for all to be read at once
+	forceFull   atomic.Bool               // also where that takes many calls and only what changed would do
+
+	mu          sync.Mutex
+	unavailable bool      // the last reading failed; a watch may also end for other reasons
+	failedAt    time.Time // when it did
+	settledAt   time.Time // until then entries may come back that lapsed
+
+	confirmation confirmation // the last answer about the policy
+
+	burst       float64   // calls of the watch that may follow each other at once; the task that watches owns it
+	lastChanges time.Time // when a watch brought changes last; the same
 }
 
 // FeedOption changes a Feed.
@@ -117,17 +117,17 @@
 func WithJitter(f func() float64) FeedOption { return func(d *Feed) { d.jitter = f } }
 
 // WithReread sets how often all is read again beside the watch.
-func WithReread(every time.Duration) FeedOption { return func(d *Feed) { d.every = every } }
+func WithReread(every time.Duration) FeedOption { return func(d *Feed) { d.interval = every } }
 
 // WithReader sets what says whether this box reads again on behalf of others.
 // One that doesn't relies on Behind, and reads again more rarely.
-func WithReader(f func() bool) FeedOption { return func(d *Feed) { d.reader = f } }
+func WithReader(f func() bool) FeedOption { return func(d *Feed) { d.isReader = f } }
 
 // WithFollowing sets what says whether other boxes watch on behalf of this one, and
 // how old what it knows is by their word. It reads only when that gets too old.
 func WithFollowing(follow func() bool, age func() time.Duration) FeedOption {
 	return func(d *Feed) {
-		d.follow = follow
+		d.isFollower = follow
 		d.age = age
 	}
 }
@@ -135,7 +135,7 @@
 // WithTurn sets what a first reading of many calls waits for after the first ones, which took
 // a time, and asks between the later ones. It fails with ErrTold once another box told all.
 func WithTurn(f func(ctx context.Context, took time.Duration, first bool) error) FeedOption {
-	return func(d *Feed) { d.turn = f }
+	return func(d *Feed) { d.readGate = f }
 }
 
 // WithRefresh sets what asks a box that reads for others, where this one follows and what it
@@ -145,24 +145,24 @@
 // NewFeed returns a feed that hands what it reads to update.
 func NewFeed(source Source, update func(Update), opts ...FeedOption) *Feed {
 	d := &Feed{
-		source: source,
-		update: update,
-		health: func(error) {},
-		now:    clock.Now,
-		jitter: func() float64 { return 0.5 },
-		every:  rereadEvery,
-		reader: func() bool { return true },
-		follow: func() bool { return false },
-
-		confirms: func() bool { return false },
-		proved:   func(int, time.Time) {},
-
-		turn:    func(context.Context, time.Duration, bool) error { return nil },
-		refresh: func(context.Context) {},
-		age:     func() time.Duration { return neverRead },
-		behind:  make(chan struct{}, 1),
-		at:      make(chan int64, 1),
-		again:   make(chan struct{}, 1),
+		source:     source,
+		update:     update,
+		health:     func(error) {},
+		now:        clock.Now,
+		jitter:     func() float64 { return 0.5 },
+		interval:   rereadInterval,
+		isReader:   func() bool { return true },
+		isFollower: func() bool { return false },
+
+		mustConfirm: func() bool { return false },
+		onConfirmed: func(int, time.Time) {},
+
+		readGate:  func(context.Context, time.Duration, bool) error { return nil },
+		refresh:   func(context.Context) {},
+		age:       func() time.Duration { return neverRead },
+		behind:    make(chan struct{}, 1),
+		resume:    make(chan int64, 1),
+		rereadNow: make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
 		opt(d)
@@ -172,7 +172,7 @@
 
 // Behind tells the feed that another box knows a revision.
 func (d *Feed) Behind(revision int64) {
-	if revision <= d.known.Load() {
+	if revision <= d.delivered.Load() {
 		return
 	}
 	d.wanted.Store(revision)
@@ -185,22 +185,22 @@
 // Learned takes in a revision up to which another box told what changed, and how many
 // replicas there are.
 func (d *Feed) Learned(revision int64, replicas int) {
-	d.learned(revision)
+	d.recordDelivered(revision)
 	d.replicas.Store(int64(replicas))
 }
 
 // learned takes in a revision that was handed on.
-func (d *Feed) learned(revision int64) { d.known.Store(max(d.known.Load(), revision)) }
+func (d *Feed) recordDelivered(revision int64) { d.delivered.Store(max(d.delivered.Load(), revision)) }
 
 // Reread has all read at once, as when a policy that others have heard of can be had
 // from none of them.
 func (d *Feed) Reread() {
-	d.whole.Store(true)
-	d.readAgain()
+	d.forceFull.Store(true)
+	d.requestReread()
 }
 
 // Known returns the newest revision that was handed on.
-func (d *Feed) Known() int64 { return d.known.Load() }
+func (d *Feed) Known() int64 { return d.delivered.Load() }
 
 // Run reads until ctx ends: a watch, and beside it all again every so often,
 // because a watch that hears nothing looks like one with no news.
@@ -209,7 +209,7 @@
 	watching.Go(func() { d.watch(ctx) })
 	defer watching.Wait()
 	if d.source.Keep != nil {
-		watching.Go(func() { d.keep(ctx) })
+		watching.Go(func() { d.keepAlive(ctx) })
 	}
 	if d.source.Confirm != nil {
 		watching.Go(func() { d.confirm(ctx) })
@@ -219,48 +219,48 @@
 		settled, err := d.read(ctx)
 		if err != nil {
 			d.readFailed(ctx, err)
-			d.restAfter(ctx, backOff)
+			d.waitAfterFailure(ctx, backOff)
 			backOff = min(2*backOff, maxBackOff)
 			continue
 		}
 		backOff = firstBackOff
-		d.restUntilDue(ctx, settled)
+		d.waitUntilDue(ctx, settled)
 	}
 }
 
 // listed returns how many replicas there were when that was known last.
-func (d *Feed) listed() int { return int(d.replicas.Load()) }
+func (d *Feed) replicaCount() int { return int(d.replicas.Load()) }
 
 // read reads all and hands it on, unless another box told it meanwhile. It returns whether
 // what is missing is gone.
 func (d *Feed) read(ctx context.Context) (settled bool, err error) {
 	s, err := d.readOnce(ctx)
 	if errors.Is(err, ErrTold) {
-		d.prove(s)
+		d.reportFreshness(s)
 		if !d.isCurrent(ctx) { // what it read was the newest when it began to wait
 			d.Behind(s.Revision)
 		}
-		d.offer(d.known.Load())
+		d.resumeWatch(d.delivered.Load())
 		return true, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	d.succeeded()
+	d.readSucceeded()
 	d.replicas.Store(int64(len(s.Replicas)))
-	settled = d.hand(Update{
+	settled = d.deliver(Update{
 		Snapshot: &s,
 		Revision: s.Revision,
 	})
-	d.prove(s)
-	d.offer(s.Revision)
+	d.reportFreshness(s)
+	d.resumeWatch(s.Revision)
 	return settled, nil
 }
 
 // readOnce reads all. A box that knows nothing hands the policy on as soon as it has it, and
 // leaves the rest to others where that takes many calls.
 func (d *Feed) readOnce(ctx context.Context) (Snapshot, error) {
-	if d.source.First == nil || d.known.Load() > 0 {
+	if d.source.First == nil || d.delivered.Load() > 0 {
 		return d.source.Read(ctx)
 	}
 	first := true
@@ -271,25 +271,25 @@
 		}
 		asks := first
 		first = false
-		return d.turn(ctx, d.now().Sub(began), asks)
+		return d.readGate(ctx, d.now().Sub(began), asks)
 	})
 }
 
 // hand hands on what was read. It returns whether what is missing in it is gone.
-func (d *Feed) hand(u Update) (settled bool) {
+func (d *Feed) deliver(u Update) (settled bool) {
 	u.Settled, u.Settles = d.isSettled()
-	d.learned(u.Revision) // a lower one written at the same time only makes for one more call
+	d.recordDelivered(u.Revision) // a lower one written at the same time only makes for one more call
 	d.update(u)
 	return u.Settled
 }
 
 // offer leaves a revision for the watch to go on from, in place of an older one.
-func (d *Feed) offer(revision int64) {
+func (d *Feed) resumeWatch(revision int64) {
 	select {
-	case <-d.at:
+	case <-d.resume:
 	default: // the watch took it
 	}
-	d.at <- revision // there is room, for nobody else puts any in
+	d.resume <- revision // there is room, for nobody else puts any in
 }
 
 // readFailed takes in that all could not be read.
@@ -298,18 +298,18 @@
 		return
 	}
 	d.mu.Lock()
-	d.away = true
-	d.failed = d.now()
+	d.unavailable = true
+	d.failedAt = d.now()
 	d.mu.Unlock()
 	d.health(err)
 }
 
 // succeeded takes in that all was read.
-func (d *Feed) succeeded() {
-	d.witness()
+func (d *Feed) readSucceeded() {
+	d.checkRecovery()
 	d.mu.Lock()
-	if d.away {
-		d.back(d.now())
+	if d.unavailable {
+		d.markRecovered(d.now())
 	}
 	d.mu.Unlock()
 	d.health(nil)
@@ -319,18 +319,18 @@
 // answer this one. Without that a follower that had nothing to read for 17 s after an
 // outage took what was missing then for entries that may come back, and sent to a
 // replica that was gone for 2 s more.
-func (d *Feed) witness() {
+func (d *Feed) checkRecovery() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at := d.now().Add(-d.age()); d.away && at.After(d.failed) {
-		d.back(at)
+	if at := d.now().Add(-d.age()); d.unavailable && at.After(d.failedAt) {
+		d.markRecovered(at)
 	}
 }
 
 // back takes in that the publisher answered at a time, after a failure.
-func (d *Feed) back(at time.Time) {
-	d.away = false
-	d.settled = at.Add(lapseWait)
+func (d *Feed) markRecovered(at time.Time) {
+	d.unavailable = false
+	d.settledAt = at.Add(recoveryWindow)
 }
 
 // isSettled says whether entries that are missing are gone, and otherwise when they
@@ -338,14 +338,14 @@
 func (d *Feed) isSettled() (settled bool, left time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.away {
-		return false, doubtFor
+	if d.unavailable {
+		return false, unconfirmedTimeout
 	}
-	left = d.settled.Sub(d.now())
+	left = d.settledAt.Sub(d.now())
 	if left <= 0 {
 		return true, 0
 	}
-	return false, left + backSlack
+	return false, left + recoverySlack
 }
 
 // watch hands on what changes after a revision that was read. After a failure
@@ -354,19 +354,19 @@
 func (d *Feed) watch(ctx context.Context) {
 	backOff := time.Duration(0)
 	for ctx.Err() == nil {
-		if d.follow() {
-			sleep.For(ctx, followLook)
+		if d.isFollower() {
+			sleep.For(ctx, followPollInterval)
 			continue
 		}
 		select {
-		case rev := <-d.at:
+		case rev := <-d.resume:
 			if d.watchFrom(ctx, rev) {
 				backOff = 0
 			}
-			if !d.follow() || d.listed() <= readEach { // a follower of more hears of what has changed from others
-				d.readAgain()
+			if !d.isFollower() || d.replicaCount() <= selfReadThreshold { // a follower of more hears of what has changed from others
+				d.requestReread()
 			}
-			sleep.For(ctx, d.spread(backOff))
+			sleep.For(ctx, d.jittered(backOff))
 			backOff = min(max(2*backOff, firstBackOff), maxBackOff)
 		case <-ctx.Done():
 		}
@@ -374,9 +374,9 @@
 }
 
 // readAgain has all read at once.
-func (d *Feed) readAgain() {
+func (d *Feed) requestReread() {
 	select {
-	case d.again <- struct{}{}:
+	case d.rereadNow <- struct{}{}:
 	default: // it is asked for already
 	}
 }
@@ -384,22 +384,22 @@
 // gather waits before the next call of a watch where changes come one after the other: a
 // few of them are told at once, of more those of gatherFor come together. All replicas that
 // begin together made each watcher call a hundred times a second.
-func (d *Feed) gather(ctx context.Context) {
+func (d *Feed) delayNextWatch(ctx context.Context) {
 	now := d.now()
-	d.quick = min(d.quick+float64(now.Sub(d.called))/float64(gatherFor), mostQuick)
-	d.called = now
-	if d.quick >= 1 {
-		d.quick--
+	d.burst = min(d.burst+float64(now.Sub(d.lastChanges))/float64(batchInterval), maxBurst)
+	d.lastChanges = now
+	if d.burst >= 1 {
+		d.burst--
 		return
 	}
-	sleep.For(ctx, gatherFor)
+	sleep.For(ctx, batchInterval)
 }
 
 // watchFrom watches from a revision until a call fails, or other boxes watch on
 // behalf of this one. It returns whether any succeeded.
 func (d *Feed) watchFrom(ctx context.Context, at int64) (succeeded bool) {
-	for ctx.Err() == nil && !d.follow() {
-		changes, rev, err := d.source.Wait(ctx, at, watchFor)
+	for ctx.Err() == nil && !d.isFollower() {
+		changes, rev, err := d.source.Wait(ctx, at, watchTimeout)
 		if err != nil {
 			if !errors.Is(err, ErrHistoryGone) && ctx.Err() == nil {
 				d.health(err)
@@ -409,11 +409,11 @@
 		succeeded = true
 		at = max(at, rev)
 		if len(changes) > 0 {
-			d.hand(Update{
+			d.deliver(Update{
 				Changes:  changes,
 				Revision: rev,
 			})
-			d.gather(ctx)
+			d.delayNextWatch(ctx)
 		}
 	}
 	return succeeded
--- a/catalog/start.go
+++ b/catalog/incarnation.go
@@ -8,7 +8,7 @@
 
 // startBase is the base in which starts are written: with eight digits in place of
 // thirteen a load takes five bytes less in a datagram.
-const startBase = 36
+const incarnationBase = 36
 
 // MaxBorn bounds Born, in the year 2109. It is written with nine digits.
 const MaxBorn = 1 << 42
@@ -20,7 +20,7 @@
 	if r.Born == 0 {
 		return r.ID
 	}
-	return r.ID + string(StartMark) + strconv.FormatInt(r.Born, startBase)
+	return r.ID + string(StartMark) + strconv.FormatInt(r.Born, incarnationBase)
 }
 
 // replaces says whether what is said of a replica replaces what is known under its id.
@@ -39,4 +39,4 @@
 }
 
 // isSameStart says whether two starts may be the same one, as far as they are told.
-func isSameStart(a, b int64) bool { return a == b || a == 0 || b == 0 }
+func isSameIncarnation(a, b int64) bool { return a == b || a == 0 || b == 0 }
--- a/catalog/organisation.go
+++ b/catalog/organisation.go
@@ -18,13 +18,13 @@
 
 // KeyOf returns the key of a credential.
 func KeyOf(credential string) Key {
-	var buf [mostCredential]byte
+	var buf [maxStackCredential]byte
 	sum := sha256.Sum256(append(buf[:0], credential...))
 	return Key(sum[:keyBytes])
 }
 
 // mostCredential are the bytes of a credential up to which KeyOf takes no memory.
-const mostCredential = 128
+const maxStackCredential = 128
 
 // MarshalText encodes a key.
 func (k Key) MarshalText() ([]byte, error) {
@@ -84,7 +84,7 @@
 // check says what is wrong with the organisation first, nil for nothing.
 func (o *Organisation) check() error {
 	switch {
-	case o.Name == "" || len(o.Name) > mostName:
+	case o.Name == "" || len(o.Name) > maxNameBytes:
 		return errors.Newf("organisation %.60q: a name of %d bytes", o.Name, len(o.Name))
 	case !fitsHeader(o.Name):
 		return errors.Newf("organisation %.60q: a name that no header can hold", o.Name)
@@ -97,7 +97,7 @@
 }
 
 // mostName are the bytes of the longest name of an organisation.
-const mostName = 200
+const maxNameBytes = 200
 
 // fitsHeader says whether a text can be the value of a header as it is.
 func fitsHeader(text string) bool {
--- a/catalog/policy.go
+++ b/catalog/policy.go
@@ -171,25 +171,25 @@
 // Table is a policy made ready for look-ups. It never changes, so a request
 // keeps the table that it began with.
 type Table struct {
-	policy   Policy
-	byHost   map[string][]*Route // the longest prefix first
-	services map[string]*Service
-	ranks    map[string]ranks // of the routes of each service
-	byKey    map[Key]*Organisation
-	byName   map[string]*Organisation
-	quotas   bool  // an organisation has one
-	urgency  ranks // of the organisations
+	policy                 Policy
+	byHost                 map[string][]*Route // the longest prefix first
+	services               map[string]*Service
+	priorities             map[string]priorityRange // of the routes of each service
+	byKey                  map[Key]*Organisation
+	byName                 map[string]*Organisation
+	quotas                 bool          // an organisation has one
+	organisationPriorities priorityRange // of the organisations
 }
 
 // NewTable returns the table of a policy.
 func NewTable(p Policy) *Table {
 	t := &Table{
-		policy:   p,
-		byHost:   make(map[string][]*Route),
-		services: make(map[string]*Service, len(p.Services)),
-		ranks:    make(map[string]ranks, len(p.Services)),
-		byKey:    make(map[Key]*Organisation, len(p.Organisations)),
-		byName:   make(map[string]*Organisation, len(p.Organisations)),
+		policy:     p,
+		byHost:     make(map[string][]*Route),
+		services:   make(map[string]*Service, len(p.Services)),
+		priorities: make(map[string]priorityRange, len(p.Services)),
+		byKey:      make(map[Key]*Organisation, len(p.Organisations)),
+		byName:     make(map[string]*Organisation, len(p.Organisations)),
 	}
 	for i := range p.Organisations {
 		t.addOrganisation(&p.Organisations[i])
@@ -198,7 +198,7 @@
 		r := &p.Routes[i]
 		host := strings.ToLower(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
-		t.addRanks(r)
+		t.addPriorities(r)
 	}
 	for _, routes := range t.byHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
--- a/catalog/recent.go
+++ b/catalog/revisionindex.go
@@ -8,43 +8,43 @@
 // recent lists ids by the revision of their last change, so that what changed after a
 // revision is found without a look at all the rest. An id that changed again stands in
 // it twice; the earlier place is outdated.
-type recent struct {
-	list []changedAt
+type revisionIndex struct {
+	list []revisionEntry
 }
 
 // changedAt is an id with a revision at which it changed.
-type changedAt struct {
+type revisionEntry struct {
 	revision int64
 	id       string
 }
 
-const outdatedMost = 64 // places that may be outdated beside as many as there are ids
+const maxOutdated = 64 // places that may be outdated beside as many as there are ids
 
 // add notes that an id changed at a revision. now returns the revision of the last change
 // of an id, and how many ids there are bounds the list.
-func (r *recent) add(id string, revision int64, ids int, now func(id string) int64) {
-	c := changedAt{
+func (r *revisionIndex) insert(id string, revision int64, ids int, now func(id string) int64) {
+	c := revisionEntry{
 		revision: revision,
 		id:       id,
 	}
 	at, _ := slices.BinarySearchFunc(r.list, revision+1, byRevision)
 	r.list = slices.Insert(r.list, at, c)
-	if len(r.list) > 2*ids+outdatedMost {
-		r.list = slices.DeleteFunc(r.list, func(c changedAt) bool { return now(c.id) != c.revision })
+	if len(r.list) > 2*ids+maxOutdated {
+		r.list = slices.DeleteFunc(r.list, func(c revisionEntry) bool { return now(c.id) != c.revision })
 		r.list = slices.Compact(r.list)
 	}
 }
 
 // reset takes all ids with their revisions in place of what was listed.
-func (r *recent) reset(list []changedAt) {
-	slices.SortFunc(list, func(a, b changedAt) int {
+func (r *revisionIndex) reset(list []revisionEntry) {
+	slices.SortFunc(list, func(a, b revisionEntry) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.id, b.id))
 	})
 	r.list = list
 }
 
 // since returns the ids whose last change is at a revision or after it, in their order.
-func (r *recent) since(revision int64, now func(id string) int64) []string {
+func (r *revisionIndex) since(revision int64, now func(id string) int64) []string {
 	from, _ := slices.BinarySearchFunc(r.list, revision, byRevision)
 	var out []string
 	for _, c := range r.list[from:] {
@@ -57,4 +57,4 @@
 }
 
 // byRevision orders a change before a revision.
-func byRevision(c changedAt, revision int64) int { return cmp.Compare(c.revision, revision) }
+func byRevision(c revisionEntry, revision int64) int { return cmp.Compare(c.revision, revision) }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -56,50 +56,50 @@
 
 // Content is a box's copy of what is published.
 type Content struct {
-	newest    int64 // revision that was taken in
-	read      int64 // revision of the last snapshot
-	policies  policies
-	replicas  map[string]Replica
-	evacuated map[string]bool
-	doubts    map[string]doubt // by replica; each is in replicas
-	floor     int64            // revision that no doubt comes before, or that was taken in; 0 where it isn't known
-	past      past
-	recent    recent // replicas
-	touched   touched
-	now       func() time.Time
+	newest      int64 // revision that was taken in
+	read        int64 // revision of the last snapshot
+	policies    policies
+	replicas    map[string]Replica
+	evacuated   map[string]bool
+	unconfirmed map[string]unconfirmedRemoval // by replica; each is in replicas
+	floor       int64                         // revision that no doubt comes before, or that was taken in; 0 where it isn't known
+	history     history
+	index       revisionIndex // replicas
+	changes     changeLog
+	now         func() time.Time
 }
 
 // NewContent returns an empty copy.
 func NewContent() *Content {
 	return &Content{
-		replicas:  make(map[string]Replica),
-		evacuated: make(map[string]bool),
-		doubts:    make(map[string]doubt),
-		past:      newPast(),
-		touched:   touched{before: 1}, // so that no count is 0
-		now:       clock.Now,
+		replicas:    make(map[string]Replica),
+		evacuated:   make(map[string]bool),
+		unconfirmed: make(map[string]unconfirmedRemoval),
+		history:     newHistory(),
+		changes:     changeLog{dropped: 1}, // so that no count is 0
+		now:         clock.Now,
 	}
 }
 
 // put takes an entry in.
 func (c *Content) put(r Replica) {
-	c.endDoubt(r.ID)
+	c.clearUnconfirmed(r.ID)
 	if c.replicas[r.ID] == r {
 		return
 	}
 	c.replicas[r.ID] = r
-	c.recent.add(r.ID, r.Revision, len(c.replicas), c.changedAt)
-	c.touched.add(r.ID)
+	c.index.insert(r.ID, r.Revision, len(c.replicas), c.changedAt)
+	c.changes.add(r.ID)
 }
 
 // drop takes in that an entry is gone.
 func (c *Content) drop(id string) {
-	c.endDoubt(id)
+	c.clearUnconfirmed(id)
 	if _, ok := c.replicas[id]; !ok {
 		return
 	}
 	delete(c.replicas, id)
-	c.touched.add(id)
+	c.changes.add(id)
 }
 
 // changedAt returns the revision of a replica's last change; 0 for none of the id.
@@ -135,16 +135,16 @@
 		for _, ch := range u.Changes {
 			c.apply(ch, u)
 		}
-		c.hear(u.Doubts)
+		c.mergeUnconfirmed(u.Doubts)
 		c.setNewest(max(c.newest, u.Revision))
 		return true
 	}
 	if u.Snapshot.Revision < c.newest {
-		c.policies.take(u.Snapshot.Policy) // it may be the last good one
+		c.policies.add(u.Snapshot.Policy) // it may be the last good one
 		return false
 	}
 	c.replace(*u.Snapshot, u)
-	c.hear(u.Doubts)
+	c.mergeUnconfirmed(u.Doubts)
 	return true
 }
 
@@ -152,12 +152,12 @@
 // that are missing in it stay, in doubt.
 func (c *Content) replace(s Snapshot, u Update) {
 	known := c.Revision() // what is missing was removed after this
-	c.past.begin(c.newest, s.Revision)
+	c.history.recordSnapshot(c.newest, s.Revision)
 	c.read = s.Revision
-	c.policies.take(s.Policy)
+	c.policies.add(s.Policy)
 	listed := make(map[string]bool, len(s.Replicas))
 	for _, r := range s.Replicas {
-		if c.past.isGone(r) {
+		if c.history.isRemoved(r) {
 			continue
 		}
 		listed[r.ID] = true
@@ -168,12 +168,12 @@
 	}
 	for _, id := range c.unlisted(listed) {
 		switch {
-		case c.past.isGone(c.replicas[id]):
+		case c.history.isRemoved(c.replicas[id]):
 			c.drop(id)
 		case u.Settled, slices.Contains(s.Unusable, id): // an entry that is there is none that lapsed
-			c.missed(id, s.Revision)
+			c.removeMissing(id, s.Revision)
 		default:
-			c.doubt(id, known, u.doubtFor())
+			c.markUnconfirmed(id, known, u.unconfirmedTimeout())
 		}
 	}
 	c.replaceEvacuated(s)
@@ -199,14 +199,14 @@
 }
 
 // missed takes in that a replica was found gone by reading all at a revision.
-func (c *Content) missed(id string, revision int64) {
+func (c *Content) removeMissing(id string, revision int64) {
 	doubted := c.InDoubt(id)
 	c.drop(id)
 	if doubted {
-		c.past.lapse(id, revision, len(c.replicas))
+		c.history.confirmRemoval(id, revision, len(c.replicas))
 		return
 	}
-	c.past.remove(id, revision, len(c.replicas))
+	c.history.recordRemoval(id, revision, len(c.replicas))
 }
 
 // replaceEvacuated takes in which failure domains a snapshot has as closed.
@@ -215,12 +215,12 @@
 	for _, d := range s.Evacuated {
 		closed[d] = true
 		if !c.evacuated[d] {
-			c.past.evacuate(d, true, s.Revision)
+			c.history.recordEvacuation(d, true, s.Revision)
 		}
 	}
 	for d := range c.evacuated {
 		if !closed[d] {
-			c.past.evacuate(d, false, s.Revision)
+			c.history.recordEvacuation(d, false, s.Revision)
 		}
 	}
 	c.evacuated = closed
@@ -230,21 +230,21 @@
 func (c *Content) apply(ch Change, u Update) {
 	switch {
 	case ch.Policy != nil:
-		c.policies.take(ch.Policy)
-	case ch.Replica != nil && ch.Replica.replaces(c.replicas[ch.Replica.ID]) && !c.past.isGone(*ch.Replica):
+		c.policies.add(ch.Policy)
+	case ch.Replica != nil && ch.Replica.replaces(c.replicas[ch.Replica.ID]) && !c.history.isRemoved(*ch.Replica):
 		c.put(*ch.Replica)
 	case ch.Unusable && c.replicas[ch.Gone].ID == "": // of an entry that never named a replica nothing is told on
 	case ch.Gone != "" && !u.Settled && !ch.Unusable:
-		c.doubt(ch.Gone, ch.Revision, u.doubtFor())
+		c.markUnconfirmed(ch.Gone, ch.Revision, u.unconfirmedTimeout())
 	case ch.Gone != "" && ch.Revision >= c.replicas[ch.Gone].Revision:
 		c.drop(ch.Gone)
-		c.past.remove(ch.Gone, ch.Revision, len(c.replicas))
+		c.history.recordRemoval(ch.Gone, ch.Revision, len(c.replicas))
 	case ch.Evacuated != "" && ch.Revision > c.read:
 		c.evacuated[ch.Evacuated] = true
-		c.past.evacuate(ch.Evacuated, true, ch.Revision)
+		c.history.recordEvacuation(ch.Evacuated, true, ch.Revision)
 	case ch.Unevacuated != "" && ch.Revision > c.read:
 		delete(c.evacuated, ch.Unevacuated)
-		c.past.evacuate(ch.Unevacuated, false, ch.Revision)
+		c.history.recordEvacuation(ch.Unevacuated, false, ch.Revision)
 	}
 }
 
