--- a/catalog/change.go
+++ b/catalog/change.go
@@ -56,7 +56,7 @@
 type history struct {
 	since          int64 // removals after this revision are known
 	removals       map[string]int64
-	index          revisionIndex         // the same
+	revisionIndex  revisionIndex         // the same
 	confirmed      []string              // the latest replicas whose removal was in doubt before it was believed
 	confirmedCount int                   // how many there were
 	evacuated      map[string]evacuation // by failure domain
@@ -88,11 +88,11 @@
 func (p *history) recordRemoval(id string, revision int64, left int) {
 	if len(p.removals) >= max(minRemovals, left) {
 		clear(p.removals)
-		p.index = revisionIndex{}
+		p.revisionIndex = revisionIndex{}
 		p.since = revision + 1
 	}
 	p.removals[id] = revision
-	p.index.insert(id, revision, len(p.removals), p.removedAt)
+	p.revisionIndex.add(id, revision, len(p.removals), p.removedAt)
 }
 
 // goneAt returns the revision at which a replica was removed; 0 for none that is known.
@@ -102,7 +102,7 @@
 // gone, in order. It may have learned a later revision than that of a reading before the
 // reading, and would go on sending to those whose removal was in doubt.
 func (p *history) removedSince(revision int64) []string {
-	out := p.index.since(revision, p.removedAt)
+	out := p.revisionIndex.since(revision, p.removedAt)
 	for _, id := range p.confirmed {
 		if at := p.removals[id]; at > 0 && at < revision && revision < at+confirmedRemovalWindow {
 			out = append(out, id)
@@ -170,7 +170,7 @@
 			})
 		}
 	}
-	for _, id := range c.index.since(revision, c.changedAt) {
+	for _, id := range c.revisionIndex.since(revision, c.changedAt) {
 		r := c.replicas[id]
 		out.Changes = append(out.Changes, Change{
 			Revision: r.Revision,
--- a/catalog/changelog.go
+++ b/catalog/changelog.go
@@ -23,11 +23,11 @@
 // changes, in their order, and the count by now. It is false where these are no longer
 // remembered, and before the first count: then any may have changed.
 func (c *Content) Touched(after int) (ids []string, count int, ok bool) {
-	count = c.changes.dropped + len(c.changes.ids)
-	if after <= 0 || after < c.changes.dropped || after > count {
+	count = c.changeLog.dropped + len(c.changeLog.ids)
+	if after <= 0 || after < c.changeLog.dropped || after > count {
 		return nil, count, false
 	}
-	ids = slices.Clone(c.changes.ids[after-c.changes.dropped:])
+	ids = slices.Clone(c.changeLog.ids[after-c.changeLog.dropped:])
 	slices.Sort(ids)
 	return slices.Compact(ids), count, true
 }
--- a/catalog/confirm.go
+++ b/catalog/confirm.go
@@ -26,10 +26,10 @@
 
 // WithConfirming sets what says whether this box has to know that the policy in force is the
 // newest, and what is told of a moment at which a version surely was.
-func WithConfirming(confirms func() bool, proved func(version int, at time.Time)) FeedOption {
+func WithConfirming(mustConfirm func() bool, onConfirmed func(version int, at time.Time)) FeedOption {
 	return func(d *Feed) {
-		d.mustConfirm = confirms
-		d.onConfirmed = proved
+		d.mustConfirm = mustConfirm
+		d.onConfirmed = onConfirmed
 	}
 }
 
--- a/catalog/delta.go
+++ b/catalog/delta.go
@@ -137,11 +137,11 @@
 	if out.Organisations, err = applySpans(known.Organisations, a.Organisations); err != nil {
 		return nil, errors.Wrapf(err, "delta of policy %d: organisations", a.From)
 	}
-	sum, err := out.checksum()
+	checksum, err := out.checksum()
 	if err != nil {
 		return nil, err
 	}
-	if sum != a.Sum {
+	if checksum != a.Sum {
 		return nil, errors.Newf("delta of policy %d to %d: another sum", a.From, a.Version)
 	}
 	return out, out.Check()
--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -67,7 +67,7 @@
 	}
 	delete(c.unconfirmed, id)
 	c.floor = 0
-	c.changes.add(id)
+	c.changeLog.add(id)
 }
 
 // Newest returns the newest revision that was taken in. Each removal up to it is
@@ -100,7 +100,7 @@
 		}
 	}
 	c.unconfirmed[id] = next // no earlier than the floor, which stays
-	c.changes.add(id)
+	c.changeLog.add(id)
 }
 
 // Doubts returns the replicas that may be gone, in order.
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -99,7 +99,7 @@
 	mu          sync.Mutex
 	unavailable bool      // the last reading failed; a watch may also end for other reasons
 	failedAt    time.Time // when it did
-	settledAt   time.Time // until then entries may come back that lapsed
+	settled     time.Time // until then entries may come back that lapsed
 
 	confirmation confirmation // the last answer about the policy
 
@@ -117,7 +117,7 @@
 func WithJitter(f func() float64) FeedOption { return func(d *Feed) { d.jitter = f } }
 
 // WithReread sets how often all is read again beside the watch.
-func WithReread(every time.Duration) FeedOption { return func(d *Feed) { d.interval = every } }
+func WithReread(interval time.Duration) FeedOption { return func(d *Feed) { d.interval = interval } }
 
 // WithReader sets what says whether this box reads again on behalf of others.
 // One that doesn't relies on Behind, and reads again more rarely.
@@ -125,9 +125,9 @@
 
 // WithFollowing sets what says whether other boxes watch on behalf of this one, and
 // how old what it knows is by their word. It reads only when that gets too old.
-func WithFollowing(follow func() bool, age func() time.Duration) FeedOption {
+func WithFollowing(isFollower func() bool, age func() time.Duration) FeedOption {
 	return func(d *Feed) {
-		d.isFollower = follow
+		d.isFollower = isFollower
 		d.age = age
 	}
 }
@@ -330,7 +330,7 @@
 // back takes in that the publisher answered at a time, after a failure.
 func (d *Feed) markRecovered(at time.Time) {
 	d.unavailable = false
-	d.settledAt = at.Add(recoveryWindow)
+	d.settled = at.Add(recoveryWindow)
 }
 
 // isSettled says whether entries that are missing are gone, and otherwise when they
@@ -341,7 +341,7 @@
 	if d.unavailable {
 		return false, unconfirmedTimeout
 	}
-	left = d.settledAt.Sub(d.now())
+	left = d.settled.Sub(d.now())
 	if left <= 0 {
 		return true, 0
 	}
--- a/catalog/policy.go
+++ b/catalog/policy.go
@@ -174,7 +174,7 @@
 	policy                 Policy
 	byHost                 map[string][]*Route // the longest prefix first
 	services               map[string]*Service
-	priorities             map[string]priorityRange // of the routes of each service
+	priorityRange          map[string]priorityRange // of the routes of each service
 	byKey                  map[Key]*Organisation
 	byName                 map[string]*Organisation
 	quotas                 bool          // an organisation has one
@@ -184,12 +184,12 @@
 // NewTable returns the table of a policy.
 func NewTable(p Policy) *Table {
 	t := &Table{
-		policy:     p,
-		byHost:     make(map[string][]*Route),
-		services:   make(map[string]*Service, len(p.Services)),
-		priorities: make(map[string]priorityRange, len(p.Services)),
-		byKey:      make(map[Key]*Organisation, len(p.Organisations)),
-		byName:     make(map[string]*Organisation, len(p.Organisations)),
+		policy:        p,
+		byHost:        make(map[string][]*Route),
+		services:      make(map[string]*Service, len(p.Services)),
+		priorityRange: make(map[string]priorityRange, len(p.Services)),
+		byKey:         make(map[Key]*Organisation, len(p.Organisations)),
+		byName:        make(map[string]*Organisation, len(p.Organisations)),
 	}
 	for i := range p.Organisations {
 		t.addOrganisation(&p.Organisations[i])
--- a/catalog/rank.go
+++ b/catalog/rank.go
@@ -30,7 +30,7 @@
 // addRanks takes the priority of a route in for the services that run it.
 func (t *Table) addPriorities(r *Route) {
 	for _, s := range r.Shares {
-		t.priorities[s.Service] = t.priorities[s.Service].extend(r.Priority)
+		t.priorityRange[s.Service] = t.priorityRange[s.Service].extend(r.Priority)
 	}
 }
 
@@ -48,7 +48,7 @@
 // route and, before that, of its organisation, nil for none: 0 for the most urgent, 1 for the
 // least, 0 where all are alike.
 func (t *Table) Rank(service string, priority int, o *Organisation) float64 {
-	routes := t.priorities[service]
+	routes := t.priorityRange[service]
 	most := routes.levels()*t.organisationPriorities.levels() - 1
 	if most == 0 {
 		return 0
@@ -62,7 +62,7 @@
 	if t.organisationPriorities.levels() == 1 {
 		return priority
 	}
-	return t.level(t.priorities[service], priority, o)
+	return t.level(t.priorityRange[service], priority, o)
 }
 
 // level returns the level of a request among those of the routes of a service.
--- a/catalog/reread.go
+++ b/catalog/reread.go
@@ -125,7 +125,7 @@
 func (d *Feed) untilSettled(wait time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if left := d.settledAt.Sub(d.now()); left > 0 {
+	if left := d.settled.Sub(d.now()); left > 0 {
 		wait = min(wait, left+firstBackOff)
 	}
 	return wait
@@ -221,11 +221,11 @@
 // rest waits until all is to be read again: sooner while entries may still come
 // back. It returns whether that is for the time alone.
 func (d *Feed) waitForReread(ctx context.Context) bool {
-	every := d.interval
+	interval := d.interval
 	if !d.isReader() {
-		every *= sharedRereadFactor
+		interval *= sharedRereadFactor
 	}
-	t := time.NewTimer(d.untilSettled(d.jittered(every)))
+	t := time.NewTimer(d.untilSettled(d.jittered(interval)))
 	defer t.Stop()
 	for {
 		if tryReceive(d.rereadNow) { // while it waited for the watch, beside the others
--- a/catalog/revisionindex.go
+++ b/catalog/revisionindex.go
@@ -22,7 +22,7 @@
 
 // add notes that an id changed at a revision. now returns the revision of the last change
 // of an id, and how many ids there are bounds the list.
-func (r *revisionIndex) insert(id string, revision int64, ids int, now func(id string) int64) {
+func (r *revisionIndex) add(id string, revision int64, ids int, now func(id string) int64) {
 	c := revisionEntry{
 		revision: revision,
 		id:       id,
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -56,17 +56,17 @@
 
 // Content is a box's copy of what is published.
 type Content struct {
-	newest      int64 // revision that was taken in
-	read        int64 // revision of the last snapshot
-	policies    policies
-	replicas    map[string]Replica
-	evacuated   map[string]bool
-	unconfirmed map[string]unconfirmedRemoval // by replica; each is in replicas
-	floor       int64                         // revision that no doubt comes before, or that was taken in; 0 where it isn't known
-	history     history
-	index       revisionIndex // replicas
-	changes     changeLog
-	now         func() time.Time
+	newest        int64 // revision that was taken in
+	read          int64 // revision of the last snapshot
+	policies      policies
+	replicas      map[string]Replica
+	evacuated     map[string]bool
+	unconfirmed   map[string]unconfirmedRemoval // by replica; each is in replicas
+	floor         int64                         // revision that no doubt comes before, or that was taken in; 0 where it isn't known
+	history       history
+	revisionIndex revisionIndex // replicas
+	changeLog     changeLog
+	now           func() time.Time
 }
 
 // NewContent returns an empty copy.
@@ -76,7 +76,7 @@
 		evacuated:   make(map[string]bool),
 		unconfirmed: make(map[string]unconfirmedRemoval),
 		history:     newHistory(),
-		changes:     changeLog{dropped: 1}, // so that no count is 0
+		changeLog:   changeLog{dropped: 1}, // so that no count is 0
 		now:         clock.Now,
 	}
 }
@@ -88,8 +88,8 @@
 		return
 	}
 	c.replicas[r.ID] = r
-	c.index.insert(r.ID, r.Revision, len(c.replicas), c.changedAt)
-	c.changes.add(r.ID)
+	c.revisionIndex.add(r.ID, r.Revision, len(c.replicas), c.changedAt)
+	c.changeLog.add(r.ID)
 }
 
 // drop takes in that an entry is gone.
@@ -99,7 +99,7 @@
 		return
 	}
 	delete(c.replicas, id)
-	c.changes.add(id)
+	c.changeLog.add(id)
 }
 
 // changedAt returns the revision of a replica's last change; 0 for none of the id.
