--- a/catalog/change.go
+++ b/catalog/change.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// Change is one thing that was published. Exactly one of its fields is set, but
-// for Revision, and for Unusable beside Gone.
+// Change is one published change. Exactly one of its fields is set, except for Revision, and
+// Unusable beside Gone.
 type Change struct {
 	Revision    int64    `json:"revision"`
 	Policy      *Policy  `json:"policy,omitempty"`
 	Replica     *Replica `json:"replica,omitempty"`
 	Gone        string   `json:"gone,omitempty"`        // id of a replica whose entry was removed
-	Unusable    bool     `json:"-"`                     // the entry is there, but names no replica any more
+	Unusable    bool     `json:"-"`                     // the entry exists but no longer describes a replica
 	Evacuated   string   `json:"evacuated,omitempty"`   // failure domain
-	Unevacuated string   `json:"unevacuated,omitempty"` // failure domain that is taken back
+	Unevacuated string   `json:"unevacuated,omitempty"` // failure domain that is in use again
 }
 
-// News is what one box tells another of the catalog: the changes since a revision,
-// or all of it where the box doesn't know these. Of the policy there is only the version:
-// with all its routes, which may be thousands, what is small and urgent would come late.
+// News is a catalog update that a box sends to another: the changes since a revision, or a
+// snapshot if those are unknown. It has only the version of the policy, whose many routes
+// would delay small and urgent changes.
 type News struct {
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 	Changes  []Change  `json:"changes,omitempty"`
-	Doubts   []Doubt   `json:"doubts,omitempty"` // removals that the box doesn't believe yet
-	Policy   int       `json:"policy,omitempty"` // version of the newest that the box has heard of
+	Doubts   []Doubt   `json:"doubts,omitempty"` // unconfirmed removals
+	Policy   int       `json:"policy,omitempty"` // newest version that the box has a record of
 	Revision int64     `json:"revision"`
-	Read     Millis    `json:"-"` // how long ago the publisher was read with nothing newer; 0 where that isn't told
-	Wait     Millis    `json:"-"` // there is nothing in it, and the box had no room to answer for so long
+	Read     Millis    `json:"-"` // age of the last read of the publisher that found nothing newer; 0 if unknown
+	Wait     Millis    `json:"-"` // the update is empty: the sender is rate-limited for this long
 }
 
-// Update returns the news as an update of a box's copy.
+// Update returns the catalog update as an update of a box's copy.
 func (n News) Update() Update {
 	return Update{
 		Snapshot: n.Snapshot,
@@ -38,31 +38,30 @@
 		Doubts:   n.Doubts,
 		Policy:   n.Policy,
 		Revision: n.Revision,
-		Settled:  true, // the other box says of which replicas it doesn't know whether they come back
+		Settled:  true, // the sender lists its unconfirmed removals
 	}
 }
 
-// fewestGone is how many replicas that are gone are remembered at least, beside one for
-// each that is there: a failure domain that is lost takes its part of them at once.
+// minRemovals is the least number of removals that are recorded beside one for each listed
+// replica, as the loss of a failure domain removes many at once.
 const minRemovals = 512
 
 const (
-	minConfirmedRemovals   = 64   // replicas that are told again at least, beside one for each that is left
-	confirmedRemovalWindow = 1000 // revisions for which they are told; minutes at the six changes a second of a service that is replaced
+	minConfirmedRemovals   = 64   // confirmed removals that are sent again, beside one for each listed replica
+	confirmedRemovalWindow = 1000 // in revisions
 )
 
-// past is what a copy remembers of its changes: what is gone and when other things
-// changed. Replicas tell the revision of their last change themselves.
+// history records the removals and evacuations of a copy. Replicas hold the revision of their
+// last change themselves.
 type history struct {
-	since          int64 // removals after this revision are known
+	since          int64 // removals after this revision are recorded
 	removals       map[string]int64
-	revisionIndex  revisionIndex         // the same
-	confirmed      []string              // the latest replicas whose removal was in doubt before it was believed
-	confirmedCount int                   // how many there were
+	revisionIndex  revisionIndex         // of removals
+	confirmed      []string              // latest replicas whose unconfirmed removal was confirmed
+	confirmedCount int                   // total
 	evacuated      map[string]evacuation // by failure domain
 }
 
-// evacuation is the last change of a failure domain.
 type evacuation struct {
 	revision int64
 	on       bool
@@ -75,16 +74,16 @@
 	}
 }
 
-// begin takes in that a snapshot replaces the copy of a revision. Of what was
-// removed before the first one nothing is known.
+// recordSnapshot records that a snapshot replaces the copy of a revision. Removals before the
+// first snapshot are unknown.
 func (p *history) recordSnapshot(before, now int64) {
 	if before == 0 {
 		p.since = now
 	}
 }
 
-// remove takes in that a replica is gone and how many are left. When too many are gone,
-// all are forgotten.
+// recordRemoval records the removal of a replica, with the number of replicas left. It clears
+// the records when there are too many.
 func (p *history) recordRemoval(id string, revision int64, left int) {
 	if len(p.removals) >= max(minRemovals, left) {
 		clear(p.removals)
@@ -95,12 +94,13 @@
 	p.revisionIndex.add(id, revision, len(p.removals), p.removedAt)
 }
 
-// goneAt returns the revision at which a replica was removed; 0 for none that is known.
+// removedAt returns the revision at which a replica was removed; 0 if there is no record of
+// it.
 func (p *history) removedAt(id string) int64 { return p.removals[id] }
 
-// removed returns the replicas of which a box that knows a revision is told that they are
-// gone, in order. It may have learned a later revision than that of a reading before the
-// reading, and would go on sending to those whose removal was in doubt.
+// removedSince returns the removed replicas that a box with a revision has to receive, sorted.
+// They include recently confirmed removals before that revision, as the box may have received
+// the revision without them.
 func (p *history) removedSince(revision int64) []string {
 	out := p.revisionIndex.since(revision, p.removedAt)
 	for _, id := range p.confirmed {
@@ -112,8 +112,8 @@
 	return slices.Compact(out)
 }
 
-// lapse takes in that a replica whose removal was in doubt is gone. Others that asked
-// meanwhile may know its revision without it.
+// confirmRemoval records the removal of a replica that was unconfirmed. Boxes that asked
+// meanwhile may have a later revision without it.
 func (p *history) confirmRemoval(id string, revision int64, left int) {
 	p.recordRemoval(id, revision, left)
 	p.confirmedCount++
@@ -121,12 +121,10 @@
 	p.confirmed = p.confirmed[max(0, len(p.confirmed)-max(minConfirmedRemovals, left)):]
 }
 
-// isGone says whether a replica was removed after what an entry says of it. A box that
-// still has the removal in doubt tells others of the replica as it was.
+// isRemoved reports whether a replica was removed after the revision of an entry. Boxes for
+// which the removal is unconfirmed still send the old entry.
 func (p *history) isRemoved(r Replica) bool { return p.removals[r.ID] > r.Revision }
 
-// evacuate takes in that a failure domain gets no work from a revision on, or work
-// again.
 func (p *history) recordEvacuation(domain string, on bool, revision int64) {
 	p.evacuated[domain] = evacuation{
 		revision: revision,
@@ -134,18 +132,16 @@
 	}
 }
 
-// Lapses returns how many replicas were found gone after their removal had been in
-// doubt.
+// Lapses returns the number of unconfirmed removals that were confirmed.
 func (c *Content) Lapses() int { return c.history.confirmedCount }
 
-// TellsAll says whether a box that knows a revision is told all of the catalog, for what
-// changed since isn't known.
+// TellsAll reports whether a box with a revision receives a snapshot, because the changes
+// since are unknown.
 func (c *Content) TellsAll(revision int64) bool { return revision < c.history.since || revision == 0 }
 
-// Since returns what changed after a revision, as far as it is still so, and all of
-// the catalog where that isn't known, but for the policy. What changed at the revision itself is in it
-// too, and, whatever the revision, what is in doubt and the latest replicas whose
-// removal was in doubt until it was believed: these may bear a later revision.
+// Since returns the changes from a revision on that still hold, or a snapshot without the
+// policy if they are unknown. Whatever the revision, it includes the unconfirmed and the
+// latest confirmed removals, as the receiver may have a later revision without them.
 func (c *Content) Since(revision int64) News {
 	if c.TellsAll(revision) {
 		s := c.Snapshot()
@@ -185,7 +181,7 @@
 	return out
 }
 
-// change returns the evacuation of a domain, or its end, as it was published.
+// change returns the evacuation of a failure domain, or its end, as a published change.
 func (e evacuation) change(domain string) Change {
 	out := Change{
 		Revision: e.revision,
--- a/catalog/changelog.go
+++ b/catalog/changelog.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-const maxLogged = 1024 // ids that are remembered: those of one update, as a rule
+const maxLogged = 1024 // ids; rarely fewer than one update has
 
-// touched is which entries of a copy changed last, for those who keep something of them.
+// changeLog lists the ids whose entries changed last.
 type changeLog struct {
 	ids     []string
-	dropped int // changes that are no longer remembered
+	dropped int // number of changes no longer listed
 }
 
-// add notes that the entry of an id, or the doubt in it, has changed.
+// add records that an entry, or its unconfirmed removal, has changed.
 func (t *changeLog) add(id string) {
 	if len(t.ids) >= maxLogged {
 		t.dropped += len(t.ids)
@@ -19,9 +19,9 @@
 	t.ids = append(t.ids, id)
 }
 
-// Touched returns the ids whose entries, or doubts in them, changed after a count of
-// changes, in their order, and the count by now. It is false where these are no longer
-// remembered, and before the first count: then any may have changed.
+// Touched returns the ids whose entries or unconfirmed removals changed after a count of
+// changes, sorted, and the current count. It returns false if these changes are no longer
+// listed or the count is not positive: any entry may have changed then.
 func (c *Content) Touched(after int) (ids []string, count int, ok bool) {
 	count = c.changeLog.dropped + len(c.changeLog.ids)
 	if after <= 0 || after < c.changeLog.dropped || after > count {
--- a/catalog/compress.go
+++ b/catalog/compress.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	maxDecompressed = 8 << 20 // bytes that an answer may grow to: 4,000 replicas have 0.7 MB, and a published value 1 MB at most
-	minCompressed   = 8 << 10 // bytes from which news are compressed: some 50 replicas; what compresses takes 0.6 MB for a moment
+	maxDecompressed = 8 << 20 // bytes
+	minCompressed   = 8 << 10 // bytes from which a catalog update is compressed
 )
 
-// EncodedNews is how news go from box to box.
+// EncodedNews is a catalog update as it is sent to another box.
 type EncodedNews struct {
 	News       *News  `json:"news,omitempty"`
-	Compressed []byte `json:"compressed,omitempty"` // the same, where they are long
-	Wait       Millis `json:"wait_ms,omitempty"`    // until the box may send them, which others may do sooner
-	Read       Millis `json:"read_ms,omitempty"`    // how long ago the publisher was read with nothing newer; 0 where that isn't told
+	Compressed []byte `json:"compressed,omitempty"` // the same, if it is large
+	Wait       Millis `json:"wait_ms,omitempty"`    // until the sender is below its rate limit, if it can't answer now
+	Read       Millis `json:"read_ms,omitempty"`    // age of the last read of the publisher that found nothing newer; 0 if unknown
 }
 
-// Encode returns news as they go to another box. All of 4,000 replicas, which who begins
-// without the publisher asks for, took 0.6 s of a link of 10 Mbit/s as they are.
+// Encode returns the catalog update as it is sent to another box, compressed if it is large.
 func (n News) Encode() (EncodedNews, error) {
 	if !n.isLarge() {
 		return EncodedNews{
@@ -36,17 +35,17 @@
 	}, err
 }
 
-// long says whether news are worth compressing.
+// isLarge reports whether the catalog update is worth compressing.
 func (n News) isLarge() bool {
-	const usual = 160 // bytes of a replica
+	const replicaBytes = 160 // typical length in JSON
 	items := len(n.Changes)
 	if n.Snapshot != nil {
 		items += len(n.Snapshot.Replicas)
 	}
-	return items*usual > minCompressed
+	return items*replicaBytes > minCompressed
 }
 
-// Decode returns the news.
+// Decode returns the catalog update.
 func (p EncodedNews) Decode() (out News, err error) {
 	if p.Wait > 0 {
 		out.Wait = p.Wait
@@ -61,7 +60,7 @@
 	return out, err
 }
 
-// press returns a value as JSON, compressed.
+// compress returns a value as compressed JSON.
 func compress(v any) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -77,9 +76,9 @@
 	return out.Bytes(), nil
 }
 
-// decompress decodes what press returned.
+// decompress decodes the output of compress.
 func decompress(data []byte, out any) error {
 	r := flate.NewReader(bytes.NewReader(data))
-	defer func() { _ = r.Close() }() // it has nothing to lose
+	defer func() { _ = r.Close() }() // a reader has nothing to flush
 	return errors.Wrap(json.NewDecoder(io.LimitReader(r, maxDecompressed)).Decode(out), "compressed")
 }
--- a/catalog/confirm.go
+++ b/catalog/confirm.go
@@ -1,8 +1,5 @@
 package catalog
 
-// This file says how a Feed finds out again and again that the policy in force is the newest:
-// by reading it, for a watch that hears nothing looks like one with no news.
-
 import (
 	"context"
 	"time"
@@ -11,21 +8,22 @@
 )
 
 const (
-	confirmInterval      = time.Second             // some readings may fail before what was proved last is too old
-	confirmRetryInterval = 400 * time.Millisecond  // where the answer is only a promise, which the next ones have to bear out
-	confirmTimeout       = 1200 * time.Millisecond // for a reading: another one may be answered sooner
-	confirmationTTL      = 1500 * time.Millisecond // for which a reading of the policy tells the newest revision too
+	confirmInterval      = time.Second            // a few reads may fail before the last freshness proof expires
+	confirmRetryInterval = 400 * time.Millisecond // after an error, or an answer without a revision
+	confirmTimeout       = 1200 * time.Millisecond
+	confirmationTTL      = 1500 * time.Millisecond // for which the revision of a confirming read counts as the newest
 )
 
-// confirmed is the last answer about the policy.
+// confirmation is the last confirming read of the policy.
 type confirmation struct {
-	version  int // of the policy; the task that confirms owns it
+	version  int // of the policy; owned by the confirming goroutine
 	revision int64
 	at       time.Time
 }
 
-// WithConfirming sets what says whether this box has to know that the policy in force is the
-// newest, and what is told of a moment at which a version surely was.
+// WithConfirming sets a function that reports whether this box needs to confirm that its
+// policy is the newest, and one that receives the time at which a version is known to be the
+// newest.
 func WithConfirming(mustConfirm func() bool, onConfirmed func(version int, at time.Time)) FeedOption {
 	return func(d *Feed) {
 		d.mustConfirm = mustConfirm
@@ -33,14 +31,14 @@
 	}
 }
 
-// confirm reads the policy again and again while this box has to know that it is the newest.
+// confirm confirms the policy at intervals while this box needs to.
 func (d *Feed) confirm(ctx context.Context) {
 	wait := confirmInterval
 	for ctx.Err() == nil {
 		sleep.For(ctx, d.jittered(wait))
 		wait = confirmInterval
 		if d.isFollower() {
-			wait = confirmRetryInterval // others may have lost their way to the source
+			wait = confirmRetryInterval // peers may have lost their connection to the source
 		}
 		if ctx.Err() == nil && d.mustConfirm() {
 			wait = d.confirmOnce(ctx)
@@ -48,7 +46,7 @@
 	}
 }
 
-// confirmOnce reads the policy, and returns how long to wait until the next time.
+// confirmOnce reads the policy and returns the wait until the next read.
 func (d *Feed) confirmOnce(ctx context.Context) (wait time.Duration) {
 	began := d.now()
 	limit, cancel := context.WithTimeout(ctx, confirmTimeout)
@@ -67,7 +65,7 @@
 	}
 	d.reportFreshness(s)
 	if s.Revision == 0 {
-		return confirmRetryInterval // it was a question for the policy alone
+		return confirmRetryInterval // the source answered for the policy alone
 	}
 	d.mu.Lock()
 	d.confirmation.revision = s.Revision
@@ -79,15 +77,16 @@
 	return confirmInterval
 }
 
-// prove tells at which moment the policy of a snapshot surely was the newest.
+// reportFreshness reports the time at which the policy of a snapshot is known to be the
+// newest.
 func (d *Feed) reportFreshness(s Snapshot) {
 	if s.Policy != nil && !s.PolicyAt.IsZero() {
 		d.onConfirmed(s.Policy.Version, s.PolicyAt)
 	}
 }
 
-// confirmedOfLate returns the newest revision as of the last reading of the policy; false where
-// there was none of late.
+// recentlyConfirmed returns the newest revision as of the last confirming read; false if that
+// is too old.
 func (d *Feed) recentlyConfirmed() (int64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/catalog/delta.go
+++ b/catalog/delta.go
@@ -1,8 +1,5 @@
 package catalog
 
-// This file says how a box tells another one of a policy: by what differs from one that
-// the other knows, and compressed.
-
 import (
 	"encoding/json"
 	"reflect"
@@ -12,33 +9,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PolicyNews is what one box tells another that asks for the newest policy.
+// PolicyNews is the answer to a box that asks for the newest policy.
 type PolicyNews struct {
-	Version    int    `json:"version"`              // of the newest that the box has
-	Wait       Millis `json:"wait_ms,omitempty"`    // until the box may send it, which others may do sooner
-	Compressed []byte `json:"compressed,omitempty"` // the Delta, as JSON, compressed
+	Version    int    `json:"version"`              // of the sender's newest policy
+	Wait       Millis `json:"wait_ms,omitempty"`    // until the sender is below its rate limit, if it can't answer now
+	Compressed []byte `json:"compressed,omitempty"` // the Delta as compressed JSON
 }
 
-// Delta is a policy as what differs from an earlier one.
+// Delta is the difference between two policies.
 type Delta struct {
-	From          int                  `json:"from"` // version of the earlier one; 0 for none
+	From          int                  `json:"from"` // version of the earlier policy; 0 for none
 	Version       int                  `json:"version"`
 	Routes        []Span[Route]        `json:"routes"`
 	Services      []Service            `json:"services"`
 	Limits        Limits               `json:"limits"`
 	Keyed         bool                 `json:"keyed,omitempty"`
 	Organisations []Span[Organisation] `json:"organisations,omitempty"`
-	Sum           uint64               `json:"sum"` // of the whole policy
+	Sum           uint64               `json:"sum"` // checksum of the later policy
 }
 
-// Span is a part of a list: items of the earlier list, or new ones.
+// Span is a run of items of the earlier list, or of new ones.
 type Span[T any] struct {
 	At    int `json:"at,omitempty"` // in the earlier list
 	Count int `json:"count,omitempty"`
 	New   []T `json:"new,omitempty"`
 }
 
-// routeKey tells the routes of a policy apart.
+// routeKey identifies a route within a policy.
 type routeKey struct {
 	name   string
 	host   string
@@ -53,7 +50,7 @@
 	}
 }
 
-// DeltaOf returns what differs between an earlier policy, nil for none, and a later one.
+// DeltaOf returns the difference between an earlier policy, nil for none, and a later one.
 func DeltaOf(earlier, later *Policy) (Delta, error) {
 	out := Delta{
 		Version:  later.Version,
@@ -75,7 +72,7 @@
 	return out, nil
 }
 
-// spans returns a later list as what differs from an earlier one, whose items have a key.
+// spans returns the difference between two lists whose items have keys.
 func spans[T any, K comparable](earlier, later []T, key func(*T) K) (out []Span[T]) {
 	at := make(map[K]int, len(earlier))
 	for i := range earlier {
@@ -92,7 +89,7 @@
 	return out
 }
 
-// keep adds an item of the earlier list.
+// appendExisting adds an item of the earlier list.
 func appendExisting[T any](list []Span[T], at int) []Span[T] {
 	if n := len(list) - 1; n >= 0 && list[n].Count > 0 && list[n].At+list[n].Count == at {
 		list[n].Count++
@@ -104,7 +101,7 @@
 	})
 }
 
-// add adds an item that the earlier list lacks.
+// appendNew adds an item that is not in the earlier list.
 func appendNew[T any](list []Span[T], item T) []Span[T] {
 	if n := len(list) - 1; n < 0 || list[n].Count > 0 {
 		list = append(list, Span[T]{})
@@ -114,13 +111,12 @@
 	return list
 }
 
-// Apply returns the later policy. It fails when the earlier one isn't what the
-// delta was made from.
+// Apply returns the later policy. It fails if the earlier one is not the base of the delta.
 func (a Delta) Apply(earlier *Policy) (*Policy, error) {
 	known := &Policy{}
 	if a.From > 0 {
 		if earlier == nil || earlier.Version != a.From {
-			return nil, errors.Newf("delta of policy %d, which isn't known", a.From)
+			return nil, errors.Newf("delta from policy %d: that version is not recorded", a.From)
 		}
 		known = earlier
 	}
@@ -132,26 +128,26 @@
 	}
 	var err error
 	if out.Routes, err = applySpans(known.Routes, a.Routes); err != nil {
-		return nil, errors.Wrapf(err, "delta of policy %d: routes", a.From)
+		return nil, errors.Wrapf(err, "delta from policy %d: routes", a.From)
 	}
 	if out.Organisations, err = applySpans(known.Organisations, a.Organisations); err != nil {
-		return nil, errors.Wrapf(err, "delta of policy %d: organisations", a.From)
+		return nil, errors.Wrapf(err, "delta from policy %d: organisations", a.From)
 	}
 	checksum, err := out.checksum()
 	if err != nil {
 		return nil, err
 	}
 	if checksum != a.Sum {
-		return nil, errors.Newf("delta of policy %d to %d: another sum", a.From, a.Version)
+		return nil, errors.Newf("delta from policy %d to %d: checksum mismatch", a.From, a.Version)
 	}
 	return out, out.Check()
 }
 
-// joined returns the later list.
+// applySpans returns the later list.
 func applySpans[T any](earlier []T, list []Span[T]) (out []T, err error) {
 	for _, s := range list {
 		if s.At < 0 || s.Count < 0 || s.Count > len(earlier) || s.At > len(earlier)-s.Count {
-			return nil, errors.Newf("none from %d to %d", s.At, s.At+s.Count)
+			return nil, errors.Newf("items %d to %d out of range", s.At, s.At+s.Count)
 		}
 		out = append(out, earlier[s.At:s.At+s.Count]...)
 		out = append(out, s.New...)
@@ -159,7 +155,7 @@
 	return out, nil
 }
 
-// sum returns a sum of all that a policy says.
+// checksum returns a checksum of a whole policy.
 func (p *Policy) checksum() (uint64, error) {
 	h := xxhash.New()
 	err := json.NewEncoder(h).Encode(struct {
@@ -168,7 +164,7 @@
 		Limits   Limits
 		Version  int
 
-		Keyed         bool           `json:",omitempty"` // boxes of a version without keys come to the same sum
+		Keyed         bool           `json:",omitempty"` // omitted if unset, so that boxes without support for keys compute the same checksum
 		Organisations []Organisation `json:",omitempty"`
 	}{
 		Routes:        nilIfEmpty(p.Routes),
@@ -181,7 +177,7 @@
 	return h.Sum64(), errors.Wrap(err, "policy")
 }
 
-// orNone returns a list, nil for an empty one, which is encoded otherwise.
+// nilIfEmpty returns nil for an empty list, which JSON encodes differently.
 func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
@@ -189,25 +185,24 @@
 	return list
 }
 
-// Delta returns what the news say of the policy.
+// Delta returns the decompressed delta.
 func (n PolicyNews) Delta() (out Delta, err error) {
 	err = decompress(n.Compressed, &out)
 	return out, errors.Wrap(err, "delta")
 }
 
-// Deltas makes the deltas that lead to the newest policy, each once.
+// Deltas caches the compressed deltas that lead to the newest policy.
 type Deltas struct {
 	mu         sync.Mutex
 	version    int            // of the newest policy
-	compressed map[int][]byte // by the version from which they lead
+	compressed map[int][]byte // by the version of the earlier policy
 }
 
-// NewDeltas returns deltas of which none is made.
+// NewDeltas returns an empty cache.
 func NewDeltas() *Deltas { return &Deltas{} }
 
-// Compressed returns the delta that leads to the last of some policies from one of a
-// version, or from none if it isn't among them. Who asks at the same time gets the same
-// bytes.
+// Compressed returns the delta from a version to the last of the policies, or from no policy
+// if the version is not among them. Concurrent callers get the same bytes.
 func (a *Deltas) Compressed(policies []*Policy, from int) ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -9,24 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// doubtFor is how long a removal is not believed where an update doesn't say it:
-// entries that lapsed are back within lapseWait, and news of that takes as long as
-// backSlack.
+// unconfirmedTimeout is how long a removal stays unconfirmed if an update has no time of its
+// own.
 const (
 	unconfirmedTimeout = recoveryWindow + recoverySlack
-	recoverySlack      = 100 * time.Millisecond // until a watch has brought the last that is back; with 0.5 s a watcher that was turned away held to a removed replica for 3.55 s
+	recoverySlack      = 100 * time.Millisecond // for changes to arrive after the recovery window
 )
 
-// Doubt is a replica that was found removed while entries that lapsed may still come
-// back. It is believed when its time is over, unless the entry is back by then.
+// Doubt is an unconfirmed removal: the entry is missing but may reappear after an outage of
+// the publisher. It is confirmed when its time is over.
 type Doubt struct {
 	Replica  string `json:"replica"`
-	Born     int64  `json:"born,omitempty"` // which start of it, where that is told
-	Revision int64  `json:"revision"`       // from which on it may have been removed
-	Left     Millis `json:"left_ms"`        // until it is believed
+	Born     int64  `json:"born,omitempty"` // start time of the replica, if known
+	Revision int64  `json:"revision"`       // at which the removal may have begun
+	Left     Millis `json:"left_ms"`        // until it is confirmed
 }
 
-// UnmarshalJSON decodes a doubt and checks it.
+// UnmarshalJSON decodes and validates an unconfirmed removal.
 func (d *Doubt) UnmarshalJSON(data []byte) error {
 	type plain Doubt
 	var v plain
@@ -35,20 +34,19 @@
 	}
 	*d = Doubt(v)
 	if d.Replica == "" || d.Left < 0 {
-		return errors.Newf("doubt of replica %q with %d ms left", d.Replica, d.Left)
+		return errors.Newf("unconfirmed removal of replica %q with %d ms left", d.Replica, d.Left)
 	}
 	return nil
 }
 
-// doubt is a Doubt as a copy holds it.
+// unconfirmedRemoval is the state of a Doubt in a copy.
 type unconfirmedRemoval struct {
 	revision int64
 	until    time.Time
 }
 
-// Revision returns the revision after which others are to be asked what changed: the
-// newest that was taken in or, where a removal is in doubt, one that it doesn't come
-// before. It never goes back.
+// Revision returns the revision since which changes are to be requested from other boxes: the
+// newest one, or an earlier one that precedes all unconfirmed removals. It never decreases.
 func (c *Content) Revision() int64 {
 	if c.floor > 0 {
 		return c.floor
@@ -60,7 +58,6 @@
 	return c.floor
 }
 
-// endDoubt takes in that a replica is not in doubt.
 func (c *Content) clearUnconfirmed(id string) {
 	if !c.InDoubt(id) {
 		return
@@ -70,27 +67,27 @@
 	c.changeLog.add(id)
 }
 
-// Newest returns the newest revision that was taken in. Each removal up to it is
-// either believed or in doubt.
+// Newest returns the newest recorded revision. Each removal up to it is either confirmed or
+// unconfirmed.
 func (c *Content) Newest() int64 { return c.newest }
 
-// Doubtful says whether any removal is in doubt.
+// Doubtful reports whether any removal is unconfirmed.
 func (c *Content) Doubtful() bool { return len(c.unconfirmed) > 0 }
 
-// InDoubt says whether a replica may be gone.
+// InDoubt reports whether the removal of a replica is unconfirmed.
 func (c *Content) InDoubt(id string) bool {
 	_, ok := c.unconfirmed[id]
 	return ok
 }
 
-// doubt notes that a replica may be gone since a revision. An earlier end of the doubt
+// markUnconfirmed records that a replica may be removed since a revision. An earlier deadline
 // stays.
 func (c *Content) markUnconfirmed(id string, revision int64, left time.Duration) {
 	if _, ok := c.replicas[id]; !ok {
 		return
 	}
 	next := unconfirmedRemoval{
-		revision: max(revision, c.Revision()), // so that it doesn't go back
+		revision: max(revision, c.Revision()), // so that Revision doesn't decrease
 		until:    c.now().Add(left),
 	}
 	if was, ok := c.unconfirmed[id]; ok {
@@ -99,20 +96,18 @@
 			next.until = was.until
 		}
 	}
-	c.unconfirmed[id] = next // no earlier than the floor, which stays
+	c.unconfirmed[id] = next // not before the floor, which stays
 	c.changeLog.add(id)
 }
 
-// Doubts returns the replicas that may be gone, in order.
+// Doubts returns the replicas with an unconfirmed removal, sorted.
 func (c *Content) Doubts() []string { return slices.Sorted(maps.Keys(c.unconfirmed)) }
 
-// Settle believes the removals whose time is over, and says whether there were any.
-//
-// A box that had to read again for that, as followers seldom do, or that was not asked
-// again, went on sending to such a replica for up to 5 s.
+// Settle confirms the removals whose time is over and reports whether there were any. This
+// needs no further read, which followers make rarely.
 func (c *Content) Settle() bool {
 	settled := false
-	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) { // so that the latest that are told again don't depend on chance
+	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) { // sorted for a deterministic order of the confirmed removals
 		d := c.unconfirmed[id]
 		if c.now().Before(d.until) {
 			continue
@@ -124,7 +119,7 @@
 	return settled
 }
 
-// tell returns the doubts as another box is told of them.
+// unconfirmedForPeers returns the unconfirmed removals as they are sent to other boxes.
 func (c *Content) unconfirmedForPeers() []Doubt {
 	var out []Doubt
 	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) {
@@ -139,7 +134,8 @@
 	return out
 }
 
-// hear takes in what another box has in doubt, but for what is known to be gone.
+// mergeUnconfirmed records unconfirmed removals of another box, except for replicas that have
+// changed since.
 func (c *Content) mergeUnconfirmed(list []Doubt) {
 	for _, d := range list {
 		if r, ok := c.replicas[d.Replica]; ok && r.Revision <= d.Revision && isSameIncarnation(r.Born, d.Born) {
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -14,31 +14,32 @@
 	"github.com/havenrudder/havenrudder/common/sleep"
 )
 
-// ErrHistoryGone says that the publisher no longer knows what changed since a
-// revision, so that all must be read again.
-var ErrHistoryGone = errors.New("catalog: history gone")
+// ErrHistoryGone reports that the publisher no longer has the changes since a revision, so
+// that a full read is needed.
+var ErrHistoryGone = errors.New("catalog: history no longer available")
 
-// ErrTold says that another box told all that a reading would have brought.
-var ErrTold = errors.New("catalog: told by another box")
+// ErrTold reports that another box has sent the full state, so that a read is not needed.
+var ErrTold = errors.New("catalog: state sent by another box")
 
 const (
-	watchTimeout       = 10 * time.Second       // one waiting call; each call has a price, and a new one costs no more than that
-	rereadInterval     = 2 * time.Second        // a watch may stay silent while changes are made; half of the shortest bound on configurations
+	watchTimeout       = 10 * time.Second       // each call to the publisher has a cost
+	rereadInterval     = 2 * time.Second        // a watch may miss changes without an error
 	firstBackOff       = 50 * time.Millisecond  // after a failed call
-	maxBackOff         = 600 * time.Millisecond // so that a publisher that is back is used within a second
-	recoveryWindow     = 2 * time.Second        // entries that lapsed while the publisher was away are back within this time
-	followPollInterval = 200 * time.Millisecond // between two looks whether it still follows
-	neverRead          = math.MaxInt64          // the age of what was never read, in nanoseconds
+	maxBackOff         = 600 * time.Millisecond // so that a recovered publisher is used within a second
+	recoveryWindow     = 2 * time.Second        // in which expired entries reappear after an outage of the publisher
+	followPollInterval = 200 * time.Millisecond
+	neverRead          = math.MaxInt64 // age before the first read
 )
 
-// Source is where the catalog is read. Read returns all of it. Wait returns what
-// changed after a revision, and up to which one, as soon as there is any or after
-// a time; it fails with ErrHistoryGone where that is no longer known. Newest, which
-// may be nil, returns the newest revision alone. Keep, which may be nil, is called so
-// often that the source can go on to tell Read that something large hasn't changed.
-// Confirm, which may be nil, returns the policy and the evacuations alone. First, which
-// may be nil, is Read for a box that knows nothing; where that takes many calls, it asks
-// goOn between them whether to go on, and returns what was read beside what that fails with.
+// Source is where the catalog is read.
+//
+// Read returns the full state. Wait returns the changes after a revision and the revision that
+// they lead to, as soon as there are any or after a time; it fails with ErrHistoryGone if they
+// are unknown. The other functions may be nil. Newest returns the newest revision alone. Keep
+// is called often enough that the source can still report to Read that a large value is
+// unchanged. Confirm returns the policy and the evacuations alone. First is Read for a box
+// without a copy: if it needs many calls, it calls goOn between them, and returns the partial
+// state with an error of goOn.
 type Source struct {
 	Read   func(ctx context.Context) (Snapshot, error)
 	First  func(ctx context.Context, goOn func(read Snapshot) error) (Snapshot, error)
@@ -49,18 +50,18 @@
 	Confirm func(ctx context.Context) (Snapshot, error)
 }
 
-// Update is what a feed hands on: a whole snapshot or changes up to a revision.
+// Update is what a feed delivers: a full snapshot, or changes up to a revision.
 type Update struct {
 	Snapshot *Snapshot
 	Changes  []Change
-	Doubts   []Doubt // of another box that tells this
-	Policy   int     // version of a policy that exists, 0 for none heard of
+	Doubts   []Doubt // unconfirmed removals of the box that sent this
+	Policy   int     // newest recorded version of a policy; 0 for none
 	Revision int64
-	Settled  bool          // false while entries may be missing because the publisher was away
-	Settles  time.Duration // until that is over, where it is known
+	Settled  bool          // false while entries may be missing after an outage of the publisher
+	Settles  time.Duration // remaining time until settled, if known
 }
 
-// PolicyUpdate returns a policy alone as an update.
+// PolicyUpdate returns an update with a policy alone.
 func PolicyUpdate(p *Policy) Update {
 	return Update{
 		Changes: []Change{{
@@ -70,10 +71,10 @@
 	}
 }
 
-// doubtFor returns how long what is missing in an update is not believed to be gone.
+// unconfirmedTimeout returns how long missing entries stay unconfirmed.
 func (u Update) unconfirmedTimeout() time.Duration { return cmp.Or(u.Settles, unconfirmedTimeout) }
 
-// Feed keeps a copy of the catalog current from a source.
+// Feed keeps a copy of the catalog up to date from a source.
 type Feed struct {
 	source      Source
 	update      func(Update)
@@ -81,50 +82,50 @@
 	now         func() time.Time
 	jitter      func() float64
 	interval    time.Duration
-	isReader    func() bool // this box reads again on behalf of others
+	isReader    func() bool // this box rereads on behalf of others
 	isFollower  func() bool // other boxes watch on behalf of this one
-	mustConfirm func() bool // this box has to know that the policy is the newest
+	mustConfirm func() bool // this box needs to confirm that its policy is the newest
 	onConfirmed func(version int, at time.Time)
 	readGate    func(ctx context.Context, took time.Duration, first bool) error
-	refresh     func(ctx context.Context) // asks another box for what this one knows too old
-	age         func() time.Duration      // of what this box knows, by what others say
-	behind      chan struct{}             // another box knows more
-	wanted      atomic.Int64              // the revision that it knows
-	delivered   atomic.Int64              // the newest that was handed on
-	replicas    atomic.Int64              // that were read last
-	resume      chan int64                // revisions read, from which the watch goes on
-	rereadNow   chan struct{}             // asks for all to be read at once
-	forceFull   atomic.Bool               // also where that takes many calls and only what changed would do
+	refresh     func(ctx context.Context) // requests changes from another box before the copy is stale
+	age         func() time.Duration      // of the copy, as other boxes report it
+	behind      chan struct{}             // signals that another box has a newer revision
+	wanted      atomic.Int64              // newest revision of another box
+	delivered   atomic.Int64              // newest revision delivered
+	replicas    atomic.Int64              // number at the last read
+	at          chan int64                // revisions from which the watch resumes
+	rereadNow   chan struct{}             // requests a full read
+	forceFull   atomic.Bool               // forces a full read even of a large catalog
 
 	mu          sync.Mutex
-	unavailable bool      // the last reading failed; a watch may also end for other reasons
-	failedAt    time.Time // when it did
-	settled     time.Time // until then entries may come back that lapsed
+	unavailable bool      // the last full read failed
+	failedAt    time.Time // time of that failure
+	settled     time.Time // time until which expired entries may reappear
 
-	confirmation confirmation // the last answer about the policy
+	confirmation confirmation
 
-	burst       float64   // calls of the watch that may follow each other at once; the task that watches owns it
-	lastChanges time.Time // when a watch brought changes last; the same
+	burst       float64   // calls left without a delay; owned by the watching goroutine
+	lastChanges time.Time // time of the last changes from the watch; owned by the same
 }
 
-// FeedOption changes a Feed.
+// FeedOption configures a Feed.
 type FeedOption func(*Feed)
 
-// WithHealth sets what is told of the result of each call; nil is success.
+// WithHealth sets a function that receives the result of each call; nil is success.
 func WithHealth(f func(err error)) FeedOption { return func(d *Feed) { d.health = f } }
 
 // WithJitter sets the source of jitter, from 0 up to 1.
 func WithJitter(f func() float64) FeedOption { return func(d *Feed) { d.jitter = f } }
 
-// WithReread sets how often all is read again beside the watch.
+// WithReread sets the interval of full reads beside the watch.
 func WithReread(interval time.Duration) FeedOption { return func(d *Feed) { d.interval = interval } }
 
-// WithReader sets what says whether this box reads again on behalf of others.
-// One that doesn't relies on Behind, and reads again more rarely.
+// WithReader sets a function that reports whether this box rereads on behalf of others. Other
+// boxes rely on Behind and reread less often.
 func WithReader(f func() bool) FeedOption { return func(d *Feed) { d.isReader = f } }
 
-// WithFollowing sets what says whether other boxes watch on behalf of this one, and
-// how old what it knows is by their word. It reads only when that gets too old.
+// WithFollowing sets functions that report whether other boxes watch on behalf of this one,
+// and the age of its copy. A follower reads only when that age is too high.
 func WithFollowing(isFollower func() bool, age func() time.Duration) FeedOption {
 	return func(d *Feed) {
 		d.isFollower = isFollower
@@ -132,17 +133,18 @@
 	}
 }
 
-// WithTurn sets what a first reading of many calls waits for after the first ones, which took
-// a time, and asks between the later ones. It fails with ErrTold once another box told all.
+// WithTurn sets a function that an initial read of many calls waits for after its first calls,
+// with their duration, and calls again between the later ones. It fails with ErrTold once
+// another box has sent the full state.
 func WithTurn(f func(ctx context.Context, took time.Duration, first bool) error) FeedOption {
 	return func(d *Feed) { d.readGate = f }
 }
 
-// WithRefresh sets what asks a box that reads for others, where this one follows and what it
-// knows of many replicas is about to be too old.
+// WithRefresh sets a function that requests changes from a reading box when a follower's large
+// copy is about to be stale.
 func WithRefresh(f func(ctx context.Context)) FeedOption { return func(d *Feed) { d.refresh = f } }
 
-// NewFeed returns a feed that hands what it reads to update.
+// NewFeed returns a feed that delivers to update.
 func NewFeed(source Source, update func(Update), opts ...FeedOption) *Feed {
 	d := &Feed{
 		source:     source,
@@ -161,7 +163,7 @@
 		refresh:   func(context.Context) {},
 		age:       func() time.Duration { return neverRead },
 		behind:    make(chan struct{}, 1),
-		resume:    make(chan int64, 1),
+		at:        make(chan int64, 1),
 		rereadNow: make(chan struct{}, 1),
 	}
 	for _, opt := range opts {
@@ -170,7 +172,7 @@
 	return d
 }
 
-// Behind tells the feed that another box knows a revision.
+// Behind notifies the feed that another box has a revision.
 func (d *Feed) Behind(revision int64) {
 	if revision <= d.delivered.Load() {
 		return
@@ -178,32 +180,30 @@
 	d.wanted.Store(revision)
 	select {
 	case d.behind <- struct{}{}:
-	default: // it is told already
+	default: // already notified
 	}
 }
 
-// Learned takes in a revision up to which another box told what changed, and how many
-// replicas there are.
+// Learned records the revision up to which another box sent changes, and the number of
+// replicas.
 func (d *Feed) Learned(revision int64, replicas int) {
 	d.recordDelivered(revision)
 	d.replicas.Store(int64(replicas))
 }
 
-// learned takes in a revision that was handed on.
 func (d *Feed) recordDelivered(revision int64) { d.delivered.Store(max(d.delivered.Load(), revision)) }
 
-// Reread has all read at once, as when a policy that others have heard of can be had
-// from none of them.
+// Reread requests a full read, for example if no other box can send a newer policy.
 func (d *Feed) Reread() {
 	d.forceFull.Store(true)
 	d.requestReread()
 }
 
-// Known returns the newest revision that was handed on.
+// Known returns the newest delivered revision.
 func (d *Feed) Known() int64 { return d.delivered.Load() }
 
-// Run reads until ctx ends: a watch, and beside it all again every so often,
-// because a watch that hears nothing looks like one with no news.
+// Run watches the source until ctx ends, and makes a full read at intervals, as a watch may
+// miss changes without an error.
 func (d *Feed) Run(ctx context.Context) {
 	var watching sync.WaitGroup
 	watching.Go(func() { d.watch(ctx) })
@@ -228,16 +228,16 @@
 	}
 }
 
-// listed returns how many replicas there were when that was known last.
+// replicaCount returns the last recorded number of replicas.
 func (d *Feed) replicaCount() int { return int(d.replicas.Load()) }
 
-// read reads all and hands it on, unless another box told it meanwhile. It returns whether
-// what is missing is gone.
+// read makes a full read and delivers it, unless another box has sent the state meanwhile. It
+// returns whether missing entries are known to be removed.
 func (d *Feed) read(ctx context.Context) (settled bool, err error) {
 	s, err := d.readOnce(ctx)
 	if errors.Is(err, ErrTold) {
 		d.reportFreshness(s)
-		if !d.isCurrent(ctx) { // what it read was the newest when it began to wait
+		if !d.isCurrent(ctx) { // the revision read may be outdated after the wait
 			d.Behind(s.Revision)
 		}
 		d.resumeWatch(d.delivered.Load())
@@ -257,8 +257,8 @@
 	return settled, nil
 }
 
-// readOnce reads all. A box that knows nothing hands the policy on as soon as it has it, and
-// leaves the rest to others where that takes many calls.
+// readOnce makes a full read. The initial one delivers the policy at once, and stops if
+// another box sends the rest.
 func (d *Feed) readOnce(ctx context.Context) (Snapshot, error) {
 	if d.source.First == nil || d.delivered.Load() > 0 {
 		return d.source.Read(ctx)
@@ -275,24 +275,23 @@
 	})
 }
 
-// hand hands on what was read. It returns whether what is missing in it is gone.
+// deliver passes an update on. It returns whether missing entries are known to be removed.
 func (d *Feed) deliver(u Update) (settled bool) {
 	u.Settled, u.Settles = d.isSettled()
-	d.recordDelivered(u.Revision) // a lower one written at the same time only makes for one more call
+	d.recordDelivered(u.Revision) // a concurrent lower revision only costs one more call
 	d.update(u)
 	return u.Settled
 }
 
-// offer leaves a revision for the watch to go on from, in place of an older one.
+// resumeWatch sets the revision from which the watch resumes, in place of an older one.
 func (d *Feed) resumeWatch(revision int64) {
 	select {
-	case <-d.resume:
+	case <-d.at:
 	default: // the watch took it
 	}
-	d.resume <- revision // there is room, for nobody else puts any in
+	d.at <- revision // doesn't block: this is the only sender
 }
 
-// readFailed takes in that all could not be read.
 func (d *Feed) readFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -304,7 +303,6 @@
 	d.health(err)
 }
 
-// succeeded takes in that all was read.
 func (d *Feed) readSucceeded() {
 	d.checkRecovery()
 	d.mu.Lock()
@@ -315,10 +313,9 @@
 	d.health(nil)
 }
 
-// witness takes in that the publisher has answered another box since it failed to
-// answer this one. Without that a follower that had nothing to read for 17 s after an
-// outage took what was missing then for entries that may come back, and sent to a
-// replica that was gone for 2 s more.
+// checkRecovery records that the publisher has answered another box since it failed to answer
+// this one. Otherwise a follower, which reads rarely, would keep removed replicas as
+// unconfirmed long after the outage.
 func (d *Feed) checkRecovery() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -327,14 +324,14 @@
 	}
 }
 
-// back takes in that the publisher answered at a time, after a failure.
+// markRecovered records that the publisher answered at a time, after a failure.
 func (d *Feed) markRecovered(at time.Time) {
 	d.unavailable = false
 	d.settled = at.Add(recoveryWindow)
 }
 
-// isSettled says whether entries that are missing are gone, and otherwise when they
-// are.
+// isSettled reports whether missing entries are known to be removed, and otherwise the time
+// until they are.
 func (d *Feed) isSettled() (settled bool, left time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -348,9 +345,8 @@
 	return false, left + recoverySlack
 }
 
-// watch hands on what changes after a revision that was read. After a failure
-// all is read at once, and the watch goes on from there; when it keeps failing,
-// the time between two of them grows.
+// watch delivers the changes after each full read. After a failure it requests a full read and
+// resumes from there, with a growing back-off.
 func (d *Feed) watch(ctx context.Context) {
 	backOff := time.Duration(0)
 	for ctx.Err() == nil {
@@ -359,11 +355,11 @@
 			continue
 		}
 		select {
-		case rev := <-d.resume:
+		case rev := <-d.at:
 			if d.watchFrom(ctx, rev) {
 				backOff = 0
 			}
-			if !d.isFollower() || d.replicaCount() <= selfReadThreshold { // a follower of more hears of what has changed from others
+			if !d.isFollower() || d.replicaCount() <= selfReadThreshold { // a large follower receives changes from peers
 				d.requestReread()
 			}
 			sleep.For(ctx, d.jittered(backOff))
@@ -373,17 +369,16 @@
 	}
 }
 
-// readAgain has all read at once.
 func (d *Feed) requestReread() {
 	select {
 	case d.rereadNow <- struct{}{}:
-	default: // it is asked for already
+	default: // already requested
 	}
 }
 
-// gather waits before the next call of a watch where changes come one after the other: a
-// few of them are told at once, of more those of gatherFor come together. All replicas that
-// begin together made each watcher call a hundred times a second.
+// delayNextWatch delays the next call of a watch while changes arrive in quick succession. It
+// allows a burst of calls, then batches the changes of batchInterval, to bound the rate of
+// calls.
 func (d *Feed) delayNextWatch(ctx context.Context) {
 	now := d.now()
 	d.burst = min(d.burst+float64(now.Sub(d.lastChanges))/float64(batchInterval), maxBurst)
@@ -395,8 +390,8 @@
 	sleep.For(ctx, batchInterval)
 }
 
-// watchFrom watches from a revision until a call fails, or other boxes watch on
-// behalf of this one. It returns whether any succeeded.
+// watchFrom watches from a revision until a call fails or this box becomes a follower. It
+// returns whether any call succeeded.
 func (d *Feed) watchFrom(ctx context.Context, at int64) (succeeded bool) {
 	for ctx.Err() == nil && !d.isFollower() {
 		changes, rev, err := d.source.Wait(ctx, at, watchTimeout)
--- a/catalog/incarnation.go
+++ b/catalog/incarnation.go
@@ -2,20 +2,18 @@
 
 import "strconv"
 
-// StartMark stands between the id and the time in the name of a start. Ids don't
+// StartMark separates the id from the start time in the name of an incarnation. Ids don't
 // contain it.
 const StartMark = '@'
 
-// startBase is the base in which starts are written: with eight digits in place of
-// thirteen a load takes five bytes less in a datagram.
+// incarnationBase is the base of start times in names; it keeps them short in datagrams.
 const incarnationBase = 36
 
-// MaxBorn bounds Born, in the year 2109. It is written with nine digits.
+// MaxBorn bounds Born, in the year 2109. It has nine digits in incarnationBase.
 const MaxBorn = 1 << 42
 
-// Start names one start of the replica, the process that what is believed is believed
-// of: another one under the same id knows nothing of what this one was given, and did
-// nothing of what it did. It is the id alone where it isn't said when it started.
+// Start returns the name of the replica's incarnation, which distinguishes it from other
+// processes under the same id. It is the id alone if the start time is unknown.
 func (r Replica) Start() string {
 	if r.Born == 0 {
 		return r.ID
@@ -23,11 +21,10 @@
 	return r.ID + string(StartMark) + strconv.FormatInt(r.Born, incarnationBase)
 }
 
-// replaces says whether what is said of a replica replaces what is known under its id.
-// What is said of an earlier start never does, at whatever revision: a process that
-// stood still may write once more after the next one has begun. A start that only the
-// replica told is overruled by whatever is published next: else its entry could not say
-// that it leaves, if it told another start than its word.
+// replaces reports whether an entry replaces the recorded one of the same id. An earlier
+// incarnation never does, at whatever revision, as a suspended process may write once more
+// after its successor has started. An incarnation that only the replica itself reported yields
+// to any later published entry.
 func (r Replica) replaces(known Replica) bool {
 	if known.Told && r.Revision > known.Revision {
 		return true
@@ -38,5 +35,6 @@
 	return r.Revision >= known.Revision
 }
 
-// isSameStart says whether two starts may be the same one, as far as they are told.
+// isSameIncarnation reports whether two start times may belong to the same incarnation; 0 is
+// unknown.
 func isSameIncarnation(a, b int64) bool { return a == b || a == 0 || b == 0 }
--- a/catalog/organisation.go
+++ b/catalog/organisation.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key is the digest of a credential that callers show. The credential itself is kept
-// nowhere, so no dump, log or answer to another box can give it away.
+// Key is the digest of a caller's credential. The credential itself is never stored, logged or
+// sent.
 type Key [keyBytes]byte
 
-// keyBytes are the bytes of a Key: no two credentials have the same.
+// keyBytes is the length of a Key; collisions are negligible.
 const keyBytes = 16
 
 // KeyOf returns the key of a credential.
@@ -23,7 +23,7 @@
 	return Key(sum[:keyBytes])
 }
 
-// mostCredential are the bytes of a credential up to which KeyOf takes no memory.
+// maxStackCredential is the length up to which KeyOf doesn't allocate, in bytes.
 const maxStackCredential = 128
 
 // MarshalText encodes a key.
@@ -35,42 +35,42 @@
 func (k *Key) UnmarshalText(text []byte) error {
 	data, err := base64.RawURLEncoding.AppendDecode(nil, text)
 	if err != nil || len(data) != keyBytes {
-		return errors.Newf("key of %d bytes", len(text))
+		return errors.Newf("key of %d bytes is not valid", len(text))
 	}
 	*k = Key(data)
 	return nil
 }
 
-// Unit says what a quota counts.
+// Unit is what a quota counts.
 type Unit string
 
 // Units of quotas.
 const (
 	Requests Unit = "requests"
-	Tokens   Unit = "tokens" // of the prompt and, at most, of the answer
+	Tokens   Unit = "tokens" // of the prompt and the maximum of the answer
 )
 
-// Quota bounds what an organisation's requests may use over all boxes together.
+// Quota bounds the use by an organisation's requests over all boxes.
 type Quota struct {
-	PerSecond float64 `json:"per_second,omitempty"` // in units; 0 for no bound
-	Burst     float64 `json:"burst,omitempty"`      // units on top of that
+	PerSecond float64 `json:"per_second,omitempty"` // units; 0 for no bound
+	Burst     float64 `json:"burst,omitempty"`      // additional units
 	Unit      Unit    `json:"unit,omitempty"`
-	Plain     float64 `json:"plain,omitempty"` // tokens that a request without a count of its own stands for
+	Plain     float64 `json:"plain,omitempty"` // cost of a request without its own token count
 }
 
-// Bounded says whether there is a bound.
+// Bounded reports whether there is a bound.
 func (q Quota) Bounded() bool { return q.PerSecond > 0 || q.Burst > 0 }
 
-// Organisation is a customer whose callers show keys.
+// Organisation is a customer whose callers authenticate with keys.
 type Organisation struct {
 	Name     string   `json:"name"`
 	Keys     []Key    `json:"keys"`
-	Priority int      `json:"priority"`        // 0 goes first; it goes before that of a route
+	Priority int      `json:"priority"`        // 0 is the most urgent; takes precedence over a route's priority
 	Homes    []string `json:"homes,omitempty"` // regions that its data may enter; empty for all
 	Quota    Quota    `json:"quota"`
 }
 
-// UnmarshalJSON decodes an organisation and checks it.
+// UnmarshalJSON decodes and validates an organisation.
 func (o *Organisation) UnmarshalJSON(data []byte) error {
 	type plain Organisation
 	var v plain
@@ -81,7 +81,7 @@
 	return o.check()
 }
 
-// check says what is wrong with the organisation first, nil for nothing.
+// check returns the first error in the organisation.
 func (o *Organisation) check() error {
 	switch {
 	case o.Name == "" || len(o.Name) > maxNameBytes:
@@ -96,10 +96,10 @@
 	return nil
 }
 
-// mostName are the bytes of the longest name of an organisation.
+// maxNameBytes is the maximum length of an organisation's name.
 const maxNameBytes = 200
 
-// fitsHeader says whether a text can be the value of a header as it is.
+// fitsHeader reports whether a text can be a header value without encoding.
 func fitsHeader(text string) bool {
 	for i := range len(text) {
 		if c := text[i]; c <= ' ' || c > '~' {
@@ -109,8 +109,7 @@
 	return true
 }
 
-// checkOrganisations says what is wrong with the organisations of a policy first, nil
-// for nothing.
+// checkOrganisations returns the first error in the organisations.
 func (p *Policy) checkOrganisations() error {
 	names := make(map[string]bool, len(p.Organisations))
 	owners := make(map[Key]string, len(p.Organisations))
@@ -139,14 +138,14 @@
 // OrganisationOf returns the organisation of a name, nil for none.
 func (t *Table) OrganisationOf(name string) *Organisation { return t.byName[name] }
 
-// Keyed says whether requests need a key, but on routes that are public.
+// Keyed reports whether requests need a key, except on public routes.
 func (t *Table) Keyed() bool { return t.policy.Keyed }
 
-// Quotas says whether any organisation has a quota.
+// Quotas reports whether any organisation has a quota.
 func (t *Table) Quotas() bool { return t.quotas }
 
-// For returns the route as it holds for the requests of an organisation, nil for none: their
-// data may enter only regions that are homes by the route and by the organisation.
+// For returns the route for the requests of an organisation, nil for none: their data may
+// enter only regions that both the route and the organisation allow.
 func (r *Route) For(o *Organisation) *Route {
 	if o == nil || len(o.Homes) == 0 {
 		return r
--- a/catalog/policy.go
+++ b/catalog/policy.go
@@ -1,6 +1,6 @@
-// Package catalog holds what is published to the boxes: the policy that says
-// where requests go, the replicas that serve them, and the failure domains that
-// get no work. It also keeps a box's copy of it current.
+// Package catalog holds what is published to the boxes: the policy that routes requests, the
+// replicas that serve them, and the evacuated failure domains. It also keeps a box's copy of
+// it up to date.
 package catalog
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind says what may be done with a request when its outcome is not known.
+// Kind is what may be done with a request whose outcome is unknown.
 type Kind string
 
 // Kinds of routes.
 const (
-	Repeatable Kind = "repeatable" // it may run any number of times
-	Once       Kind = "once"       // it may run once
-	Stream     Kind = "stream"     // its answer is a series of events
+	Repeatable Kind = "repeatable" // may run any number of times
+	Once       Kind = "once"       // may run at most once
+	Stream     Kind = "stream"     // the response is a stream of events
 )
 
-// Millis is a time in milliseconds, as it stands in JSON.
+// Millis is a time in milliseconds in JSON.
 type Millis float64
 
 // Duration returns the time.
@@ -32,43 +32,43 @@
 	return time.Duration(float64(m) * float64(time.Millisecond))
 }
 
-// Share is the part of a route's requests that a service gets.
+// Share is the fraction of a route's requests that a service receives.
 type Share struct {
 	Service string `json:"service"`
-	Weight  int    `json:"weight"` // over the sum of the route's weights
+	Weight  int    `json:"weight"` // relative to the sum of the route's weights
 }
 
-// Route is a rule for requests with one host and a prefix of the path.
+// Route is a rule for requests with a host and a path prefix.
 type Route struct {
 	Name      string   `json:"name"`
 	Host      string   `json:"host"`
 	Prefix    string   `json:"prefix"` // begins and ends with a slash
 	Kind      Kind     `json:"kind"`
-	Attempts  int      `json:"attempts"`          // most replicas that one request is sent to
-	Timeout   Millis   `json:"timeout_ms"`        // longest time until the answer is whole
-	Goal      Millis   `json:"goal_ms"`           // time to the answer, or to a stream's first event, that is aimed at
-	GapGoal   Millis   `json:"gap_goal_ms"`       // longest pause between events that is aimed at; 0 for none
-	Priority  int      `json:"priority"`          // 0 goes first
+	Attempts  int      `json:"attempts"`          // maximum number of attempts on different replicas
+	Timeout   Millis   `json:"timeout_ms"`        // until the response is complete
+	Goal      Millis   `json:"goal_ms"`           // target of the time to the response, or to a stream's first event
+	GapGoal   Millis   `json:"gap_goal_ms"`       // target of the maximum gap between events; 0 for none
+	Priority  int      `json:"priority"`          // 0 is the most urgent
 	Shares    []Share  `json:"shares"`            // services that run it
-	Resumable bool     `json:"resumable"`         // a stream can be continued elsewhere after an event
+	Resumable bool     `json:"resumable"`         // a stream can be resumed on another replica after an event
 	Homes     []string `json:"homes,omitempty"`   // regions that its data may enter; empty for all
 	Nowhere   bool     `json:"nowhere,omitempty"` // no region may process its data
 	Public    bool     `json:"public,omitempty"`  // its requests need no key
 }
 
-// Repeatable says whether a request may run again when its outcome is unknown.
+// Repeatable reports whether a request may run again when its outcome is unknown.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Allows says whether the route's data may be processed in a region. This is the
-// one place where residency is decided.
+// Allows reports whether the route's data may be processed in a region. All residency
+// decisions are made here.
 func (r *Route) Allows(region string) bool {
 	return !r.Nowhere && (len(r.Homes) == 0 || slices.Contains(r.Homes, region))
 }
 
-// Service returns the service that runs the request of an id: always the same
-// one for the same id, in proportion to the weights.
+// Service returns the service that runs the request of an id. The choice depends on the id
+// alone, in proportion to the weights.
 func (r *Route) Service(id string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -87,7 +87,7 @@
 	return r.Shares[0].Service
 }
 
-// check says what is wrong with the route first, nil for nothing.
+// check returns the first error in the route.
 func (r *Route) check() error {
 	switch {
 	case r.Host == "":
@@ -109,26 +109,26 @@
 	return nil
 }
 
-// Engine is what is known of a model service's replicas.
+// Engine describes the replicas of a model service.
 type Engine struct {
-	Slots      int     `json:"slots"`                 // requests run at once
-	Memory     int     `json:"memory"`                // tokens that running requests and kept prompts share
-	TokenBytes int     `json:"token_bytes,omitempty"` // of memory that a token takes
-	LinkMbps   float64 `json:"link_mbps,omitempty"`   // of the way between two replicas' memories, in Mbit/s; 0 for none
-	Copies     bool    `json:"copies,omitempty"`      // replicas copy what they keep to each other
+	Slots      int     `json:"slots"`                 // concurrent requests
+	Memory     int     `json:"memory"`                // tokens, shared by running requests and cached prompts
+	TokenBytes int     `json:"token_bytes,omitempty"` // bytes of memory per token
+	LinkMbps   float64 `json:"link_mbps,omitempty"`   // bandwidth between two replicas, in Mbit/s; 0 for none
+	Copies     bool    `json:"copies,omitempty"`      // replicas copy their caches to each other
 }
 
 // Service is a group of replicas that run the same requests.
 type Service struct {
 	Name          string  `json:"name"`
 	HealthPath    string  `json:"health_path"`
-	Connections   int     `json:"connections"`     // most that one replica accepts from all boxes together
-	ColdFor       Millis  `json:"cold_for_ms"`     // that a replica stays cold
-	ColdPerSecond float64 `json:"cold_per_second"` // requests that a cold replica bears; 0 for no bound
+	Connections   int     `json:"connections"`     // maximum per replica, from all boxes together
+	ColdFor       Millis  `json:"cold_for_ms"`     // after a replica's start
+	ColdPerSecond float64 `json:"cold_per_second"` // requests to a cold replica; 0 for no bound
 	Engine        *Engine `json:"engine,omitempty"`
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	BodyBytes int `json:"body_bytes"`
 }
@@ -140,11 +140,11 @@
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
 
-	Keyed         bool           `json:"keyed,omitempty"` // requests need a key, but on routes that are public
+	Keyed         bool           `json:"keyed,omitempty"` // requests need a key, except on public routes
 	Organisations []Organisation `json:"organisations,omitempty"`
 }
 
-// UnmarshalJSON decodes a policy and checks it.
+// UnmarshalJSON decodes and validates a policy.
 func (p *Policy) UnmarshalJSON(data []byte) error {
 	type plain Policy
 	var v plain
@@ -155,7 +155,7 @@
 	return p.Check()
 }
 
-// Check says what is wrong with the policy first, nil for nothing.
+// Check returns the first error in the policy.
 func (p *Policy) Check() error {
 	if p.Version < 1 {
 		return errors.New("policy: no version")
@@ -168,17 +168,16 @@
 	return errors.Wrap(p.checkOrganisations(), "policy")
 }
 
-// Table is a policy made ready for look-ups. It never changes, so a request
-// keeps the table that it began with.
+// Table is an index of a policy. It is immutable, so a request uses one table throughout.
 type Table struct {
 	policy                 Policy
-	byHost                 map[string][]*Route // the longest prefix first
+	byHost                 map[string][]*Route // longest prefix first
 	services               map[string]*Service
 	priorityRange          map[string]priorityRange // of the routes of each service
 	byKey                  map[Key]*Organisation
 	byName                 map[string]*Organisation
-	quotas                 bool          // an organisation has one
-	organisationPriorities priorityRange // of the organisations
+	quotas                 bool // an organisation has a quota
+	organisationPriorities priorityRange
 }
 
 // NewTable returns the table of a policy.
@@ -215,8 +214,8 @@
 // Policy returns the policy; it must not be changed.
 func (t *Table) Policy() Policy { return t.policy }
 
-// Find returns the route of a host, as it stands in a request with or without a
-// port, and a path: the one with the longest prefix.
+// Find returns the route with the longest prefix for a host, with or without a port, and a
+// path.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	for _, r := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -226,19 +225,19 @@
 	return nil, false
 }
 
-// HomeOfAll says whether a region may process the data of all routes of a host, of
-// which some are bound to regions.
+// HomeOfAll reports whether some routes of a host are bound to regions and all routes allow
+// this one.
 func (t *Table) HomeOfAll(host, region string) bool {
 	barred := func(r *Route) bool { return !r.Allows(region) }
 	return t.Bound(host) && !slices.ContainsFunc(t.byHost[hostName(host)], barred)
 }
 
-// Bound says whether the data of any route of a host is bound to regions.
+// Bound reports whether any route of a host is bound to regions.
 func (t *Table) Bound(host string) bool {
 	return slices.ContainsFunc(t.byHost[hostName(host)], func(r *Route) bool { return len(r.Homes) > 0 })
 }
 
-// Homes returns the bound routes of a host.
+// Homes returns the routes of a host that are bound to regions.
 func (t *Table) Homes(host string) []*Route {
 	var out []*Route
 	for _, r := range t.byHost[hostName(host)] {
@@ -249,7 +248,7 @@
 	return out
 }
 
-// hostName returns a host without its port, in lower case.
+// hostName returns a host in lower case without its port.
 func hostName(host string) string {
 	host = strings.ToLower(host)
 	if at := strings.LastIndexByte(host, ':'); at >= 0 {
@@ -258,5 +257,5 @@
 	return host
 }
 
-// Service returns the service of a name, nil when the policy has none.
+// Service returns the service of a name, nil for none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/catalog/rank.go
+++ b/catalog/rank.go
@@ -1,13 +1,13 @@
 package catalog
 
-// ranks are the priorities of the routes of a service, or of the organisations.
+// priorityRange is the range of priorities of a service's routes, or of the organisations.
 type priorityRange struct {
 	first   int // the most urgent
 	last    int
 	defined bool
 }
 
-// with returns the ranks with one more priority.
+// extend returns the range including a priority.
 func (k priorityRange) extend(priority int) priorityRange {
 	if !k.defined {
 		return priorityRange{
@@ -21,20 +21,18 @@
 	return k
 }
 
-// level returns where a priority stands among the ranks, 0 for the most urgent.
+// level returns the position of a priority in the range, 0 for the most urgent.
 func (k priorityRange) level(priority int) int { return min(max(priority, k.first), k.last) - k.first }
 
-// levels returns how many there are.
 func (k priorityRange) levels() int { return k.last - k.first + 1 }
 
-// addRanks takes the priority of a route in for the services that run it.
+// addPriorities records the priority of a route for its services.
 func (t *Table) addPriorities(r *Route) {
 	for _, s := range r.Shares {
 		t.priorityRange[s.Service] = t.priorityRange[s.Service].extend(r.Priority)
 	}
 }
 
-// addOrganisation takes an organisation in.
 func (t *Table) addOrganisation(o *Organisation) {
 	t.byName[o.Name] = o
 	t.quotas = t.quotas || o.Quota.Bounded()
@@ -44,9 +42,9 @@
 	t.organisationPriorities = t.organisationPriorities.extend(o.Priority)
 }
 
-// Rank returns where a request of a service stands among all of them, by the priority of its
-// route and, before that, of its organisation, nil for none: 0 for the most urgent, 1 for the
-// least, 0 where all are alike.
+// Rank returns the urgency of a request among all requests of a service, from 0 for the most
+// urgent to 1, or 0 if there is only one level. The organisation's priority precedes the
+// route's; nil is for no organisation.
 func (t *Table) Rank(service string, priority int, o *Organisation) float64 {
 	routes := t.priorityRange[service]
 	most := routes.levels()*t.organisationPriorities.levels() - 1
@@ -56,8 +54,8 @@
 	return float64(t.level(routes, priority, o)) / float64(most)
 }
 
-// Urgency returns the priority of a request of a service, 0 for the most urgent. Where no
-// organisation has one of its own, it is that of its route.
+// Urgency returns the priority of a request of a service, 0 for the most urgent. It is the
+// route's priority if all organisations have the same one.
 func (t *Table) Urgency(service string, priority int, o *Organisation) int {
 	if t.organisationPriorities.levels() == 1 {
 		return priority
@@ -65,7 +63,7 @@
 	return t.level(t.priorityRange[service], priority, o)
 }
 
-// level returns the level of a request among those of the routes of a service.
+// level returns the combined level of a route's and an organisation's priority.
 func (t *Table) level(routes priorityRange, priority int, o *Organisation) int {
 	out := routes.level(priority)
 	if o != nil {
--- a/catalog/reread.go
+++ b/catalog/reread.go
@@ -1,8 +1,5 @@
 package catalog
 
-// This file says how long a Feed waits before it reads all again: as a box that
-// watches for itself, and as a follower, for which other boxes watch.
-
 import (
 	"context"
 	"time"
@@ -11,26 +8,26 @@
 )
 
 const (
-	staleTimeout        = 2200 * time.Millisecond // that a follower's knowledge may be old, 1.65 to 2.75 s: the shortest bound on what is published is 4 s, and looking, reading and a slow box take some of that; with 2.7 to 4.5 s a request reached a leaving replica 5 s after its word
-	followReadInterval  = 20 * time.Second        // between two readings of a follower whatever it hears, for what others' word may lack
-	followRetryInterval = 2 * time.Second         // after a failed call of a follower: all followers fail at the same time, and calls have a price
-	largeThreshold      = 64                      // replicas up to which all is read again each time: some 20 KB, and no call more
-	replicaReadInterval = time.Second             // between two readings of all for each replica beyond that: they take some 350 bytes a second then, whatever the size
-	selfReadThreshold   = 256                     // replicas up to which each box reads all for itself, as when it ceases to watch: a call or two, as a rule
-	keepAliveInterval   = 6 * time.Second         // between two questions that keep a source's answers; two of these are within the 20 s for which it knows what changed
-	maxKeepAlive        = 512                     // replicas up to which they are asked: with more, all is read so rarely that a configuration of 1 MiB takes less than 3 KB a second
-	behindDelay         = 300 * time.Millisecond  // that a watch may lag behind what another box knows
-	refreshPercent      = 60                      // percent of the age at which a follower reads, from which it asks others
+	staleTimeout        = 2200 * time.Millisecond // maximum age of a follower's copy, well below the shortest bound of 4 s on changes
+	followReadInterval  = 20 * time.Second        // maximum time between reads of a follower with a small catalog
+	followRetryInterval = 2 * time.Second         // long, as all followers fail at the same time
+	largeThreshold      = 64                      // replicas up to which each reread is a full read
+	replicaReadInterval = time.Second             // per replica, between full reads of a large catalog
+	selfReadThreshold   = 256                     // replicas up to which each box makes its own full reads
+	keepAliveInterval   = 6 * time.Second         // two of these fit into the history of a source, 20 s
+	maxKeepAlive        = 512                     // replicas; with more, full reads are too rare to be worth the calls
+	behindDelay         = 300 * time.Millisecond  // for a lagging watch to catch up with another box
+	refreshPercent      = 60                      // percent of staleTimeout from which a follower requests changes from peers
 	percent             = 100
-	batchInterval       = 200 * time.Millisecond // between two calls of a watch that brings changes one after the other
-	maxBurst            = 8                      // calls of it that follow each other at once, before that
-	catchUpTimeout      = time.Millisecond       // for changes that have been made already
-	peerTimeout         = 600 * time.Millisecond // in which a follower that failed to ask one box asks another one
-	sharedRereadFactor  = 3                      // times as long where other boxes read again too, and say when they know more
+	batchInterval       = 200 * time.Millisecond // between calls of a watch with frequent changes
+	maxBurst            = 8                      // calls of a watch without that delay
+	catchUpTimeout      = time.Millisecond       // for changes that exist already
+	peerTimeout         = 600 * time.Millisecond // in which a follower whose request to a box failed asks another one
+	sharedRereadFactor  = 3                      // the interval is longer by this factor if other boxes reread too
 )
 
-// restAfter waits after a failed call. A follower may hear meanwhile from a box that
-// can read.
+// waitAfterFailure waits after a failed call. A follower may receive changes meanwhile from a
+// box that can read.
 func (d *Feed) waitAfterFailure(ctx context.Context, backOff time.Duration) {
 	if !d.isFollower() {
 		sleep.For(ctx, d.jittered(backOff))
@@ -40,9 +37,10 @@
 	d.waitFollowing(ctx, func() int { return 0 })
 }
 
-// restFollowing waits until a follower has to read all: it no longer follows, it can't get
-// what another box knows, what it knows is too old, or a time is over. How many replicas it
-// would read is counted anew, for others tell it of more meanwhile. While entries may still come back it waits for no longer than that.
+// waitFollowing waits until a follower has to make a full read: it no longer follows, can't
+// catch up with another box, its copy is stale, or the maximum time is over. That time depends
+// on the number of replicas, which may grow meanwhile, and ends early while expired entries
+// may reappear.
 func (d *Feed) waitFollowing(ctx context.Context, count func() int) {
 	limit := d.jittered(staleTimeout)
 	replicas := count()
@@ -55,7 +53,7 @@
 			end = d.now().Add(d.maxFollowInterval(now))
 		}
 		replicas = max(replicas, now)
-		if tryReceive(d.behind) && !d.waitCaughtUp(ctx, replicas) { // while it called, beside the next look
+		if tryReceive(d.behind) && !d.waitCaughtUp(ctx, replicas) { // before the select, which picks at random
 			return
 		}
 		select {
@@ -87,8 +85,8 @@
 	}
 }
 
-// catchesUp says whether a follower knows what another box that it could not ask knew. Where
-// there is much to read it gives others a while to tell it.
+// waitCaughtUp reports whether a follower has caught up with a box that it could not ask. With
+// many replicas it first gives other boxes time to send the changes.
 func (d *Feed) waitCaughtUp(ctx context.Context, replicas int) bool {
 	if d.delivered.Load() < d.wanted.Load() && replicas > selfReadThreshold {
 		sleep.For(ctx, peerTimeout)
@@ -99,7 +97,7 @@
 	return d.delivered.Load() >= d.wanted.Load()
 }
 
-// longest returns how long a follower of so many replicas goes without reading.
+// maxFollowInterval returns the maximum time between a follower's full reads.
 func (d *Feed) maxFollowInterval(replicas int) time.Duration {
 	out := followReadInterval
 	if d.isLarge(replicas) {
@@ -108,8 +106,8 @@
 	return d.untilSettled(out)
 }
 
-// keep asks the source again and again for what it would forget, while this box reads too
-// rarely for that. A call that fails is told of by the next reading.
+// keepAlive calls Keep at intervals while this box reads too rarely for the source's history.
+// The next read reports failures.
 func (d *Feed) keepAlive(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, d.jittered(keepAliveInterval))
@@ -120,8 +118,8 @@
 	}
 }
 
-// untilSettled shortens a wait to the time at which entries that are missing are
-// gone, and a little more, while that is still to come.
+// untilSettled shortens a wait to just after the time at which missing entries are known to be
+// removed, if that is to come.
 func (d *Feed) untilSettled(wait time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,11 +129,11 @@
 	return wait
 }
 
-// large says whether it is worth a call to find out that nothing has changed, in
-// place of reading so many replicas.
+// isLarge reports whether asking for the newest revision is cheaper than reading so many
+// replicas.
 func (d *Feed) isLarge(replicas int) bool { return d.source.Newest != nil && replicas > largeThreshold }
 
-// isCurrent asks for the newest revision and says whether it is known here.
+// isCurrent asks for the newest revision and reports whether the copy has it.
 func (d *Feed) isCurrent(ctx context.Context) bool {
 	rev, ok := d.recentlyConfirmed()
 	if !ok && d.source.Newest == nil {
@@ -144,11 +142,11 @@
 	if !ok {
 		var err error
 		if rev, err = d.source.Newest(ctx); err != nil {
-			return false // reading all fails as well, and is what tells of it
+			return false // the full read fails too and reports it
 		}
 	}
 	if rev > d.delivered.Load() {
-		sleep.For(ctx, behindDelay) // the watch, or another box, may be about to bring it
+		sleep.For(ctx, behindDelay) // the watch, or another box, may be about to deliver it
 	}
 	if rev > d.delivered.Load() {
 		d.catchUp(ctx)
@@ -160,13 +158,13 @@
 	return true
 }
 
-// catchUp hands on what changed after what is known, in one call and however much there is
-// beside it. It counts as known up to the last change alone: a source that is about to lose
-// its history may leave out what came after it.
+// catchUp delivers the changes after the recorded revision in one call. It records only the
+// last change's revision, as a source that is about to lose its history may omit later
+// changes.
 func (d *Feed) catchUp(ctx context.Context) {
 	changes, _, err := d.source.Wait(ctx, d.delivered.Load(), catchUpTimeout)
 	if err != nil || len(changes) == 0 {
-		return // all is read then, which tells of what is wrong
+		return // the full read that follows reports any error
 	}
 	last := int64(0)
 	for _, ch := range changes {
@@ -178,9 +176,8 @@
 	})
 }
 
-// restUntilDue waits until all is to be read again, as a box that watches for itself or one
-// that follows. Who ceases to watch many replicas knows what its watch brought, and follows
-// without a reading.
+// waitUntilDue waits until a full read is due. A box that stops watching a large catalog
+// follows without a read, as its watch has kept it up to date.
 func (d *Feed) waitUntilDue(ctx context.Context, settled bool) {
 	ceased := d.isFollower()
 	if !ceased {
@@ -191,10 +188,9 @@
 	}
 }
 
-// restLong waits until all of so many replicas is to be read again. Where they are
-// many, it asks for the newest revision in place of reading, and waits on while the
-// watch has brought it. What was read before all had settled is read again in any
-// case. It returns whether this box ceased to watch so many that it reads them not again.
+// waitUntilStale waits until a full read is due on a box that watches. With many replicas it
+// checks the newest revision instead, unless missing entries were unsettled at the last read.
+// It returns whether this box became a follower that needs no read.
 func (d *Feed) waitUntilStale(ctx context.Context, replicas int, settled bool) (ceased bool) {
 	end := d.now().Add(time.Duration(replicas) * replicaReadInterval)
 	for ctx.Err() == nil {
@@ -212,14 +208,14 @@
 			return false
 		}
 		if !timed {
-			d.resumeWatch(d.delivered.Load()) // the watch that ended goes on
+			d.resumeWatch(d.delivered.Load()) // the watch that ended resumes
 		}
 	}
 	return false
 }
 
-// rest waits until all is to be read again: sooner while entries may still come
-// back. It returns whether that is for the time alone.
+// waitForReread waits for the next reread, which is earlier while expired entries may
+// reappear. It returns whether the timer alone caused it.
 func (d *Feed) waitForReread(ctx context.Context) bool {
 	interval := d.interval
 	if !d.isReader() {
@@ -228,7 +224,7 @@
 	t := time.NewTimer(d.untilSettled(d.jittered(interval)))
 	defer t.Stop()
 	for {
-		if tryReceive(d.rereadNow) { // while it waited for the watch, beside the others
+		if tryReceive(d.rereadNow) { // checked first, as select picks at random
 			return false
 		}
 		if tryReceive(t.C) {
@@ -242,7 +238,7 @@
 		case <-d.rereadNow:
 			return false
 		case <-d.behind:
-			sleep.For(ctx, behindDelay) // the watch may be about to bring it
+			sleep.For(ctx, behindDelay) // the watch may be about to deliver it
 			if d.delivered.Load() < d.wanted.Load() {
 				return false
 			}
@@ -250,8 +246,8 @@
 	}
 }
 
-// asked says whether a channel has something, and takes it. Of several that do, chance
-// would decide otherwise.
+// tryReceive reports whether a channel has a value, and takes it. It gives a channel
+// precedence over others in a select.
 func tryReceive[T any](c <-chan T) bool {
 	select {
 	case <-c:
@@ -261,8 +257,7 @@
 	}
 }
 
-// spread returns a time between three and five quarters of t, so that boxes
-// don't call as one.
+// jittered returns a time between 3/4 and 5/4 of t, to spread the calls of boxes.
 func (d *Feed) jittered(t time.Duration) time.Duration {
 	return t*3/4 + time.Duration(d.jitter()*float64(t)/2)
 }
--- a/catalog/revisionindex.go
+++ b/catalog/revisionindex.go
@@ -5,23 +5,21 @@
 	"slices"
 )
 
-// recent lists ids by the revision of their last change, so that what changed after a
-// revision is found without a look at all the rest. An id that changed again stands in
-// it twice; the earlier place is outdated.
+// revisionIndex orders ids by the revision of their last change. An id that changes again
+// leaves an outdated entry.
 type revisionIndex struct {
 	list []revisionEntry
 }
 
-// changedAt is an id with a revision at which it changed.
 type revisionEntry struct {
 	revision int64
 	id       string
 }
 
-const maxOutdated = 64 // places that may be outdated beside as many as there are ids
+const maxOutdated = 64 // outdated entries that are allowed beyond the number of ids
 
-// add notes that an id changed at a revision. now returns the revision of the last change
-// of an id, and how many ids there are bounds the list.
+// add records that an id changed at a revision. now returns the revision of an id's last
+// change, and the number of ids bounds the index.
 func (r *revisionIndex) add(id string, revision int64, ids int, now func(id string) int64) {
 	c := revisionEntry{
 		revision: revision,
@@ -35,7 +33,7 @@
 	}
 }
 
-// reset takes all ids with their revisions in place of what was listed.
+// reset replaces the index.
 func (r *revisionIndex) reset(list []revisionEntry) {
 	slices.SortFunc(list, func(a, b revisionEntry) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.id, b.id))
@@ -43,7 +41,7 @@
 	r.list = list
 }
 
-// since returns the ids whose last change is at a revision or after it, in their order.
+// since returns the ids whose last change is at or after a revision, sorted.
 func (r *revisionIndex) since(revision int64, now func(id string) int64) []string {
 	from, _ := slices.BinarySearchFunc(r.list, revision, byRevision)
 	var out []string
@@ -56,5 +54,5 @@
 	return slices.Compact(out)
 }
 
-// byRevision orders a change before a revision.
+// byRevision compares an entry with a revision.
 func byRevision(c revisionEntry, revision int64) int { return cmp.Compare(c.revision, revision) }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -13,20 +13,20 @@
 
 // Replica is one process of a service, as published.
 type Replica struct {
-	ID       string `json:"id"`             // under which it is published, and which it answers to
-	Born     int64  `json:"born,omitempty"` // when its process started, in Unix milliseconds; 0 where that isn't said
+	ID       string `json:"id"`             // of its entry, and the one it identifies itself with
+	Born     int64  `json:"born,omitempty"` // start time of its process, in Unix milliseconds; 0 if unknown
 	Service  string `json:"service"`
 	Addr     string `json:"addr"`
 	Domain   string `json:"failure_domain"`
 	Region   string `json:"region"`
 	Slots    int    `json:"slots"`
 	Leaving  bool   `json:"leaving,omitempty"`
-	ColdLeft Millis `json:"cold_left_ms,omitempty"` // how much longer it was cold when this was published
+	ColdLeft Millis `json:"cold_left_ms,omitempty"` // remaining cold time when this was published
 	Revision int64  `json:"revision"`               // of its last change
-	Told     bool   `json:"told,omitempty"`         // this start was told by the replica itself, and isn't published yet
+	Told     bool   `json:"told,omitempty"`         // this incarnation was reported by the replica itself and is not published yet
 }
 
-// UnmarshalJSON decodes a replica and checks it.
+// UnmarshalJSON decodes and validates a replica.
 func (r *Replica) UnmarshalJSON(data []byte) error {
 	type plain Replica
 	var v plain
@@ -35,36 +35,36 @@
 	}
 	*r = Replica(v)
 	if r.ID == "" || r.Addr == "" || r.Service == "" {
-		return errors.Newf("replica %q: id, address and service are needed", r.ID)
+		return errors.Newf("replica %q: id, address and service are required", r.ID)
 	}
 	if r.Born < 0 || r.Born > MaxBorn {
-		return errors.Newf("replica %q: no start at %d", r.ID, r.Born)
+		return errors.Newf("replica %q: invalid start time %d", r.ID, r.Born)
 	}
 	return nil
 }
 
-// Snapshot is all that was published at one revision of the publisher. Of two
-// snapshots the one with the higher revision is the newer.
+// Snapshot is the full published state at one revision. Of two snapshots the one with the
+// higher revision is the newer.
 type Snapshot struct {
 	Revision  int64     `json:"revision"`
-	Policy    *Policy   `json:"policy,omitempty"` // nil when none was published yet
+	Policy    *Policy   `json:"policy,omitempty"` // nil if none is published yet
 	Replicas  []Replica `json:"replicas"`
-	Evacuated []string  `json:"evacuated"` // failure domains whose replicas get no work
-	Unusable  []string  `json:"-"`         // ids under which an entry names no replica
-	PolicyAt  time.Time `json:"-"`         // at which the policy surely was the newest, on the clock of the box that read it; zero where that isn't known
+	Evacuated []string  `json:"evacuated"` // failure domains
+	Unusable  []string  `json:"-"`         // ids of entries that describe no replica
+	PolicyAt  time.Time `json:"-"`         // time at which the policy is known to be the newest, on the reading box's clock; zero if unknown
 }
 
-// Content is a box's copy of what is published.
+// Content is a box's copy of the published state.
 type Content struct {
-	newest        int64 // revision that was taken in
+	newest        int64 // newest revision recorded
 	read          int64 // revision of the last snapshot
 	policies      policies
 	replicas      map[string]Replica
 	evacuated     map[string]bool
-	unconfirmed   map[string]unconfirmedRemoval // by replica; each is in replicas
-	floor         int64                         // revision that no doubt comes before, or that was taken in; 0 where it isn't known
+	unconfirmed   map[string]unconfirmedRemoval // by replica id; each id is in replicas
+	floor         int64                         // result of Revision; 0 if it must be computed
 	history       history
-	revisionIndex revisionIndex // replicas
+	revisionIndex revisionIndex // of replicas
 	changeLog     changeLog
 	now           func() time.Time
 }
@@ -81,7 +81,6 @@
 	}
 }
 
-// put takes an entry in.
 func (c *Content) put(r Replica) {
 	c.clearUnconfirmed(r.ID)
 	if c.replicas[r.ID] == r {
@@ -92,7 +91,6 @@
 	c.changeLog.add(r.ID)
 }
 
-// drop takes in that an entry is gone.
 func (c *Content) drop(id string) {
 	c.clearUnconfirmed(id)
 	if _, ok := c.replicas[id]; !ok {
@@ -102,7 +100,7 @@
 	c.changeLog.add(id)
 }
 
-// changedAt returns the revision of a replica's last change; 0 for none of the id.
+// changedAt returns the revision of a replica's last change; 0 if there is none.
 func (c *Content) changedAt(id string) int64 { return c.replicas[id].Revision }
 
 // Replica returns the entry of an id.
@@ -111,10 +109,10 @@
 	return r, ok
 }
 
-// Len returns how many replicas there are.
+// Len returns the number of replicas.
 func (c *Content) Len() int { return len(c.replicas) }
 
-// Replicas returns the replicas, in the order of their ids.
+// Replicas returns the replicas, sorted by id.
 func (c *Content) Replicas() []Replica {
 	out := make([]Replica, 0, len(c.replicas))
 	for _, id := range slices.Sorted(maps.Keys(c.replicas)) {
@@ -123,12 +121,12 @@
 	return out
 }
 
-// Evacuated returns the failure domains whose replicas get no work, in order.
+// Evacuated returns the evacuated failure domains, sorted.
 func (c *Content) Evacuated() []string { return slices.Sorted(maps.Keys(c.evacuated)) }
 
-// Take takes an update in. It returns false for a snapshot older than the copy.
-// A policy with a lower version never replaces a higher one, and replicas that
-// are missing while the feed isn't settled stay, in doubt.
+// Take applies an update. It returns false for a snapshot older than the copy. A policy never
+// replaces one with a higher version. While the feed isn't settled, missing replicas stay as
+// unconfirmed removals.
 func (c *Content) Take(u Update) bool {
 	c.HeardOfPolicy(u.Policy)
 	if u.Snapshot == nil {
@@ -140,7 +138,7 @@
 		return true
 	}
 	if u.Snapshot.Revision < c.newest {
-		c.policies.add(u.Snapshot.Policy) // it may be the last good one
+		c.policies.add(u.Snapshot.Policy) // it may be the last valid one
 		return false
 	}
 	c.replace(*u.Snapshot, u)
@@ -148,10 +146,9 @@
 	return true
 }
 
-// replace takes the snapshot of an update in. While the feed isn't settled, replicas
-// that are missing in it stay, in doubt.
+// replace applies the snapshot of an update.
 func (c *Content) replace(s Snapshot, u Update) {
-	known := c.Revision() // what is missing was removed after this
+	known := c.Revision() // missing entries were removed after this revision
 	c.history.recordSnapshot(c.newest, s.Revision)
 	c.read = s.Revision
 	c.policies.add(s.Policy)
@@ -170,7 +167,7 @@
 		switch {
 		case c.history.isRemoved(c.replicas[id]):
 			c.drop(id)
-		case u.Settled, slices.Contains(s.Unusable, id): // an entry that is there is none that lapsed
+		case u.Settled, slices.Contains(s.Unusable, id): // an unusable entry exists, so it has not expired
 			c.removeMissing(id, s.Revision)
 		default:
 			c.markUnconfirmed(id, known, u.unconfirmedTimeout())
@@ -180,7 +177,7 @@
 	c.setNewest(s.Revision)
 }
 
-// unlisted returns the replicas that are not among those listed, in order.
+// unlisted returns the recorded replicas that are not listed, sorted.
 func (c *Content) unlisted(listed map[string]bool) []string {
 	var out []string
 	for id := range c.replicas {
@@ -192,13 +189,12 @@
 	return out
 }
 
-// setNewest takes in a revision.
 func (c *Content) setNewest(revision int64) {
 	c.newest = revision
 	c.floor = 0
 }
 
-// missed takes in that a replica was found gone by reading all at a revision.
+// removeMissing removes a replica that a snapshot lacks.
 func (c *Content) removeMissing(id string, revision int64) {
 	doubted := c.InDoubt(id)
 	c.drop(id)
@@ -209,7 +205,6 @@
 	c.history.recordRemoval(id, revision, len(c.replicas))
 }
 
-// replaceEvacuated takes in which failure domains a snapshot has as closed.
 func (c *Content) replaceEvacuated(s Snapshot) {
 	closed := make(map[string]bool, len(s.Evacuated))
 	for _, d := range s.Evacuated {
@@ -226,14 +221,14 @@
 	c.evacuated = closed
 }
 
-// apply takes a change of an update in, unless what it is about is newer.
+// apply applies a change of an update, unless the copy has a newer one.
 func (c *Content) apply(ch Change, u Update) {
 	switch {
 	case ch.Policy != nil:
 		c.policies.add(ch.Policy)
 	case ch.Replica != nil && ch.Replica.replaces(c.replicas[ch.Replica.ID]) && !c.history.isRemoved(*ch.Replica):
 		c.put(*ch.Replica)
-	case ch.Unusable && c.replicas[ch.Gone].ID == "": // of an entry that never named a replica nothing is told on
+	case ch.Unusable && c.replicas[ch.Gone].ID == "": // the entry never described a replica
 	case ch.Gone != "" && !u.Settled && !ch.Unusable:
 		c.markUnconfirmed(ch.Gone, ch.Revision, u.unconfirmedTimeout())
 	case ch.Gone != "" && ch.Revision >= c.replicas[ch.Gone].Revision:
@@ -248,7 +243,7 @@
 	}
 }
 
-// Snapshot returns the copy as one value, in a fixed order.
+// Snapshot returns the copy in a deterministic order.
 func (c *Content) Snapshot() Snapshot {
 	return Snapshot{
 		Revision:  c.newest,
