--- /dev/null
+++ b/catalog/incarnation.go
@@ -0,0 +1,40 @@
+package catalog
+
+import "strconv"
+
+// StartMark separates the id from the start time in the name of an incarnation. Ids don't
+// contain it.
+const StartMark = '@'
+
+// incarnationBase is the base of start times in names; it keeps them short in datagrams.
+const incarnationBase = 36
+
+// MaxBorn bounds Born, in the year 2109. It has nine digits in incarnationBase.
+const MaxBorn = 1 << 42
+
+// Start returns the name of the replica's incarnation, which distinguishes it from other
+// processes under the same id. It is the id alone if the start time is unknown.
+func (r Replica) Start() string {
+	if r.Born == 0 {
+		return r.ID
+	}
+	return r.ID + string(StartMark) + strconv.FormatInt(r.Born, incarnationBase)
+}
+
+// replaces reports whether an entry replaces the recorded one of the same id. An earlier
+// incarnation never does, at whatever revision, as a suspended process may write once more
+// after its successor has started. An incarnation that only the replica itself reported yields
+// to any later published entry.
+func (r Replica) replaces(known Replica) bool {
+	if known.Told && r.Revision > known.Revision {
+		return true
+	}
+	if r.Born > 0 && known.Born > 0 && r.Born != known.Born {
+		return r.Born > known.Born
+	}
+	return r.Revision >= known.Revision
+}
+
+// isSameIncarnation reports whether two start times may belong to the same incarnation; 0 is
+// unknown.
+func isSameIncarnation(a, b int64) bool { return a == b || a == 0 || b == 0 }
