--- a/node/away.go
+++ b/node/away.go
@@ -16,51 +16,51 @@
 // Costs and limits of sending requests to another region. Expected losses are in thousandths
 // of a request's value.
 const (
-	crossing   = 175 * time.Millisecond // added by the way to another region and back
-	awayPrice  = 30.0                   // cost of the bytes between regions
-	awayAll    = 250.0                  // gain from which all requests are sent to another region; below it a share of them
-	againPrice = 40.0                   // cost of 1,000 shared tokens that are cached in another region
-	sharedMin  = 1000                   // shared tokens from which a prompt has a home region
-	noRoom     = 60 * time.Second       // sent as the wait where no replica can take a request
-	roomsFor   = 3 * time.Second        // TTL of a received capacity
-	unknownFar = 2 * time.Second        // wait assumed for a region that has sent no capacity
-	trialFor   = 600 * time.Millisecond // in which one request probes an unreachable box
-	failRisk   = 1000.0                 // expected loss where every request to a region fails
+	crossRegionTime   = 175 * time.Millisecond // added by the way to another region and back
+	crossRegionCost   = 30.0                   // cost of the bytes between regions
+	fullShareGain     = 250.0                  // gain from which all requests are sent to another region; below it a share of them
+	cacheMissCost     = 40.0                   // cost of 1,000 shared tokens that are cached in another region
+	minSharedTokens   = 1000                   // shared tokens from which a prompt has a home region
+	noCapacityWait    = 60 * time.Second       // sent as the wait where no replica can take a request
+	capacityTTL       = 3 * time.Second        // TTL of a received capacity
+	unknownRegionWait = 2 * time.Second        // wait assumed for a region that has sent no capacity
+	probeWindow       = 600 * time.Millisecond // in which one request probes an unreachable box
+	failureLoss       = 1000.0                 // expected loss where every request to a region fails
 )
 
-// far is another region with capacity for a request.
-type far struct {
-	region string
-	boxes  []*roster.Member  // targets; owned by the roster
-	all    []*roster.Member  // serving boxes, which send the region's capacity; owned by the roster
-	room   placement.Outlook // by the latest capacity sent
-	risk   float64           // expected loss
+// remoteRegion is another region with capacity for a request.
+type remoteRegion struct {
+	region    string
+	boxes     []*roster.Member  // targets; owned by the roster
+	reporters []*roster.Member  // serving boxes, which send the region's capacity; owned by the roster
+	estimate  placement.Outlook // by the latest capacity sent
+	loss      float64           // expected loss
 }
 
-// crossed records whether a request to a region was answered.
-func (s *state) crossed(region string, ok bool, now time.Duration) {
-	path := s.paths[region]
+// recordRegionResult records whether a request to a region was answered.
+func (s *state) recordRegionResult(region string, ok bool, now time.Duration) {
+	path := s.regionFailures[region]
 	path.Add(!ok, now)
-	s.paths[region] = path
+	s.regionFailures[region] = path
 }
 
-// betterAway reports whether a request is sent to another region. The probability grows with
+// sendsToRegion reports whether a request is sent to another region. The probability grows with
 // the gain, since all boxes see the same difference. Any gain suffices for the home region of
 // its shared segments: the homes of different segments distribute the requests.
-func betterAway(here, there float64, toHome bool, draw func(n int) int) bool {
-	gain := here - there - awayPrice
-	return gain > 0 && (toHome || float64(draw(draws))*awayAll/draws < gain)
+func sendsToRegion(here, there float64, toHome bool, draw func(n int) int) bool {
+	gain := here - there - crossRegionCost
+	return gain > 0 && (toHome || float64(draw(drawRange))*fullShareGain/drawRange < gain)
 }
 
-// draws is the number of values of one random draw.
-const draws = 1000
+// drawRange is the number of values of one random draw.
+const drawRange = 1000
 
-// others returns the other regions with capacity for a request, sorted by name.
-func (s *state) others(ask ingress.Ask, now time.Duration) []far {
+// remoteRegions returns the other regions with capacity for a request, sorted by name.
+func (s *state) remoteRegions(ask ingress.Ask, now time.Duration) []remoteRegion {
 	if ask.Relayed {
 		return nil
 	}
-	byRegion := make(map[string]*far)
+	byRegion := make(map[string]*remoteRegion)
 	for m := range s.roster.AllServing("", now) {
 		region := m.Status.Region
 		if slices.Contains(ask.NoRegions, region) || region == s.settings.Region || !ask.Route.Allows(region) {
@@ -68,24 +68,24 @@
 		}
 		f, ok := byRegion[region]
 		if !ok {
-			f = &far{
+			f = &remoteRegion{
 				region: region,
 			}
 			byRegion[region] = f
 		}
-		f.all = append(f.all, m)
+		f.reporters = append(f.reporters, m)
 		if s.mayForward(ask, m, now) {
 			f.boxes = append(f.boxes, m)
 		}
 	}
-	var out []far
+	var out []remoteRegion
 	for _, region := range slices.Sorted(maps.Keys(byRegion)) {
 		f := byRegion[region]
 		if len(f.boxes) == 0 {
 			continue
 		}
-		if room, ok := s.roomIn(f.all, ask.Request.Service, now); ok {
-			f.room = room
+		if room, ok := s.capacityOf(f.reporters, ask.Request.Service, now); ok {
+			f.estimate = room
 			out = append(out, *f)
 		}
 	}
@@ -94,15 +94,15 @@
 
 // mayForward reports whether a request may be forwarded to a box of another region.
 func (s *state) mayForward(ask ingress.Ask, m *roster.Member, now time.Duration) bool {
-	return s.taking[m.Status.Region].has(m.Status.Box) && m.Status.Forward != "" &&
-		!slices.Contains(ask.TriedBoxes, m.Status.Box) && !s.isLost(m, now)
+	return s.active[m.Status.Region].has(m.Status.Box) && m.Status.Forward != "" &&
+		!slices.Contains(ask.TriedBoxes, m.Status.Box) && !s.isUnreachable(m, now)
 }
 
-// home returns the region that caches the shared segments of a prompt. Weighted rendezvous
+// homeRegion returns the region that caches the shared segments of a prompt. Weighted rendezvous
 // hashing gives each region prompts in proportion to its replicas, and all boxes agree. It is
 // empty for a prompt with few shared tokens.
-func (s *state) home(ask ingress.Ask, here placement.Outlook, others []far) string {
-	if ask.Request.Shared() < sharedMin {
+func (s *state) homeRegion(ask ingress.Ask, here placement.Outlook, others []remoteRegion) string {
+	if ask.Request.Shared() < minSharedTokens {
 		return ""
 	}
 	best := ""
@@ -117,86 +117,86 @@
 		consider(s.settings.Region, here.Usable)
 	}
 	for _, f := range others {
-		consider(f.region, f.room.Usable)
+		consider(f.region, f.estimate.Usable)
 	}
 	return best
 }
 
-// weigh computes the expected loss in other regions and returns the region with the lowest;
+// lowestLoss computes the expected loss in other regions and returns the region with the lowest;
 // false when there is none.
-func (s *state) weigh(others []far, ask ingress.Ask, home string, goals placement.Goals, now time.Duration) (far, bool) {
-	var best far
+func (s *state) lowestLoss(others []remoteRegion, ask ingress.Ask, home string, goals placement.Goals, now time.Duration) (remoteRegion, bool) {
+	var best remoteRegion
 	for i, f := range others {
 		unread := ask.Request.Prompt
 		if f.region == home {
 			unread -= ask.Request.Shared()
 		}
-		f.room.Expect += crossing + placement.ReadTime(unread)
-		f.risk = f.room.Risk(goals) + ask.Request.Harm(unread-ask.Request.Own(), f.room.Fewest) + failRisk*s.paths[f.region].Share(now)
+		f.estimate.Expect += crossRegionTime + placement.ReadTime(unread)
+		f.loss = f.estimate.Risk(goals) + ask.Request.Harm(unread-ask.Request.Own(), f.estimate.Fewest) + failureLoss*s.regionFailures[f.region].Share(now)
 		if home != "" && f.region != home {
-			f.risk += againPrice * float64(ask.Request.Shared()) / 1000
+			f.loss += cacheMissCost * float64(ask.Request.Shared()) / 1000
 		}
-		if i == 0 || f.risk < best.risk || (f.risk == best.risk && f.room.Expect < best.room.Expect) {
+		if i == 0 || f.loss < best.loss || (f.loss == best.loss && f.estimate.Expect < best.estimate.Expect) {
 			best = f
 		}
 	}
 	return best, len(others) > 0
 }
 
-// riskHere returns the expected loss in this region.
-func (s *state) riskHere(here placement.Outlook, ask ingress.Ask, goals placement.Goals, home string) float64 {
+// localLoss returns the expected loss in this region.
+func (s *state) localLoss(here placement.Outlook, ask ingress.Ask, goals placement.Goals, home string) float64 {
 	risk := here.Risk(goals) + ask.Request.Harm(here.Missing, here.Fewest)
 	if home != "" && home != s.settings.Region {
-		risk += againPrice * float64(here.Unsent) / 1000
+		risk += cacheMissCost * float64(here.Unsent) / 1000
 	}
 	return risk
 }
 
-// unreached is a box that could not be reached.
-type unreached struct {
-	at    time.Duration   // time of the failure
-	out   absence.Absence // no requests are sent while it is on
-	trial time.Duration   // time of the last request that probed it
+// unreachableBox is a box that could not be reached.
+type unreachableBox struct {
+	failedAt time.Duration   // time of the failure
+	backOff  absence.Absence // no requests are sent while it is on
+	probedAt time.Duration   // time of the last request that probed it
 }
 
-// lose records that a box could not be reached. It receives no requests during a back-off that
+// markUnreachable records that a box could not be reached. It receives no requests during a back-off that
 // doubles until a request reaches it. A heartbeat doesn't reset the back-off, since datagrams
 // pass a partition in one direction.
-func (s *state) lose(box string, now time.Duration) {
-	u, known := s.lost[box]
-	if known && u.out.On(now) {
+func (s *state) markUnreachable(box string, now time.Duration) {
+	u, known := s.unreachable[box]
+	if known && u.backOff.On(now) {
 		return // concurrent requests count once
 	}
-	u.at = now
-	u.out.Begin(now)
-	s.lost[box] = u
+	u.failedAt = now
+	u.backOff.Begin(now)
+	s.unreachable[box] = u
 }
 
-// tryAgain records that a request probes an unreachable box. No other request is sent there
+// markProbed records that a request probes an unreachable box. No other request is sent there
 // until its result is known.
-func (s *state) tryAgain(box string, now time.Duration) {
-	if u, ok := s.lost[box]; ok {
-		u.trial = now
-		s.lost[box] = u
+func (s *state) markProbed(box string, now time.Duration) {
+	if u, ok := s.unreachable[box]; ok {
+		u.probedAt = now
+		s.unreachable[box] = u
 	}
 }
 
-// reached records that a box was reached.
-func (s *state) reached(box string) { delete(s.lost, box) }
+// markReached records that a box was reached.
+func (s *state) markReached(box string) { delete(s.unreachable, box) }
 
-// isLost reports whether a box is in back-off, is being probed, or has sent no heartbeat since
+// isUnreachable reports whether a box is in back-off, is being probed, or has sent no heartbeat since
 // the last failure.
-func (s *state) isLost(m *roster.Member, now time.Duration) bool {
-	u, ok := s.lost[m.Status.Box]
-	return ok && (u.out.On(now) || m.Heard <= u.at || (u.trial > 0 && now-u.trial < trialFor))
+func (s *state) isUnreachable(m *roster.Member, now time.Duration) bool {
+	u, ok := s.unreachable[m.Status.Box]
+	return ok && (u.backOff.On(now) || m.Heard <= u.failedAt || (u.probedAt > 0 && now-u.probedAt < probeWindow))
 }
 
-// roomIn returns the latest capacity of a region that any of its boxes sent for a service;
+// capacityOf returns the latest capacity of a region that any of its boxes sent for a service;
 // false when no replica can take a request.
-func (s *state) roomIn(boxes []*roster.Member, service string, now time.Duration) (out placement.Outlook, ok bool) {
+func (s *state) capacityOf(boxes []*roster.Member, service string, now time.Duration) (out placement.Outlook, ok bool) {
 	newest := time.Duration(-1)
 	for _, m := range boxes {
-		if m.Told <= newest || now-m.Told > max(roomsFor, s.roster.RoomsAge()) {
+		if m.Told <= newest || now-m.Told > max(capacityTTL, s.roster.RoomsAge()) {
 			continue
 		}
 		at := slices.IndexFunc(m.Status.Rooms, func(r wire.ServiceRoom) bool { return r.Service == service })
@@ -212,25 +212,25 @@
 			Fewest: room.Fewest,
 			AgeMs:  (now - m.Told).Milliseconds(),
 		}
-		ok = room.Usable > 0 && out.Expect < noRoom
+		ok = room.Usable > 0 && out.Expect < noCapacityWait
 	}
 	if newest < 0 {
-		out.Expect = unknownFar
+		out.Expect = unknownRegionWait
 		return out, true // without a report a request may be tried
 	}
 	return out, ok
 }
 
-// sendAway returns a random box of a region as the target.
-func sendAway(f far, draw func(n int) int) ingress.Target {
+// remoteTarget returns a random box of a region as the target.
+func remoteTarget(f remoteRegion, draw func(n int) int) ingress.Target {
 	box := f.boxes[draw(len(f.boxes))].Status
 	return ingress.Target{
 		Box:     box.Box,
 		BoxAddr: box.Forward,
 		Region:  f.region,
-		AgeMs:   f.room.AgeMs,
+		AgeMs:   f.estimate.AgeMs,
 		Choice: placement.Choice{
-			Expect: f.room.Expect,
+			Expect: f.estimate.Expect,
 		},
 	}
 }
--- a/node/backlog_test.go
+++ b/node/backlog_test.go
@@ -31,8 +31,8 @@
 	var behind *followBox
 	for _, b := range f.boxes {
 		n := b.node.Load()
-		deliver := n.deliver
-		n.deliver = func(p roster.Packet) {
+		deliver := n.sendPacket
+		n.sendPacket = func(p roster.Packet) {
 			if behind == nil || f.byAddr[p.Addr] != behind {
 				deliver(p)
 				return
@@ -42,7 +42,7 @@
 	}
 	f.pass(settlesIn)
 	for _, b := range f.boxes {
-		if b.node.Load().follows.Load() {
+		if b.node.Load().isFollower.Load() {
 			behind = b
 			break
 		}
--- a/node/banks.go
+++ b/node/banks.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		asking.Go(func() {
-			demand, err := n.askDemand(ctx, list[0].Peers)
+			demand, err := n.fetchDemand(ctx, list[0].Peers)
 			failed.Store(failed.Load() || err != nil)
 			mu.Lock()
 			defer mu.Unlock()
@@ -146,7 +146,7 @@
 	case now > knowsRegion:
 		return known
 	case len(s.sharers(now)) > 0:
-		return max(known, fewestSharers)
+		return max(known, minSharers)
 	}
 	return max(known, fewestKnown)
 }
--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -16,7 +16,7 @@
 		f.pass(8 * time.Second)
 		for _, b := range f.boxes {
 			n := b.node.Load()
-			if !n.follows.Load() {
+			if !n.isFollower.Load() {
 				continue
 			}
 			before := f.callsBy(300*time.Millisecond, func() {})
@@ -25,7 +25,7 @@
 			if got > 2 {
 				t.Fatalf("%d calls of the listing for 6 requests in 0.3 s", got)
 			}
-			if n.current() {
+			if n.hasCurrentPolicy() {
 				t.Error("it takes its policy for the newest")
 			}
 			return
--- a/node/build_test.go
+++ b/node/build_test.go
@@ -47,7 +47,7 @@
 
 // publish has the box read all that is published at a revision.
 func (b *testBox) publish(revision int64, p *catalog.Policy, all []catalog.Replica) []placement.Belief {
-	return b.take(catalog.Update{
+	return b.applyUpdate(catalog.Update{
 		Revision: revision,
 		Settled:  true,
 		Snapshot: &catalog.Snapshot{
@@ -61,7 +61,7 @@
 // says returns what the box tells others at now.
 func (b *testBox) says(now time.Duration) wire.Gossip {
 	return wire.Gossip{
-		From: b.fill(b.self, now),
+		From: b.fillStatus(b.self, now),
 	}
 }
 
@@ -139,7 +139,7 @@
 func (b *testBox) tells(s wire.BoxStatus, now time.Duration, rooms ...wire.ServiceRoom) {
 	s.Seq = int(now / time.Millisecond)
 	s.Rooms = rooms
-	b.hear(wire.Gossip{
+	b.receive(wire.Gossip{
 		From: s,
 	}, now)
 }
--- a/node/core.go
+++ b/node/core.go
@@ -13,26 +13,26 @@
 func (n *Node) core(ctx context.Context) ingress.Core {
 	return ingress.Core{
 		Table:    n.table.Load,
-		Current:  n.current,
+		Current:  n.hasCurrentPolicy,
 		Leaving:  n.leaving.Load,
-		Streams:  n.takesStreams,
-		Others:   n.otherServes,
-		EndsBy:   n.answersBy,
+		Streams:  n.acceptsStreams,
+		Others:   n.anotherBoxServes,
+		EndsBy:   n.answerDeadline,
 		Place:    n.place,
-		Begin:    n.begin,
-		Repeat:   n.repeat,
-		Written:  n.written,
-		First:    n.first,
-		Heard:    n.heard,
-		Quiet:    n.quiet,
-		Muted:    n.muted,
-		Other:    n.other,
-		Loaded:   n.loaded,
-		Streamed: n.streamed,
-		End:      n.end,
-		BoxLost:  n.boxLost,
-		Crossed:  n.crossed,
-		Behind:   n.behind,
+		Begin:    n.countRequest,
+		Repeat:   n.takeRetry,
+		Written:  n.recordWrite,
+		First:    n.recordFirstByte,
+		Heard:    n.recordProgress,
+		Quiet:    n.sinceLastReceived,
+		Muted:    n.recordSilence,
+		Other:    n.alternative,
+		Loaded:   n.recordLoad,
+		Streamed: n.recordStream,
+		End:      n.endRequest,
+		BoxLost:  n.recordUnreachable,
+		Crossed:  n.recordRegionResult,
+		Behind:   n.recordPolicyVersion,
 		Record:   n.record,
 		Poison:   n.poison(ctx),
 		Keys: ingress.Keys{
@@ -55,19 +55,19 @@
 	}
 }
 
-// current reports whether this box can read the catalog and has no record of a newer
+// hasCurrentPolicy reports whether this box can read the catalog and has no record of a newer
 // policy than its own.
-func (n *Node) current() bool {
+func (n *Node) hasCurrentPolicy() bool {
 	due := 0
 	_ = n.state.Do(func(s *state) { due = s.content.PolicyDue() }) // it fails only when the box has ended
 	return n.storeOK.Load() && due == 0
 }
 
-// behind records the policy version of a box that forwarded a request. A follower fetches
+// recordPolicyVersion records the policy version of a box that forwarded a request. A follower fetches
 // a newer policy from other boxes: a read per request would fill its link.
-func (n *Node) behind(version int) {
+func (n *Node) recordPolicyVersion(version int) {
 	n.state.Post(func(s *state) { s.content.HeardOfPolicy(version) })
-	if !n.follows.Load() {
+	if !n.isFollower.Load() {
 		n.feed.Behind(n.feed.Known() + 1)
 	}
 }
@@ -81,24 +81,24 @@
 	if t.Reason == placement.Paced {
 		n.meter.ColdSendPaced()
 	}
-	if t.Choice.Reads >= tellReads {
-		n.tellLoads()
+	if t.Choice.Reads >= notifyTokens {
+		n.sendLoads()
 	}
 	return t
 }
 
-// tellReads is the number of unread prompt tokens from which other boxes of the region are
+// notifyTokens is the number of unread prompt tokens from which other boxes of the region are
 // notified of a request at once, since two long prompts at one engine delay its streams.
-const tellReads = 2500
+const notifyTokens = 2500
 
-// begin counts a request for the retry budget.
-func (n *Node) begin(service string) {
+// countRequest counts a request for the retry budget.
+func (n *Node) countRequest(service string) {
 	n.state.Post(func(s *state) { s.budget.Request(service, n.now()) })
 }
 
-// repeat reports whether the retry budget allows another attempt, and takes it.
-func (n *Node) repeat(service string) (ok bool) {
-	_ = n.state.Do(func(s *state) { ok = s.budget.Take(service, s.spenders(n.now()), n.now()) })
+// takeRetry reports whether the retry budget allows another attempt, and takes it.
+func (n *Node) takeRetry(service string) (ok bool) {
+	_ = n.state.Do(func(s *state) { ok = s.budget.Take(service, s.retryBoxes(n.now()), n.now()) })
 	if ok {
 		n.meter.RepeatTaken()
 	} else {
@@ -107,20 +107,20 @@
 	return ok
 }
 
-// written records that a request is written only now, later than its replica was chosen.
-func (n *Node) written(c *placement.Choice) {
+// recordWrite records that a request is written only now, later than its replica was chosen.
+func (n *Node) recordWrite(c *placement.Choice) {
 	choice := *c // a copy, for its grant ends meanwhile
 	now := n.now()
 	n.state.Post(func(s *state) { s.view.Written(&choice, now) })
 }
 
-// first records the time to the first byte of an answer.
-func (n *Node) first(c *placement.Choice, took time.Duration) {
+// recordFirstByte records the time to the first byte of an answer.
+func (n *Node) recordFirstByte(c *placement.Choice, took time.Duration) {
 	_ = n.state.Do(func(s *state) { s.view.First(c, took, n.now()) })
 }
 
-// loaded records the load report in an answer's headers.
-func (n *Node) loaded(c *placement.Choice, requests, waiting int) {
+// recordLoad records the load report in an answer's headers.
+func (n *Node) recordLoad(c *placement.Choice, requests, waiting int) {
 	_ = n.state.Do(func(s *state) {
 		now := n.now()
 		s.view.Loaded(c, requests, now)
@@ -132,53 +132,53 @@
 	})
 }
 
-// streamed records the number of events of a complete stream and the caller's estimate of
+// recordStream records the number of events of a complete stream and the caller's estimate of
 // its tokens.
-func (n *Node) streamed(service string, events, guess int) {
+func (n *Node) recordStream(service string, events, guess int) {
 	n.state.Post(func(s *state) { s.view.Streamed(service, events, guess) })
 }
 
-// heard records that a replica continues an answer.
-func (n *Node) heard(c *placement.Choice) {
+// recordProgress records that a replica continues an answer.
+func (n *Node) recordProgress(c *placement.Choice) {
 	_ = n.state.Do(func(s *state) { s.view.Heard(c, n.now()) })
 }
 
-// quiet returns the time since this box last received anything from a replica.
-func (n *Node) quiet(c *placement.Choice, sent time.Time) (d time.Duration) {
+// sinceLastReceived returns the time since this box last received anything from a replica.
+func (n *Node) sinceLastReceived(c *placement.Choice, sent time.Time) (d time.Duration) {
 	_ = n.state.Do(func(s *state) { d = s.view.Quiet(c, sent.Sub(n.started), n.now()) })
 	return d
 }
 
-// other returns an alternative target without counting the request; false when there is
+// alternative returns an alternative target without counting the request; false when there is
 // none.
-func (n *Node) other(ask ingress.Ask) (t ingress.Target, found bool) {
-	_ = n.state.Do(func(s *state) { t, found = s.other(ask, n.now(), n.draw) })
+func (n *Node) alternative(ask ingress.Ask) (t ingress.Target, found bool) {
+	_ = n.state.Do(func(s *state) { t, found = s.alternative(ask, n.now(), n.draw) })
 	return t, found
 }
 
-// end records the result of a request and removes it from the count.
-func (n *Node) end(c *placement.Choice, r placement.Result, took time.Duration) {
+// endRequest records the result of a request and removes it from the count.
+func (n *Node) endRequest(c *placement.Choice, r placement.Result, took time.Duration) {
 	if r == placement.Misdirected {
-		n.misdirected(c.Replica)
+		n.queueMisdirected(c.Replica)
 	}
 	out := false
 	_ = n.state.Do(func(s *state) { out = s.view.End(c, r, took, n.now()) })
 	if out {
-		n.outOfReach(c.Replica)
+		n.recordEjection(c.Replica)
 	}
 }
 
-// muted records that a replica has stopped answering under a request that still waits.
-func (n *Node) muted(c *placement.Choice) {
+// recordSilence records that a replica has stopped answering under a request that still waits.
+func (n *Node) recordSilence(c *placement.Choice) {
 	out := false
 	_ = n.state.Do(func(s *state) { out = s.view.Muted(c, n.now()) })
 	if out {
-		n.outOfReach(c.Replica)
+		n.recordEjection(c.Replica)
 	}
 }
 
-// outOfReach records the ejection of a replica.
-func (n *Node) outOfReach(replica string) {
+// recordEjection records the ejection of a replica.
+func (n *Node) recordEjection(replica string) {
 	n.record(decision.Event{
 		Kind:     decision.Belief,
 		Upstream: replica,
@@ -186,19 +186,19 @@
 	})
 }
 
-// crossed records whether a request to another region was answered.
-func (n *Node) crossed(box, region string, ok bool) {
+// recordRegionResult records whether a request to another region was answered.
+func (n *Node) recordRegionResult(box, region string, ok bool) {
 	n.state.Post(func(s *state) {
-		s.crossed(region, ok, n.now())
+		s.recordRegionResult(region, ok, n.now())
 		if ok {
-			s.reached(box)
+			s.markReached(box)
 		}
 	})
 }
 
-// boxLost records that a box could not be reached.
-func (n *Node) boxLost(box string) {
-	n.state.Post(func(s *state) { s.lose(box, n.now()) })
+// recordUnreachable records that a box could not be reached.
+func (n *Node) recordUnreachable(box string) {
+	n.state.Post(func(s *state) { s.markUnreachable(box, n.now()) })
 	n.record(decision.Event{
 		Kind:     decision.Lost,
 		Upstream: box,
--- a/node/cost_test.go
+++ b/node/cost_test.go
@@ -62,11 +62,11 @@
 			c := box.place(q, start, rand.IntN).Choice
 			box.view.End(&c, placement.Answered, 20*time.Millisecond, start)
 		}},
-		{"a look-up", 7_000, func() { box.which(host, "a", wire.ServingStateServing, start) }},
+		{"a look-up", 7_000, func() { box.directoryAddrs(host, "a", wire.ServingStateServing, start) }},
 		{"a beat", 80_000, func() {
 			box.role(start)
 			box.sharers(start)
-			box.roster.Tell(box.fill(box.self, start), start, rand.IntN)
+			box.roster.Tell(box.fillStatus(box.self, start), start, rand.IntN)
 		}},
 	}
 	for _, l := range limits {
@@ -100,7 +100,7 @@
 	for b.Loop() {
 		box.role(start)
 		box.sharers(start)
-		self := box.fill(box.self, start)
+		self := box.fillStatus(box.self, start)
 		box.roster.Tell(self, start, rand.IntN)
 	}
 }
@@ -109,7 +109,7 @@
 	box := largeBox()
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(box.which(host, "a", wire.ServingStateServing, start)) == 0 {
+		if len(box.directoryAddrs(host, "a", wire.ServingStateServing, start)) == 0 {
 			b.Fatal("nothing named")
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	var list []roster.Packet
 	for len(list) < 64 {
-		list = append(list, other.roster.Tell(other.fill(other.self, start), start, rand.IntN)...)
+		list = append(list, other.roster.Tell(other.fillStatus(other.self, start), start, rand.IntN)...)
 	}
 	var compact []roster.Compact
 	for _, p := range list {
@@ -143,7 +143,7 @@
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		box.hearCompact(compact[n%len(compact)], "10.0.0.1:7000", start)
+		box.receiveCompact(compact[n%len(compact)], "10.0.0.1:7000", start)
 		n++
 	}
 }
--- a/node/domainloss_test.go
+++ b/node/domainloss_test.go
@@ -38,8 +38,8 @@
 		}
 		answers++
 		now := m.age(in)
-		m.state.chooseTaking(wire.ServingStateServing, now)
-		for _, addr := range m.state.which(host, region, wire.ServingStateServing, now) {
+		m.state.chooseActive(wire.ServingStateServing, now)
+		for _, addr := range m.state.directoryAddrs(host, region, wire.ServingStateServing, now) {
 			if addrs[addr] {
 				named++
 			}
@@ -105,6 +105,6 @@
 
 // names returns whom a box names to callers of its region.
 func names(in *installation, m *machine) string {
-	list := m.state.which(host, m.region, wire.ServingStateServing, m.age(in))
+	list := m.state.directoryAddrs(host, m.region, wire.ServingStateServing, m.age(in))
 	return strings.Join(list, " ")
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	acceptFor  = 2500 * time.Millisecond // after the order to stop, in which requests are accepted: callers keep a directory answer for up to three TTLs
-	lastCalls  = time.Second             // before the end, in which nothing is accepted
-	answerBy   = 250 * time.Millisecond  // between the last answer and the end
-	serveCheck = 50 * time.Millisecond   // between two checks for another serving box
+	acceptWindow       = 2500 * time.Millisecond // after the order to stop, in which requests are accepted: callers keep a directory answer for up to three TTLs
+	closingWindow      = time.Second             // before the end, in which nothing is accepted
+	answerMargin       = 250 * time.Millisecond  // between the last answer and the end
+	serveCheckInterval = 50 * time.Millisecond   // between two checks for another serving box
 )
 
 // Leave begins a planned stop: the directory no longer returns the box, which completes the
 // requests in flight and ends.
 func (n *Node) Leave() {
-	n.once.Do(func() {
-		n.ends.Store(int64(n.now() + n.settings.Bounds.StopWithin - stopEarly))
+	n.stopOnce.Do(func() {
+		n.stopAt.Store(int64(n.now() + n.settings.Bounds.StopWithin - stopMargin))
 		n.leaving.Store(true)
 		n.record(decision.Event{
 			Kind:   decision.Stop,
@@ -40,13 +40,13 @@
 		return
 	case <-n.stop:
 	}
-	n.tellEveryone(false)
-	limit, stop := context.WithTimeout(ctx, n.settings.Bounds.StopWithin-stopEarly)
+	n.notifyAll(false)
+	limit, stop := context.WithTimeout(ctx, n.settings.Bounds.StopWithin-stopMargin)
 	defer stop()
-	sleep.For(limit, min(acceptFor, n.settings.Bounds.StopWithin/2))
+	sleep.For(limit, min(acceptWindow, n.settings.Bounds.StopWithin/2))
 	n.closed.Store(true)
-	n.tellEveryone(false)
-	n.awaitOther(limit)
+	n.notifyAll(false)
+	n.awaitServingBox(limit)
 	for _, s := range servers {
 		if err := s.Shutdown(limit); err != nil {
 			n.record(decision.Event{
@@ -59,30 +59,30 @@
 	cancel(ending.ErrPlanned)
 }
 
-// awaitOther waits until another box of the region serves, or this one has to end, so that
+// awaitServingBox waits until another box of the region serves, or this one has to end, so that
 // boxes that stop shortly after each other don't all refuse connections.
-func (n *Node) awaitOther(limit context.Context) {
-	last := time.Duration(n.ends.Load()) - lastCalls
-	for limit.Err() == nil && n.now() < last && !n.otherServes() {
-		sleep.For(limit, serveCheck)
+func (n *Node) awaitServingBox(limit context.Context) {
+	last := time.Duration(n.stopAt.Load()) - closingWindow
+	for limit.Err() == nil && n.now() < last && !n.anotherBoxServes() {
+		sleep.For(limit, serveCheckInterval)
 	}
 }
 
-// otherServes reports whether another box of the region serves.
-func (n *Node) otherServes() (out bool) {
+// anotherBoxServes reports whether another box of the region serves.
+func (n *Node) anotherBoxServes() (out bool) {
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
 		out = len(s.roster.Serving(s.settings.Region, n.now())) > 0
 	})
 	return out
 }
 
-// takesStreams reports whether the box has time to complete a new stream.
-func (n *Node) takesStreams() bool { return !n.closed.Load() }
+// acceptsStreams reports whether the box has time to complete a new stream.
+func (n *Node) acceptsStreams() bool { return !n.closed.Load() }
 
-// answersBy returns the deadline of answers during a planned stop; false when there is none.
-func (n *Node) answersBy() (time.Time, bool) {
+// answerDeadline returns the deadline of answers during a planned stop; false when there is none.
+func (n *Node) answerDeadline() (time.Time, bool) {
 	if !n.leaving.Load() {
 		return time.Time{}, false
 	}
-	return n.started.Add(time.Duration(n.ends.Load()) - answerBy), true
+	return n.started.Add(time.Duration(n.stopAt.Load()) - answerMargin), true
 }
--- a/node/dump.go
+++ b/node/dump.go
@@ -89,7 +89,7 @@
 		Leaving: n.leaving.Load(),
 		AgeS:    n.catalogAge().Seconds(),
 		LeaseS:  -1,
-		Follows: n.follows.Load(),
+		Follows: n.isFollower.Load(),
 	}
 	if age := n.leaseAge(); age != lease.Never {
 		d.LeaseS = age.Seconds()
@@ -101,15 +101,15 @@
 			Units:        held[name],
 		})
 	}
-	_ = n.state.Do(func(s *state) { s.dump(&d, n.now()) }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { s.fillDump(&d, n.now()) }) // it fails only when the box has ended
 	return d
 }
 
-// dump adds the recorded state.
-func (s *state) dump(d *Dump, now time.Duration) {
+// fillDump adds the recorded state.
+func (s *state) fillDump(d *Dump, now time.Duration) {
 	d.Revision = s.content.Newest()
 	d.Sharing = len(s.sharers(now))
-	d.Taking = s.taking[s.settings.Region].has(s.settings.Box)
+	d.Taking = s.active[s.settings.Region].has(s.settings.Box)
 	d.Closed = s.content.Evacuated()
 	for m := range s.roster.All() {
 		d.Boxes = append(d.Boxes, BoxDump{
@@ -147,7 +147,7 @@
 	for _, svc := range s.table.Policy().Services {
 		d.Retries = append(d.Retries, RetryDump{
 			Service: svc.Name,
-			Left:    s.budget.Left(svc.Name, s.spenders(now), now),
+			Left:    s.budget.Left(svc.Name, s.retryBoxes(now), now),
 		})
 	}
 }
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -31,8 +31,8 @@
 		}
 		b.publish(2, policy(1), list)
 		b.roster.Adapt(start)
-		b.chooseTaking(wire.ServingStateServing, start)
-		if b.taking["a"].has(b.settings.Box) {
+		b.chooseActive(wire.ServingStateServing, start)
+		if b.active["a"].has(b.settings.Box) {
 			return b
 		}
 	}
@@ -50,10 +50,10 @@
 			b.ResetTimer()
 			for range b.N {
 				now += roster.Tick
-				box.roster.Tell(box.fill(box.self, now), now, lowest)
-				box.chooseTaking(wire.ServingStateServing, now)
-				box.tellWords(now, lowest)
-				box.settle(now)
+				box.roster.Tell(box.fillStatus(box.self, now), now, lowest)
+				box.chooseActive(wire.ServingStateServing, now)
+				box.loadReportPackets(now, lowest)
+				box.applyExpired(now)
 				box.role(now)
 			}
 		})
@@ -68,7 +68,7 @@
 	b.ResetTimer()
 	for range b.N {
 		now += 400 * time.Millisecond
-		box.engines(now)
+		box.reportTargets(now)
 	}
 }
 
@@ -83,12 +83,12 @@
 		at := time.Duration(0)
 		for i := range ticks {
 			now := start + time.Duration(i+1)*roster.Tick
-			b.fill(b.self, now)
-			if b.roomsAt != at {
-				at = b.roomsAt
+			b.fillStatus(b.self, now)
+			if b.capacityAt != at {
+				at = b.capacityAt
 				looked[boxes] += len(b.view.Replicas())
 			}
-			is.True(now-b.roomsAt < roomsFor)
+			is.True(now-b.capacityAt < capacityTTL)
 		}
 	}
 	t.Logf("replicas looked at in 40 ticks, by boxes: %v", looked)
--- a/node/follow.go
+++ b/node/follow.go
@@ -86,30 +86,30 @@
 	if len(list) == 0 {
 		return wire.BoxStatus{}
 	}
-	s.refreshed++
-	return byName[list[s.refreshed%len(list)]]
+	s.refreshCount++
+	return byName[list[s.refreshCount%len(list)]]
 }
 
 // chooseRole works out again what this box does for the catalog.
 func (n *Node) chooseRole() {
 	var r role
 	_ = n.state.Do(func(s *state) { r = s.role(n.now()) }) // it fails only when the box has ended
-	n.reads.Store(r.reads)
-	n.follows.Store(r.follows)
-	n.tellsAge.Store(r.tells)
+	n.isReader.Store(r.reads)
+	n.isFollower.Store(r.follows)
+	n.sendsAge.Store(r.tells)
 }
 
 // catalogAge returns how old what this box knows is, by its own last reading and by
 // the word of others.
-func (n *Node) catalogAge() time.Duration { return n.now() - time.Duration(n.read.Load()) }
+func (n *Node) catalogAge() time.Duration { return n.now() - time.Duration(n.lastRead.Load()) }
 
 // readMs returns what this box tells others of the age of its knowledge; 0 for
 // nothing.
 func (n *Node) readMs() int {
-	if !n.tellsAge.Load() {
+	if !n.sendsAge.Load() {
 		return 0
 	}
-	return int(n.readingAge(n.read.Load()))
+	return int(n.readingAge(n.lastRead.Load()))
 }
 
 // wayFrom returns how long a datagram from a region takes at most, as a rule. Without it
@@ -134,8 +134,8 @@
 // confirmAt takes in that the publisher had nothing newer, at a time, than what this box knows.
 func (n *Node) confirmAt(at time.Duration) {
 	for {
-		was := n.read.Load()
-		if int64(at) <= was || n.read.CompareAndSwap(was, int64(at)) {
+		was := n.lastRead.Load()
+		if int64(at) <= was || n.lastRead.CompareAndSwap(was, int64(at)) {
 			return
 		}
 	}
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -53,7 +53,7 @@
 	n := &Node{
 		started: time.Now().Add(-time.Minute),
 	}
-	n.read.Store(int64(10 * time.Second))
+	n.lastRead.Store(int64(10 * time.Second))
 	says := func(revision, readMs int) time.Duration {
 		from := status("near", "a")
 		from.Catalog = revision
@@ -88,11 +88,11 @@
 			started: time.Now(),
 		}}
 		time.Sleep(time.Minute)
-		pair[0].tellsAge.Store(true)
-		pair[1].tellsAge.Store(true)
+		pair[0].sendsAge.Store(true)
+		pair[1].sendsAge.Store(true)
 		read := time.Now()
-		pair[0].read.Store(int64(pair[0].now()))
-		pair[1].read.Store(0)
+		pair[0].lastRead.Store(int64(pair[0].now()))
+		pair[1].lastRead.Store(0)
 		for i := range 20 {
 			from, to := pair[i%2], pair[(i+1)%2]
 			s := status(from.settings.Box, from.settings.Region)
@@ -118,9 +118,9 @@
 		defer f.end()
 		f.pass(settlesIn)
 		n := f.boxes[0].node.Load()
-		n.follows.Store(true)
+		n.isFollower.Store(true)
 		var asked []string
-		n.askBox = func(_ context.Context, addr string, _ int64) (catalog.News, error) {
+		n.fetchChanges = func(_ context.Context, addr string, _ int64) (catalog.News, error) {
 			asked = append(asked, addr)
 			return catalog.News{}, nil
 		}
@@ -129,7 +129,7 @@
 			s.Peers = addr
 			s.Catalog = int(n.feed.Known()) + newer
 			s.Lapses = lapses
-			n.learn(t.Context(), s, 0)
+			n.compareCatalog(t.Context(), s, 0)
 			synctest.Wait()
 		}
 		hear("found some gone", 0, 1)
@@ -146,7 +146,7 @@
 	watcher := newBox("near", "a", 2)
 	says := func() wire.BoxStatus { return watcher.says(start).From }
 	is.True(!b.untold(says()))
-	watcher.take(catalog.Update{ // just after an outage, in which entries may have lapsed
+	watcher.applyUpdate(catalog.Update{ // just after an outage, in which entries may have lapsed
 		Revision: 1,
 		Changes: []catalog.Change{{
 			Revision: 1,
@@ -157,7 +157,7 @@
 	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the revision that both know
 	is.Equal(says().Catalog, b.says(start).From.Catalog)
 	is.True(b.untold(says()))
-	b.take(watcher.content.Since(b.content.Revision()).Update(), start)
+	b.applyUpdate(watcher.content.Since(b.content.Revision()).Update(), start)
 	b.toldLapses(says())
 	is.Equal(len(b.content.Replicas()), 1)
 	is.True(!b.untold(says()))
--- a/node/follows_test.go
+++ b/node/follows_test.go
@@ -139,37 +139,37 @@
 func (f *follows) start(b *followBox) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	n := &Node{
-		settings: b.settings,
-		inc:      int(time.Now().UnixMilli()),
-		started:  time.Now(),
-		log:      decision.New(b.settings.Box, io.Discard),
-		meter:    meter.New(),
-		system:   f.system,
-		jitter:   func() float64 { return f.chance("jitter", b.settings.Box) },
-		draw:     rand.New(rand.NewPCG(f.seed, f.hash("draw", b.settings.Box))).IntN, // the beats' alone
+		settings:    b.settings,
+		incarnation: int(time.Now().UnixMilli()),
+		started:     time.Now(),
+		log:         decision.New(b.settings.Box, io.Discard),
+		meter:       meter.New(),
+		system:      f.system,
+		jitter:      func() float64 { return f.chance("jitter", b.settings.Box) },
+		draw:        rand.New(rand.NewPCG(f.seed, f.hash("draw", b.settings.Box))).IntN, // the beats' alone
 	}
-	n.read.Store(-int64(neverRead))
-	n.reads.Store(true)
+	n.lastRead.Store(-int64(neverReadAge))
+	n.isReader.Store(true)
 	n.state = cell.New(context.WithoutCancel(f.ctx), f.system, "state", newState(n.settings, n.status(), n.now()))
 	n.feed = n.newFeed(f.watched(b.settings.Box, f.listing.source(b.settings.Box)))
-	n.askBox = func(ctx context.Context, addr string, after int64) (catalog.News, error) {
+	n.fetchChanges = func(ctx context.Context, addr string, after int64) (catalog.News, error) {
 		news, err := f.askBox(ctx, addr, after)
 		f.tell(b.settings.Box, "asked", addr, "after", after, "told up to", news.Revision, news.Snapshot != nil, aboutIt(news.Changes, news.Doubts), err)
 		return news, err
 	}
-	n.askPolicy = f.askPolicy
-	n.askProof = func(ctx context.Context, addr string) (proofAnswer, error) { return f.askProof(ctx, b, addr) }
+	n.fetchPolicy = f.askPolicy
+	n.fetchProof = func(ctx context.Context, addr string) (proofAnswer, error) { return f.askProof(ctx, b, addr) }
 	n.quotas = n.newQuotas()
-	n.askBank = func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) {
+	n.requestCredit = func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) {
 		return f.askBank(ctx, b, addr, asks)
 	}
-	n.askDemand = func(ctx context.Context, addr string) (map[string]quota.Use, error) {
+	n.fetchDemand = func(ctx context.Context, addr string) (map[string]quota.Use, error) {
 		return f.askDemand(ctx, b, addr)
 	}
 	n.deltas = catalog.NewDeltas()
 	n.fullAnswers = newFullAnswers()
 	n.policyBucket = newByteBucket(policyRate, policyBurst)
-	n.deliver = func(p roster.Packet) {
+	n.sendPacket = func(p roster.Packet) {
 		if b.node.Load() == n { // a process that was killed says nothing more
 			f.deliver(b, p)
 		}
@@ -180,7 +180,7 @@
 	n.tasks.Go(func() {
 		sleep.For(ctx, f.jitter(roster.Tick, "start", b.settings.Box))
 		n.tasks.Go(func() { n.feed.Run(ctx) })
-		n.beat(ctx)
+		n.runHeartbeats(ctx)
 	})
 }
 
@@ -238,7 +238,7 @@
 // restartWatchers restarts the boxes that watch for others, together.
 func (f *follows) restartWatchers(down time.Duration) {
 	for _, b := range f.boxes {
-		if n := b.node.Load(); n != nil && !n.follows.Load() {
+		if n := b.node.Load(); n != nil && !n.isFollower.Load() {
 			f.restart(b, down)
 		}
 	}
@@ -263,12 +263,12 @@
 		}
 		if !roster.IsCompact(p.Buf) {
 			if g, err := roster.Decode(p.Buf); err == nil {
-				n.hear(f.ctx, g)
+				n.receive(f.ctx, g)
 			}
 			return
 		}
 		if b, err := roster.DecodeCompact(p.Buf); err == nil {
-			n.hearCompact(f.ctx, b, addr)
+			n.receiveCompact(f.ctx, b, addr)
 		}
 	})
 }
--- a/node/fullanswer.go
+++ b/node/fullanswer.go
@@ -34,7 +34,7 @@
 func (n *Node) giveCatalog(after int64) (catalog.EncodedNews, error) {
 	var news catalog.News
 	all := false
-	read := n.read.Load() // before what is told, which is at least as new
+	read := n.lastRead.Load() // before what is told, which is at least as new
 	err := n.state.Do(func(s *state) {
 		if all = s.content.TellsAll(after); !all {
 			news = s.content.Since(after)
@@ -88,7 +88,7 @@
 	err := n.state.Do(func(s *state) {
 		again = w.at > 0 && n.now()-w.at < fullFor && w.lapses == s.content.Lapses() && !s.content.Doubtful()
 		if !again {
-			w.read = n.read.Load()
+			w.read = n.lastRead.Load()
 			news = s.content.Since(after)
 			w.lapses = s.content.Lapses()
 		}
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -18,8 +18,8 @@
 func (n *Node) runGossip(ctx context.Context) {
 	for _, conn := range n.listeners.packets {
 		link := roster.NewLink(conn,
-			func(g wire.Gossip, _ net.Addr) { n.hear(ctx, g) },
-			roster.WithCompact(func(b roster.Compact, from net.Addr) { n.hearCompact(ctx, b, from.String()) }),
+			func(g wire.Gossip, _ net.Addr) { n.receive(ctx, g) },
+			roster.WithCompact(func(b roster.Compact, from net.Addr) { n.receiveCompact(ctx, b, from.String()) }),
 			roster.WithOther(poison.Mark, func(buf []byte, from net.Addr) { n.hearPoison(buf, from.String()) }))
 		n.links = append(n.links, link)
 	}
@@ -35,16 +35,16 @@
 			})
 		}
 	})
-	n.tasks.Go(func() { n.beat(ctx) })
+	n.tasks.Go(func() { n.runHeartbeats(ctx) })
 }
 
-// beat sends heartbeats and updates the state that depends on those of other boxes.
-func (n *Node) beat(ctx context.Context) {
-	n.tellEveryone(true)
+// runHeartbeats sends heartbeats and updates the state that depends on those of other boxes.
+func (n *Node) runHeartbeats(ctx context.Context) {
+	n.notifyAll(true)
 	for ctx.Err() == nil {
 		sleep.For(ctx, roster.Tick)
-		n.noticeSuspension()
-		n.tell()
+		n.recordSuspension()
+		n.sendHeartbeats()
 		n.settle()
 		n.unlistedEnds()
 		n.tellPoison()
@@ -61,9 +61,9 @@
 	}
 }
 
-// noticeSuspension records a suspension of the machine. Its duration counts in the age of
+// recordSuspension records a suspension of the machine. Its duration counts in the age of
 // all records.
-func (n *Node) noticeSuspension() {
+func (n *Node) recordSuspension() {
 	clock.Check()
 	total := clock.Suspended()
 	gap := total - n.suspended
@@ -79,28 +79,28 @@
 	})
 }
 
-// tell sends one round of heartbeats.
-func (n *Node) tell() {
+// sendHeartbeats sends one round of heartbeats.
+func (n *Node) sendHeartbeats() {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		now := n.now()
 		out := s.roster.Tell(self, now, n.draw)
 		s.view.OthersFor(s.roster.LoadsAge())
-		s.chooseTaking(n.servingState(), now)
+		s.chooseActive(n.servingState(), now)
 		s.poison.Forget(now)
-		return append(out, s.tellWords(now, n.draw)...)
+		return append(out, s.loadReportPackets(now, n.draw)...)
 	})
 }
 
-// tellEveryone sends the status of this box to all others before the next round. With ask
+// notifyAll sends the status of this box to all others before the next round. With ask
 // they answer at once.
-func (n *Node) tellEveryone(ask bool) {
+func (n *Node) notifyAll(ask bool) {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		return s.roster.TellEveryone(self, n.now(), ask)
 	})
 }
 
-// tellLoads sends the load of this box at the replicas to the boxes of the region.
-func (n *Node) tellLoads() {
+// sendLoads sends the load of this box at the replicas to the boxes of the region.
+func (n *Node) sendLoads() {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		if !s.roster.TellsLoads() {
 			return nil
@@ -112,20 +112,20 @@
 // send sends the datagrams that from makes of the state and of this box's status.
 func (n *Node) send(from func(s *state, self wire.BoxStatus) []roster.Packet) {
 	var out []roster.Packet
-	_ = n.state.Do(func(s *state) { out = from(s, n.self(s)) })
-	n.post(out)
+	_ = n.state.Do(func(s *state) { out = from(s, n.ownStatus(s)) })
+	n.sendPackets(out)
 }
 
-// post sends datagrams.
-func (n *Node) post(list []roster.Packet) {
+// sendPackets sends datagrams.
+func (n *Node) sendPackets(list []roster.Packet) {
 	for _, p := range list {
-		n.deliver(p)
+		n.sendPacket(p)
 	}
 }
 
-// self returns the current status of this box.
-func (n *Node) self(s *state) wire.BoxStatus {
-	out := s.fill(n.status(), n.now())
+// ownStatus returns the current status of this box.
+func (n *Node) ownStatus(s *state) wire.BoxStatus {
+	out := s.fillStatus(n.status(), n.now())
 	out.ReadMs = n.readMs()
 	out.UpMs = int(n.now().Milliseconds())
 	if n.closed.Load() {
@@ -140,31 +140,31 @@
 	return out
 }
 
-// hear applies a datagram of full statuses.
-func (n *Node) hear(ctx context.Context, g wire.Gossip) {
-	_ = n.state.Do(func(s *state) { s.hear(g, n.now()) })
+// receive applies a datagram of full statuses.
+func (n *Node) receive(ctx context.Context, g wire.Gossip) {
+	_ = n.state.Do(func(s *state) { s.receive(g, n.now()) })
 	if g.Ask && g.From.Peers != "" {
 		n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 			return s.roster.Answer(self, g.From.Peers, n.now())
 		})
 	}
-	n.learn(ctx, g.From, int64(g.From.Catalog))
+	n.compareCatalog(ctx, g.From, int64(g.From.Catalog))
 }
 
-// hearCompact applies a compact datagram.
-func (n *Node) hearCompact(ctx context.Context, b roster.Compact, from string) {
+// receiveCompact applies a compact datagram.
+func (n *Node) receiveCompact(ctx context.Context, b roster.Compact, from string) {
 	var h roster.Heard
-	_ = n.state.Do(func(s *state) { h = s.hearCompact(b, from, n.now()) })
-	n.post(h.Replies)
+	_ = n.state.Do(func(s *state) { h = s.receiveCompact(b, from, n.now()) })
+	n.sendPackets(h.Replies)
 	if !h.Newer {
 		h.Status.ReadMs = 0 // it is the age at the time of an earlier datagram
 	}
-	n.learn(ctx, h.Status, max(b.Catalog, b.Newest))
+	n.compareCatalog(ctx, h.Status, max(b.Catalog, b.Newest))
 }
 
-// learn compares the catalog of another box with the own one. A follower, or a box that can't
+// compareCatalog compares the catalog of another box with the own one. A follower, or a box that can't
 // read the catalog, fetches a newer one from there.
-func (n *Node) learn(ctx context.Context, from wire.BoxStatus, newest int64) {
+func (n *Node) compareCatalog(ctx context.Context, from wire.BoxStatus, newest int64) {
 	var has copyState
 	var waited time.Duration
 	_ = n.state.Do(func(s *state) {
@@ -178,7 +178,7 @@
 	switch {
 	case from.Peers != "" && n.pulls(from, has):
 		n.startPull(ctx, from, has)
-	case n.follows.Load(): // boxes of its region will send it
+	case n.isFollower.Load(): // boxes of its region will send it
 	default:
 		n.feed.Behind(newest)
 	}
@@ -197,7 +197,7 @@
 			return
 		}
 		if n.table.Load() != nil && int64(from.Catalog) <= has.newest {
-			n.doubtAsk.Store(int64(n.now() + pullPause))
+			n.nextRemovalPull.Store(int64(n.now() + pullPause))
 			return
 		}
 		sleep.For(ctx, pullPause)
@@ -216,10 +216,10 @@
 		now := n.now()
 		for m := range s.roster.All() {
 			alive := s.roster.Alive(m.Status.Box, now)
-			if was, ok := s.alive[m.Status.Box]; ok && was == alive {
+			if was, ok := s.loggedAlive[m.Status.Box]; ok && was == alive {
 				continue
 			}
-			s.alive[m.Status.Box] = alive
+			s.loggedAlive[m.Status.Box] = alive
 			kind := decision.Regained
 			if !alive {
 				kind = decision.Lost
@@ -248,8 +248,8 @@
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
 		sharing = len(s.sharers(n.now()))
 		complete = sharing > 0
-		changed = complete != s.complete
-		s.complete = complete
+		changed = complete != s.loggedComplete
+		s.loggedComplete = complete
 	})
 	if !changed {
 		return
--- a/node/home_test.go
+++ b/node/home_test.go
@@ -25,7 +25,7 @@
 		g := from.says(now)
 		for _, to := range boxes {
 			if to != from {
-				to.hear(g, now)
+				to.receive(g, now)
 			}
 		}
 	}
@@ -35,7 +35,7 @@
 // homeOf returns the home region of a request as the box sees it.
 func (b *testBox) homeOf(q ingress.Ask, now time.Duration) string {
 	here := b.view.Outlook(q.Request, b.sharers(now), now)
-	return b.home(q, here, b.others(q, now))
+	return b.homeRegion(q, here, b.remoteRegions(q, now))
 }
 
 func TestAllBoxesAgreeOnTheHomeRegionOfAPrompt(t *testing.T) {
@@ -91,9 +91,9 @@
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 1, "b": 1}, start)[0]
 	q := askShared(route(), "part")
-	q.Request.Parts[0].Tokens = sharedMin - 1
+	q.Request.Parts[0].Tokens = minSharedTokens - 1
 	is.Equal(b.homeOf(q, start), "")
-	q.Request.Parts[0].Tokens = sharedMin
+	q.Request.Parts[0].Tokens = minSharedTokens
 	is.True(b.homeOf(q, start) != "")
 }
 
@@ -141,7 +141,7 @@
 	b := newBox("self", "a", 0)
 	is.Equal(b.regionOf(start, 0, far), "b")
 	for n := range 5 {
-		b.crossed("b", false, start+time.Duration(n)*time.Millisecond)
+		b.recordRegionResult("b", false, start+time.Duration(n)*time.Millisecond)
 	}
 	now := start + 100*time.Millisecond
 	is.Equal(b.regionOf(now, 0, far), "c")
@@ -153,24 +153,24 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for range 10 {
-		b.crossed("b", false, start)
+		b.recordRegionResult("b", false, start)
 	}
-	failing := b.paths["b"].Share(start)
+	failing := b.regionFailures["b"].Share(start)
 	is.True(failing > 0.8 && failing < 1)
 	for range 10 {
-		b.crossed("b", true, start)
+		b.recordRegionResult("b", true, start)
 	}
-	is.True(b.paths["b"].Share(start) < 0.2)
-	is.Equal(b.paths["c"].Share(start), 0.0) // the others are as before
+	is.True(b.regionFailures["b"].Share(start) < 0.2)
+	is.Equal(b.regionFailures["c"].Share(start), 0.0) // the others are as before
 }
 
 func TestWhereAllRegionsFailTheOneThatFailsLessIsUsed(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for range 5 {
-		b.crossed("b", false, start)
+		b.recordRegionResult("b", false, start)
 	}
-	b.crossed("c", false, start)
+	b.recordRegionResult("c", false, start)
 	is.Equal(b.regionOf(start+time.Millisecond, 0, 0), "c")
 }
 
@@ -179,7 +179,7 @@
 	b := newBox("self", "a", 0)
 	b.tells(status("box-b", "b"), start, room(3, 0))
 	for range 20 {
-		b.crossed("b", false, start)
+		b.recordRegionResult("b", false, start)
 	}
 	got := b.place(ask(route()), start, lowest)
 	is.Equal(got.Region, "b") // there is no other
--- a/node/identity.go
+++ b/node/identity.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	unreadFor     = 3 * time.Second        // age of the catalog from which a misdirected request triggers a check; a started replica is listed sooner
-	identityLimit = 600 * time.Millisecond // for an answer of a replica
-	maxReplaced   = 64                     // ids in the queue
+	recheckAge      = 3 * time.Second        // age of the catalog from which a misdirected request triggers a check; a started replica is listed sooner
+	identityTimeout = 600 * time.Millisecond // for an answer of a replica
+	maxMisdirected  = 64                     // ids in the queue
 )
 
 // Identity is the identity that a replica reports.
@@ -28,10 +28,10 @@
 // its predecessor.
 var errOtherService = errors.New("service of the replica can't be told")
 
-// misdirected queues a replica whose address belongs to another one now.
-func (n *Node) misdirected(id string) {
+// queueMisdirected queues a replica whose address belongs to another one now.
+func (n *Node) queueMisdirected(id string) {
 	select {
-	case n.replaced <- id:
+	case n.misdirectedIDs <- id:
 	default: // the next request to the address queues it again
 	}
 }
@@ -45,7 +45,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case id := <-n.replaced:
+			case id := <-n.misdirectedIDs:
 				n.resolve(ctx, id)
 			}
 		}
@@ -56,7 +56,7 @@
 // unavailable.
 func (n *Node) resolve(ctx context.Context, old string) {
 	switch {
-	case n.catalogAge() < unreadFor:
+	case n.catalogAge() < recheckAge:
 		// the replica is not listed yet, or the watch is about to receive it
 	case n.storeOK.Load():
 		n.feed.Behind(n.feed.Known() + 1)
@@ -73,9 +73,9 @@
 	if svc == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, identityLimit)
+	ctx, cancel := context.WithTimeout(ctx, identityTimeout)
 	defer cancel()
-	id, err := n.adapter.Identify(ctx, n.replicas, info.Addr, svc.HealthPath)
+	id, err := n.adapter.Identify(ctx, n.replicaPool, info.Addr, svc.HealthPath)
 	if err == nil {
 		err = n.adopt(info, svc, id)
 	}
@@ -107,13 +107,13 @@
 	if !n.provesService(svc, id) {
 		return errOtherService
 	}
-	n.takeUpdate(adopted(old, svc, id))
+	n.takeUpdate(replacementUpdate(old, svc, id))
 	return nil
 }
 
-// adopted returns the catalog update that replaces a replica by a later incarnation or by
+// replacementUpdate returns the catalog update that replaces a replica by a later incarnation or by
 // another replica.
-func adopted(old catalog.Replica, svc *catalog.Service, id Identity) catalog.Update {
+func replacementUpdate(old catalog.Replica, svc *catalog.Service, id Identity) catalog.Update {
 	now := old
 	now.ID = id.ID
 	now.Born = id.Born
--- a/node/installation_test.go
+++ b/node/installation_test.go
@@ -132,7 +132,7 @@
 			RetryExtra:  cmp.Or(in.extra, repeatExtra),
 		},
 	}, m.status(), 0)
-	m.state.take(coldCatalog(m.region), 0)
+	m.state.applyUpdate(coldCatalog(m.region), 0)
 	in.post(m, m.state.roster.TellEveryone(m.says(0), 0, true))
 	alive := in.while(m)
 	in.every(roster.Tick, alive, func() {
@@ -204,7 +204,7 @@
 }
 
 // says returns what the box says of itself.
-func (m *machine) says(age time.Duration) wire.BoxStatus { return m.state.fill(m.status(), age) }
+func (m *machine) says(age time.Duration) wire.BoxStatus { return m.state.fillStatus(m.status(), age) }
 
 func (m *machine) age(in *installation) time.Duration { return in.now - m.born }
 
@@ -234,14 +234,14 @@
 		if err != nil {
 			panic(err) // boxes send only what they can read
 		}
-		in.post(to, to.state.hearCompact(b, from.addr, now).Replies)
+		in.post(to, to.state.receiveCompact(b, from.addr, now).Replies)
 		return
 	}
 	g, err := roster.Decode(buf)
 	if err != nil {
 		panic(err)
 	}
-	to.state.hear(g, now)
+	to.state.receive(g, now)
 	if g.Ask && g.From.Peers != "" {
 		in.post(to, to.state.roster.Answer(to.says(now), g.From.Peers, now))
 	}
@@ -265,7 +265,7 @@
 			shared: c.Sharers,
 		})
 	}
-	if in.greedy && m.state.budget.Take(service, m.state.spenders(now), now) {
+	if in.greedy && m.state.budget.Take(service, m.state.retryBoxes(now), now) {
 		in.repeats = append(in.repeats, in.now)
 	}
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -66,7 +66,7 @@
 // keysCurrent says whether a key that isn't known is held by no organisation.
 func (n *Node) keysCurrent() bool {
 	if n.settings.Bounds.RevokeWithin == 0 {
-		return n.current()
+		return n.hasCurrentPolicy()
 	}
 	due := 0
 	_ = n.state.Do(func(s *state) { due = s.content.PolicyDue() }) // it fails only when the box has ended
@@ -108,7 +108,7 @@
 	switch {
 	case !n.needsLease():
 		return false
-	case !n.follows.Load():
+	case !n.isFollower.Load():
 		return true
 	}
 	return n.leaseAge() > proofOwn && (n.storeOK.Load() || n.jitter() < followerReads)
@@ -120,7 +120,7 @@
 		return
 	}
 	after := proofOwn
-	if n.follows.Load() || !n.storeOK.Load() {
+	if n.isFollower.Load() || !n.storeOK.Load() {
 		after = proofAfter
 	}
 	if n.leaseAge() < after {
@@ -157,7 +157,7 @@
 	defer cancel()
 	clock.Check()
 	left := n.now()
-	p, err := n.askProof(ctx, from.Peers)
+	p, err := n.fetchProof(ctx, from.Peers)
 	if err != nil || !p.Known || p.AgeMs < 0 {
 		return // others are asked, and the end of the lease is written down
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -31,74 +31,74 @@
 )
 
 const (
-	memoryShare = 60                     // percent of the memory limit that is given to the collector
-	collectAt   = 20                     // percent of heap growth between collections
-	neverRead   = time.Hour              // age of a catalog that was never read
-	idleReplica = 20 * time.Second       // of a connection to a replica
-	busyTimeout = 30 * time.Second       // on a connection with a request that can't be sent again
-	idleBox     = 60 * time.Second       // of a connection to another box
-	stopEarly   = 400 * time.Millisecond // between the own end of a planned stop and the kill by the platform
+	memoryLimitPercent = 60                     // percent of the memory limit that is given to the collector
+	heapGrowthPercent  = 20                     // percent of heap growth between collections
+	neverReadAge       = time.Hour              // age of a catalog that was never read
+	replicaIdleTimeout = 20 * time.Second       // of a connection to a replica
+	busyTimeout        = 30 * time.Second       // on a connection with a request that can't be sent again
+	boxIdleTimeout     = 60 * time.Second       // of a connection to another box
+	stopMargin         = 400 * time.Millisecond // between the own end of a planned stop and the kill by the platform
 )
 
 // Node is one box.
 type Node struct {
-	settings   Settings
-	adapter    Adapter
-	inc        int // higher after each start of the box
-	started    time.Time
-	log        *decision.Log
-	meter      *meter.Meter
-	system     *cell.System
-	state      *cell.Cell[state]
-	table      atomic.Pointer[catalog.Table]
-	read       atomic.Int64 // when this box or its source last read the catalog, in nanoseconds since the start
-	reads      atomic.Bool  // this box reads the catalog on behalf of others
-	follows    atomic.Bool  // other boxes watch and read the catalog on behalf of this one
-	tellsAge   atomic.Bool  // this box sends the age of its catalog
-	storeOK    atomic.Bool  // the last call to the store succeeded
-	leaving    atomic.Bool  // a planned stop has begun
-	closed     atomic.Bool  // the directory no longer returns this box
-	ends       atomic.Int64 // when a planned stop is over, in nanoseconds since the start
-	pulling    atomic.Bool  // a catalog update is being fetched from another box
-	refreshing atomic.Bool  // a catalog update is being fetched from a reader
-	suspects   atomic.Int32 // requests under which replicas crashed, as sent to all boxes
-	served     *poison.Served
-	doubtAsk   atomic.Int64 // until then nothing is fetched for unconfirmed removals alone, in nanoseconds since the start
-	replicas   *exchange.Pool
-	boxes      *exchange.Pool
-	store      *exchange.Pool
-	peers      *peer.Pool
-	bulk       *peer.Pool // for long messages, so that short ones don't wait behind them
-	listeners  listeners
-	links      []*roster.Link
-	deliver    func(roster.Packet)                                                          // sends a datagram; replaced in tests
-	askBox     func(ctx context.Context, addr string, after int64) (catalog.News, error)    // fetches catalog changes from another box; replaced in tests
-	askPolicy  func(ctx context.Context, addr string, have int) (catalog.PolicyNews, error) // fetches the policy from another box; replaced in tests
-	draw       func(n int) int                                                              // returns a random number in [0, n); replaced in tests
-	jitter     func() float64                                                               // returns a random number in [0, 1); replaced in tests
-	feed       *catalog.Feed
+	settings        Settings
+	adapter         Adapter
+	incarnation     int // higher after each start of the box
+	started         time.Time
+	log             *decision.Log
+	meter           *meter.Meter
+	system          *cell.System
+	state           *cell.Cell[state]
+	table           atomic.Pointer[catalog.Table]
+	lastRead        atomic.Int64 // when this box or its source last read the catalog, in nanoseconds since the start
+	isReader        atomic.Bool  // this box reads the catalog on behalf of others
+	isFollower      atomic.Bool  // other boxes watch and read the catalog on behalf of this one
+	sendsAge        atomic.Bool  // this box sends the age of its catalog
+	storeOK         atomic.Bool  // the last call to the store succeeded
+	leaving         atomic.Bool  // a planned stop has begun
+	closed          atomic.Bool  // the directory no longer returns this box
+	stopAt          atomic.Int64 // when a planned stop is over, in nanoseconds since the start
+	pulling         atomic.Bool  // a catalog update is being fetched from another box
+	refreshing      atomic.Bool  // a catalog update is being fetched from a reader
+	suspects        atomic.Int32 // requests under which replicas crashed, as sent to all boxes
+	served          *poison.Served
+	nextRemovalPull atomic.Int64 // until then nothing is fetched for unconfirmed removals alone, in nanoseconds since the start
+	replicaPool     *exchange.Pool
+	boxPool         *exchange.Pool
+	storePool       *exchange.Pool
+	peers           *peer.Pool
+	bulkPeers       *peer.Pool // for long messages, so that short ones don't wait behind them
+	listeners       listeners
+	links           []*roster.Link
+	sendPacket      func(roster.Packet)                                                          // sends a datagram; replaced in tests
+	fetchChanges    func(ctx context.Context, addr string, after int64) (catalog.News, error)    // fetches catalog changes from another box; replaced in tests
+	fetchPolicy     func(ctx context.Context, addr string, have int) (catalog.PolicyNews, error) // fetches the policy from another box; replaced in tests
+	draw            func(n int) int                                                              // returns a random number in [0, n); replaced in tests
+	jitter          func() float64                                                               // returns a random number in [0, 1); replaced in tests
+	feed            *catalog.Feed
 
-	deltas       *catalog.Deltas
-	lease        lease.Lease                                                 // on keys, renewed while the policy is confirmed as the newest
-	proofs       proofSeeker                                                 // fetches freshness proofs for the lease
-	askProof     func(ctx context.Context, addr string) (proofAnswer, error) // fetches a freshness proof from another box; replaced in tests
-	quotas       *quotas
-	askBank      func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // requests credit from a quota allocator; replaced in tests
-	askDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // fetches the demand of another region from its allocator; replaced in tests
-	fullAnswers  *fullAnswers
-	policyBucket *byteBucket  // limits the policies that this box sends to others
-	seeking      atomic.Bool  // a policy is being fetched from another box; its setter owns seeker
-	seeker       policySeeker // sources of a missing policy
-	ownReading   ownReading   // when to read a missing policy from the platform; owned by the heartbeat task
+	deltas         *catalog.Deltas
+	lease          lease.Lease                                                 // on keys, renewed while the policy is confirmed as the newest
+	proofs         proofSeeker                                                 // fetches freshness proofs for the lease
+	fetchProof     func(ctx context.Context, addr string) (proofAnswer, error) // fetches a freshness proof from another box; replaced in tests
+	quotas         *quotas
+	requestCredit  func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // requests credit from a quota allocator; replaced in tests
+	fetchDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // fetches the demand of another region from its allocator; replaced in tests
+	fullAnswers    *fullAnswers
+	policyBucket   *byteBucket  // limits the policies that this box sends to others
+	fetchingPolicy atomic.Bool  // a policy is being fetched from another box; its setter owns seeker
+	seeker         policySeeker // sources of a missing policy
+	ownReading     ownReading   // when to read a missing policy from the platform; owned by the heartbeat task
 
-	tasks     sync.WaitGroup
-	told      chan struct{} // signals a reload of the settings
-	bounds    Bounds        // in force; owned by the reload task
-	unread    bool          // the last reload failed; owned by the reload task
-	suspended time.Duration // of the machine, as last recorded; owned by the heartbeat task
-	replaced  chan string   // ids of replicas whose addresses other replicas have
-	stop      chan struct{} // closed when a planned stop begins
-	once      sync.Once     // guards the begin of a planned stop
+	tasks          sync.WaitGroup
+	reloadRequests chan struct{} // signals a reload of the settings
+	bounds         Bounds        // in force; owned by the reload task
+	reloadFailed   bool          // the last reload failed; owned by the reload task
+	suspended      time.Duration // of the machine, as last recorded; owned by the heartbeat task
+	misdirectedIDs chan string   // ids of replicas whose addresses other replicas have
+	stop           chan struct{} // closed when a planned stop begins
+	stopOnce       sync.Once     // guards the begin of a planned stop
 }
 
 // Option configures a Node.
@@ -112,24 +112,24 @@
 // New returns a box with open listeners.
 func New(s Settings, a Adapter, opts ...Option) (*Node, error) {
 	n := &Node{
-		settings: s,
-		adapter:  a,
-		inc:      int(time.Now().UnixMilli()),
-		started:  clock.Now(),
-		stop:     make(chan struct{}),
-		told:     make(chan struct{}, 1),
-		replaced: make(chan string, maxReplaced),
-		bounds:   s.Bounds,
-		draw:     rand.IntN,
-		jitter:   rand.Float64,
+		settings:       s,
+		adapter:        a,
+		incarnation:    int(time.Now().UnixMilli()),
+		started:        clock.Now(),
+		stop:           make(chan struct{}),
+		reloadRequests: make(chan struct{}, 1),
+		misdirectedIDs: make(chan string, maxMisdirected),
+		bounds:         s.Bounds,
+		draw:           rand.IntN,
+		jitter:         rand.Float64,
 
 		deltas:       catalog.NewDeltas(),
 		fullAnswers:  newFullAnswers(),
 		policyBucket: newByteBucket(policyRate, policyBurst),
 	}
 	n.quotas = n.newQuotas()
-	n.read.Store(-int64(neverRead))
-	n.reads.Store(true) // until there are records of other boxes
+	n.lastRead.Store(-int64(neverReadAge))
+	n.isReader.Store(true) // until there are records of other boxes
 	n.log = decision.New(s.Box, io.Discard)
 	for _, opt := range opts {
 		opt(n)
@@ -148,9 +148,9 @@
 
 // limitMemory sets the collector's limits for a process that is killed above mb megabytes.
 func limitMemory(mb int) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(heapGrowthPercent)
 	if mb > 0 {
-		debug.SetMemoryLimit(int64(mb) << 20 * memoryShare / 100)
+		debug.SetMemoryLimit(int64(mb) << 20 * memoryLimitPercent / 100)
 	}
 }
 
@@ -177,13 +177,13 @@
 	n.tasks.Go(func() { n.feed.Run(ctx) })
 	n.runReload(ctx)
 	n.runIdentity(ctx)
-	n.runAccounts(ctx)
+	n.runUsageReports(ctx)
 	n.serve(ctx, cancel)
 	<-ctx.Done()
 	n.tasks.Wait()
-	n.replicas.Close()
-	n.boxes.Close()
-	n.store.Close()
+	n.replicaPool.Close()
+	n.boxPool.Close()
+	n.storePool.Close()
 	n.record(decision.Event{
 		Kind:   decision.Stop,
 		Reason: context.Cause(ctx).Error(),
@@ -200,24 +200,24 @@
 	s := newState(n.settings, n.status(), n.now())
 	n.served = s.poison.Served()
 	n.state = cell.New(ctx, n.system, "state", s)
-	n.replicas = exchange.NewPool(
-		exchange.WithIdleTime(idleReplica),
+	n.replicaPool = exchange.NewPool(
+		exchange.WithIdleTime(replicaIdleTimeout),
 		exchange.WithBusyTimeout(busyTimeout),
 		exchange.WithOnDial(func(string) { n.meter.Dial() }),
 	)
-	n.boxes = exchange.NewPool(exchange.WithIdleTime(idleBox))
-	n.store = exchange.NewPool()
+	n.boxPool = exchange.NewPool(exchange.WithIdleTime(boxIdleTimeout))
+	n.storePool = exchange.NewPool()
 	dialer := exchange.NewDialer()
 	dialer.Timeout = peerDial
 	n.peers = peer.NewPool(ctx, dialer.DialContext, func(peer.Method, int) {})
-	n.bulk = peer.NewPool(ctx, dialer.DialContext, func(peer.Method, int) {})
-	n.askBox = n.callBox
-	n.askPolicy = n.callForPolicy
-	n.askProof = n.callForProof
-	n.askBank = n.callBank
-	n.askDemand = n.callForDemand
-	n.deliver = func(p roster.Packet) { _ = n.links[0].Post(p) } // a lost datagram is superseded by the next one
-	n.feed = n.newFeed(n.adapter.Source(n.store, Report{
+	n.bulkPeers = peer.NewPool(ctx, dialer.DialContext, func(peer.Method, int) {})
+	n.fetchChanges = n.callBox
+	n.fetchPolicy = n.callForPolicy
+	n.fetchProof = n.callForProof
+	n.requestCredit = n.callBank
+	n.fetchDemand = n.callForDemand
+	n.sendPacket = func(p roster.Packet) { _ = n.links[0].Post(p) } // a lost datagram is superseded by the next one
+	n.feed = n.newFeed(n.adapter.Source(n.storePool, Report{
 		Call:    n.meter.StoreCall,
 		Bad:     n.badValue,
 		Foreign: n.foreignEntry,
@@ -228,8 +228,8 @@
 func (n *Node) newFeed(source catalog.Source) *catalog.Feed {
 	return catalog.NewFeed(source, n.takeUpdate,
 		catalog.WithHealth(n.storeHealth),
-		catalog.WithReader(n.reads.Load),
-		catalog.WithFollowing(n.follows.Load, n.catalogAge),
+		catalog.WithReader(n.isReader.Load),
+		catalog.WithFollowing(n.isFollower.Load, n.catalogAge),
 		catalog.WithConfirming(n.confirms, n.proved),
 		catalog.WithTurn(n.awaitTurn),
 		catalog.WithRefresh(n.refresh),
@@ -240,7 +240,7 @@
 func (n *Node) status() wire.BoxStatus {
 	return wire.BoxStatus{
 		Box:     n.settings.Box,
-		Inc:     n.inc,
+		Inc:     n.incarnation,
 		Region:  n.settings.Region,
 		Domain:  n.settings.Domain,
 		Callers: n.settings.Callers,
@@ -284,5 +284,5 @@
 
 // ingress returns the server of callers' requests.
 func (n *Node) ingress(ctx context.Context) *ingress.Server {
-	return ingress.New(n.settings.Box, n.settings.Region, n.adapter.Codec, n.core(ctx), n.replicas, n.boxes)
+	return ingress.New(n.settings.Box, n.settings.Region, n.adapter.Codec, n.core(ctx), n.replicaPool, n.boxPool)
 }
--- a/node/place_test.go
+++ b/node/place_test.go
@@ -60,7 +60,7 @@
 	}
 	var rooms []wire.ServiceRoom
 	if rapid.Bool().Draw(s.T, "tells") {
-		wait := rapid.SampledFrom([]time.Duration{0, time.Second, noRoom}).Draw(s.T, "wait")
+		wait := rapid.SampledFrom([]time.Duration{0, time.Second, noCapacityWait}).Draw(s.T, "wait")
 		rooms = append(rooms, room(rapid.IntRange(0, 4).Draw(s.T, "usable"), wait))
 	}
 	s.now += time.Millisecond // each is newer than the last
@@ -76,12 +76,12 @@
 
 func (s *scene) lose(*rapid.T) {
 	name, _ := s.name()
-	s.box.lose(name, s.now)
+	s.box.markUnreachable(name, s.now)
 	s.lost[name] = s.now
 }
 
 func (s *scene) cross(*rapid.T) {
-	s.box.crossed(rapid.SampledFrom(regions[1:]).Draw(s.T, "region"), rapid.Bool().Draw(s.T, "answered"), s.now)
+	s.box.recordRegionResult(rapid.SampledFrom(regions[1:]).Draw(s.T, "region"), rapid.Bool().Draw(s.T, "answered"), s.now)
 }
 
 func (s *scene) publish(*rapid.T) {
@@ -203,7 +203,7 @@
 	for _, out := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
 		b.tells(status("box-b", "b"), now, room(3, 0))
 		is.Equal(b.place(ask(route()), now, lowest).Box, "box-b")
-		b.lose("box-b", now)
+		b.markUnreachable("box-b", now)
 		now += out - time.Millisecond
 		b.tells(status("box-b", "b"), now, room(3, 0))
 		is.Equal(b.place(ask(route()), now, lowest).Box, "")
@@ -211,8 +211,8 @@
 	}
 	b.tells(status("box-b", "b"), now, room(3, 0))
 	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b")
-	b.reached("box-b")
-	b.lose("box-b", now)
+	b.markReached("box-b")
+	b.markUnreachable("box-b", now)
 	now += time.Second
 	b.tells(status("box-b", "b"), now, room(3, 0))
 	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b") // as at first
@@ -223,7 +223,7 @@
 	b := newBox("self", "a", 0)
 	b.tells(status("box-b", "b"), start, room(3, 0))
 	for n := range 6 {
-		b.lose("box-b", start+time.Duration(n)*70*time.Millisecond)
+		b.markUnreachable("box-b", start+time.Duration(n)*70*time.Millisecond)
 	}
 	later := start + time.Second
 	b.tells(status("box-b", "b"), later, room(3, 0))
@@ -234,22 +234,22 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	b.tells(status("box-b", "b"), start, room(3, 0))
-	b.lose("box-b", start)
+	b.markUnreachable("box-b", start)
 	tried := start + time.Second
 	b.tells(status("box-b", "b"), tried, room(3, 0))
 	is.Equal(b.place(ask(route()), tried, lowest).Box, "box-b")
 	is.Equal(b.place(ask(route()), tried+10*time.Millisecond, lowest).Box, "")
-	is.Equal(b.place(ask(route()), tried+trialFor, lowest).Box, "box-b") // that one told nothing
-	b.reached("box-b")
-	is.Equal(b.place(ask(route()), tried+trialFor, lowest).Box, "box-b")
-	is.Equal(b.place(ask(route()), tried+trialFor, lowest).Box, "box-b")
+	is.Equal(b.place(ask(route()), tried+probeWindow, lowest).Box, "box-b") // that one told nothing
+	b.markReached("box-b")
+	is.Equal(b.place(ask(route()), tried+probeWindow, lowest).Box, "box-b")
+	is.Equal(b.place(ask(route()), tried+probeWindow, lowest).Box, "box-b")
 }
 
 func TestABoxThatWasNotReachedIsNotUsedUntilItIsHeard(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	b.tells(status("box-b", "b"), start, room(3, 0))
-	b.lose("box-b", start+time.Millisecond)
+	b.markUnreachable("box-b", start+time.Millisecond)
 	is.Equal(b.place(ask(route()), start+1500*time.Millisecond, lowest).Box, "")
 }
 
@@ -260,10 +260,10 @@
 	q := ask(route())
 	q.Relayed = true
 	is.Equal(b.place(q, start, lowest).Reason, placement.Nothing)
-	_, found := b.other(q, start, lowest)
+	_, found := b.alternative(q, start, lowest)
 	is.True(!found)
 	q.Relayed = false
-	other, found := b.other(q, start, lowest)
+	other, found := b.alternative(q, start, lowest)
 	is.True(found)
 	is.Equal(other.Box, "box-b")
 }
@@ -272,13 +272,13 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	b.tells(status("box-b", "b"), start, room(0, 0))
-	b.tells(status("box-c", "c"), start, room(3, noRoom))
-	is.Equal(len(b.others(ask(route()), start)), 0)
+	b.tells(status("box-c", "c"), start, room(3, noCapacityWait))
+	is.Equal(len(b.remoteRegions(ask(route()), start)), 0)
 	b.tells(status("box-d", "d"), start)
-	got := b.others(ask(route()), start)
+	got := b.remoteRegions(ask(route()), start)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].region, "d")
-	is.Equal(got[0].room.Expect, unknownFar)
+	is.Equal(got[0].estimate.Expect, unknownRegionWait)
 }
 
 func TestTheNewestWordOfARegionCounts(t *testing.T) {
@@ -286,11 +286,11 @@
 	b := newBox("self", "a", 0)
 	b.tells(status("box-1", "b"), start+time.Millisecond, room(4, time.Second))
 	b.tells(status("box-2", "b"), start, room(2, time.Minute))
-	got := b.others(ask(route()), start+11*time.Millisecond)
+	got := b.remoteRegions(ask(route()), start+11*time.Millisecond)
 	is.Equal(len(got), 1)
-	is.Equal(got[0].room.Usable, 4)
-	is.Equal(got[0].room.Expect, time.Second)
-	is.Equal(got[0].room.AgeMs, int64(10))
+	is.Equal(got[0].estimate.Usable, 4)
+	is.Equal(got[0].estimate.Expect, time.Second)
+	is.Equal(got[0].estimate.AgeMs, int64(10))
 	is.Equal(len(got[0].boxes), 2)
 }
 
@@ -298,17 +298,17 @@
 	is := is.New(t)
 	share := func(gain float64) float64 {
 		n := 0
-		for i := range draws {
-			if betterAway(gain, 0, false, func(int) int { return i }) {
+		for i := range drawRange {
+			if sendsToRegion(gain, 0, false, func(int) int { return i }) {
 				n++
 			}
 		}
-		return float64(n) / draws
+		return float64(n) / drawRange
 	}
 	is.Equal(share(0), 0.0)
-	is.Equal(share(awayPrice), 0.0) // not for what the bytes cost
-	is.Equal(share(awayPrice+awayAll/2), 0.5)
-	is.Equal(share(awayPrice+awayAll), 1.0)
+	is.Equal(share(crossRegionCost), 0.0) // not for what the bytes cost
+	is.Equal(share(crossRegionCost+fullShareGain/2), 0.5)
+	is.Equal(share(crossRegionCost+fullShareGain), 1.0)
 	rapid.Check(t, func(t *rapid.T) {
 		gain := rapid.Float64Range(-2000, 2000).Draw(t, "gain")
 		more := rapid.Float64Range(0, 500).Draw(t, "more")
@@ -320,10 +320,10 @@
 
 func TestPromptsAlwaysGoToTheirHomeRegionWhereThatGains(t *testing.T) {
 	is := is.New(t)
-	for i := range draws {
+	for i := range drawRange {
 		draw := func(int) int { return i }
-		is.True(betterAway(awayPrice+1, 0, true, draw))
-		is.True(!betterAway(awayPrice, 0, true, draw))
+		is.True(sendsToRegion(crossRegionCost+1, 0, true, draw))
+		is.True(!sendsToRegion(crossRegionCost, 0, true, draw))
 	}
 }
 
--- a/node/poison.go
+++ b/node/poison.go
@@ -60,7 +60,7 @@
 		now := n.now()
 		taken, asks = s.poison.Try(d, func() []poison.Box { return s.poisonBoxes(now) }, now)
 	})
-	n.post(packets(asks))
+	n.sendPackets(packets(asks))
 	if taken {
 		n.meter.Trial()
 		n.record(decision.Event{
@@ -180,7 +180,7 @@
 // refuses connections, for some seconds at least. A connection that is made is kept for the
 // next request.
 func (n *Node) dialCut(ctx context.Context, start, addr string) {
-	err := n.replicas.Reach(ctx, addr, cutDial)
+	err := n.replicaPool.Reach(ctx, addr, cutDial)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -20,7 +20,7 @@
 		changes = s.poison.Changes(now)
 		n.suspects.Store(int32(s.poison.Known()))
 	})
-	n.post(out)
+	n.sendPackets(out)
 	for _, c := range changes {
 		n.recordPoisonChange(c)
 	}
@@ -69,7 +69,7 @@
 	var answers []poison.Packet
 	news := false
 	_ = n.state.Do(func(s *state) { answers, news = s.poison.Hear(buf, from, n.now()) }) // it fails only when the box has ended
-	n.post(packets(answers))
+	n.sendPackets(packets(answers))
 	if news {
 		n.tellPoison()
 	}
--- a/node/policies.go
+++ b/node/policies.go
@@ -54,7 +54,7 @@
 // callForPolicy asks the box at an address for the newest policy, over a connection of
 // its own, so that nothing else waits behind the answer.
 func (n *Node) callForPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
-	err = n.bulk.Call(ctx, addr, peer.Policy, policyRequest{
+	err = n.bulkPeers.Call(ctx, addr, peer.Policy, policyRequest{
 		Have: have,
 	}, &news)
 	return news, err
@@ -122,26 +122,26 @@
 // seekPolicy gets a policy that others have, unless one is being got already. A box that
 // watches for itself does so only while it can't read.
 func (n *Node) seekPolicy(ctx context.Context) {
-	if !n.seeking.CompareAndSwap(false, true) {
+	if !n.fetchingPolicy.CompareAndSwap(false, true) {
 		return
 	}
 	var l missingPolicy
 	_ = n.state.Do(func(s *state) { l = s.missing(n.seeker.excluded(), n.now()) }) // it fails only when the box has ended
 	if l.due == 0 || len(l.sources) == 0 || !n.leansOnOthers() {
 		n.seeker.reset() // they may be the only ones
-		n.seeking.Store(false)
+		n.fetchingPolicy.Store(false)
 		return
 	}
 	from := l.sources[n.draw(len(l.sources))]
 	n.tasks.Go(func() {
-		defer n.seeking.Store(false)
+		defer n.fetchingPolicy.Store(false)
 		sleep.For(ctx, max(n.getPolicy(ctx, from, l.have), policyPause))
 	})
 }
 
 // leansOnOthers says whether this box has to get from others what is published.
 func (n *Node) leansOnOthers() bool {
-	return n.follows.Load() || !n.storeOK.Load() || n.table.Load() == nil
+	return n.isFollower.Load() || !n.storeOK.Load() || n.table.Load() == nil
 }
 
 // readMissingPolicy has all read when no other box has given a policy for too long, whether or
@@ -160,7 +160,7 @@
 	have := versionOf(known)
 	limit, cancel := context.WithTimeout(ctx, policyLimit)
 	defer cancel()
-	news, err := n.askPolicy(limit, from.Peers, have)
+	news, err := n.fetchPolicy(limit, from.Peers, have)
 	if err == nil && len(news.Compressed) == 0 {
 		n.seeker.busy = from.Box
 		return min(news.Wait.Duration(), policyBusy)
--- a/node/policies_test.go
+++ b/node/policies_test.go
@@ -35,7 +35,7 @@
 				b.publish(bigPolicies * bigRoutes)
 				b.watch(after)
 				for _, box := range b.boxes {
-					if n := box.node.Load(); n != nil && !n.follows.Load() {
+					if n := box.node.Load(); n != nil && !n.isFollower.Load() {
 						b.kill(box)
 					}
 				}
--- a/node/pull.go
+++ b/node/pull.go
@@ -56,11 +56,11 @@
 	if n.table.Load() == nil && from.Policy > 0 && has.newest == 0 {
 		return true
 	}
-	near := n.follows.Load() && from.Region == n.settings.Region
+	near := n.isFollower.Load() && from.Region == n.settings.Region
 	if (near || !n.storeOK.Load()) && int64(from.Catalog) > has.newest {
 		return true
 	}
-	return near && (has.untold || has.doubtful) && n.now() >= time.Duration(n.doubtAsk.Load())
+	return near && (has.untold || has.doubtful) && n.now() >= time.Duration(n.nextRemovalPull.Load())
 }
 
 // lapses is of how many replicas, whose removal had been in doubt, an incarnation of a
@@ -73,7 +73,7 @@
 // untold says whether another box has found such replicas gone that it has not told
 // this one of. Its revision doesn't show that: this one may have learned it before.
 func (s *state) untold(from wire.BoxStatus) bool {
-	told := s.lapses[from.Box]
+	told := s.removals[from.Box]
 	return from.Lapses > 0 && (told.inc != from.Inc || told.found < from.Lapses)
 }
 
@@ -82,7 +82,7 @@
 	if from.Lapses == 0 {
 		return
 	}
-	s.lapses[from.Box] = lapses{
+	s.removals[from.Box] = lapses{
 		inc:   from.Inc,
 		found: from.Lapses,
 	}
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	left := n.now()
-	news, err := n.askBox(ctx, from.Peers, after)
+	news, err := n.fetchChanges(ctx, from.Peers, after)
 	if err != nil {
 		n.record(decision.Event{
 			Kind:     decision.Belief,
@@ -171,20 +171,20 @@
 func (n *Node) takeUpdate(u catalog.Update) {
 	first := n.table.Load() == nil
 	_ = n.state.Do(func(s *state) {
-		n.recordBeliefs(s.take(u, n.now()))
+		n.recordBeliefs(s.applyUpdate(u, n.now()))
 		n.table.Store(s.table)
 	})
 	if t := n.table.Load(); t != nil {
 		n.lease.Hold(t.Version())
 	}
 	if first && n.table.Load() != nil {
-		n.tellEveryone(false) // this box serves from now on
+		n.notifyAll(false) // this box serves from now on
 	}
 }
 
 // settle believes the removals whose time of doubt is over.
 func (n *Node) settle() {
-	_ = n.state.Do(func(s *state) { n.recordBeliefs(s.settle(n.now())) }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { n.recordBeliefs(s.applyExpired(n.now())) }) // it fails only when the box has ended
 }
 
 // recordBeliefs writes down what is believed now, and drops connections that rest at the
@@ -192,7 +192,7 @@
 func (n *Node) recordBeliefs(list []placement.Belief) {
 	for _, b := range list {
 		if b.Addr != "" {
-			n.replicas.CloseResting(b.Addr)
+			n.replicaPool.CloseResting(b.Addr)
 		}
 		n.record(decision.Event{
 			Kind:     decision.Belief,
@@ -207,7 +207,7 @@
 func (n *Node) storeHealth(err error) {
 	ok := err == nil
 	if ok {
-		n.read.Store(int64(n.now()))
+		n.lastRead.Store(int64(n.now()))
 	}
 	if n.storeOK.Swap(ok) == ok {
 		return
--- a/node/quota.go
+++ b/node/quota.go
@@ -159,7 +159,7 @@
 		if n.quotas.avoids(b.Peers, n.now()) {
 			continue
 		}
-		out, err := n.askBank(ctx, b.Peers, asks)
+		out, err := n.requestCredit(ctx, b.Peers, asks)
 		if err == nil {
 			return out
 		}
--- a/node/reload.go
+++ b/node/reload.go
@@ -7,7 +7,7 @@
 	"github.com/havenrudder/havenrudder/decision"
 )
 
-const reloadLook = time.Second // between two checks for changed settings
+const reloadInterval = time.Second // between two checks for changed settings
 
 // runReload starts a task that polls for changed settings and reloads them on request.
 func (n *Node) runReload(ctx context.Context) {
@@ -15,11 +15,11 @@
 		for ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(reloadLook):
-				if n.adapter.Changed() || n.unread {
+			case <-time.After(reloadInterval):
+				if n.adapter.Changed() || n.reloadFailed {
 					n.reload(false)
 				}
-			case <-n.told:
+			case <-n.reloadRequests:
 				n.reload(true)
 			}
 		}
@@ -29,15 +29,15 @@
 // Reload requests a reload of the settings.
 func (n *Node) Reload() {
 	select {
-	case n.told <- struct{}{}:
+	case n.reloadRequests <- struct{}{}:
 	default: // a reload is pending
 	}
 }
 
 // reload applies changed bounds. All other settings stay as at the start.
-func (n *Node) reload(told bool) {
+func (n *Node) reload(requested bool) {
 	s, err := n.adapter.Reload()
-	n.unread = err != nil
+	n.reloadFailed = err != nil
 	if err != nil {
 		n.record(decision.Event{
 			Kind:   decision.Reload,
@@ -46,7 +46,7 @@
 		})
 		return
 	}
-	if s.Bounds == n.bounds && !told {
+	if s.Bounds == n.bounds && !requested {
 		return
 	}
 	n.bounds = s.Bounds
--- a/node/reload_test.go
+++ b/node/reload_test.go
@@ -29,14 +29,14 @@
 		}
 		system := cell.NewSystem(slog.New(slog.DiscardHandler), func(reason any) { t.Error(reason) })
 		n := &Node{
-			adapter: a,
-			bounds:  s.Bounds,
-			told:    make(chan struct{}, 1),
-			log:     decision.New("box", io.Discard),
-			state:   cell.New(t.Context(), system, "state", newState(s, wire.BoxStatus{}, 0)),
+			adapter:        a,
+			bounds:         s.Bounds,
+			reloadRequests: make(chan struct{}, 1),
+			log:            decision.New("box", io.Discard),
+			state:          cell.New(t.Context(), system, "state", newState(s, wire.BoxStatus{}, 0)),
 		}
 		n.runReload(t.Context())
-		time.Sleep(10*reloadLook + reloadLook/2)
+		time.Sleep(10*reloadInterval + reloadInterval/2)
 		n.Reload()
 		synctest.Wait()
 	})
--- a/node/serve.go
+++ b/node/serve.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	headerTimeout = 10 * time.Second // frees abandoned connections; callers' own timeout is shorter
-	idleTimeout   = 90 * time.Second // longer than callers keep a connection
-	headerBytes   = 64 << 10
-	directoryTTL  = 800 * time.Millisecond
+	headerTimeout  = 10 * time.Second // frees abandoned connections; callers' own timeout is shorter
+	idleTimeout    = 90 * time.Second // longer than callers keep a connection
+	maxHeaderBytes = 64 << 10
+	directoryTTL   = 800 * time.Millisecond
 )
 
 // listeners are the sockets of a box.
@@ -76,7 +76,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
 
@@ -91,8 +91,8 @@
 	n.serveOn(cancel, boxes, n.listeners.boxes)
 	for l, h := range map[net.Listener]http.Handler{
 		n.listeners.readiness: n.adapter.Readiness(n.isReady),
-		n.listeners.directory: n.adapter.Directory(n.which, min(directoryTTL, n.settings.Bounds.DirectoryTTL)),
-		n.listeners.metrics:   n.operators(),
+		n.listeners.directory: n.adapter.Directory(n.directoryAddrs, min(directoryTTL, n.settings.Bounds.DirectoryTTL)),
+		n.listeners.metrics:   n.operatorHandler(),
 	} {
 		if l == nil {
 			continue
@@ -111,7 +111,7 @@
 
 // serveOn runs a server; its failure ends the box.
 func (n *Node) serveOn(cancel context.CancelCauseFunc, s *http.Server, l net.Listener) {
-	steady := accept.NewSteady(l, func(err error) { n.recordShortage(l, err) })
+	steady := accept.NewSteady(l, func(err error) { n.recordAcceptFailure(l, err) })
 	n.tasks.Go(func() {
 		if err := s.Serve(steady); !errors.Is(err, http.ErrServerClosed) {
 			cancel(errors.Wrapf(err, "serve on %s", l.Addr()))
@@ -119,8 +119,8 @@
 	})
 }
 
-// recordShortage records that no connection can be accepted.
-func (n *Node) recordShortage(l net.Listener, err error) {
+// recordAcceptFailure records that no connection can be accepted.
+func (n *Node) recordAcceptFailure(l net.Listener, err error) {
 	n.record(decision.Event{
 		Kind:     decision.Lost,
 		Upstream: l.Addr().String(),
@@ -132,12 +132,12 @@
 // isReady reports whether the box serves callers and has no order to stop.
 func (n *Node) isReady() bool { return n.table.Load() != nil && !n.leaving.Load() }
 
-// which returns the addresses of the boxes that a caller of a host in a region should use.
-func (n *Node) which(host, region string) (out []string) {
+// directoryAddrs returns the addresses of the boxes that a caller of a host in a region should use.
+func (n *Node) directoryAddrs(host, region string) (out []string) {
 	if region == "" {
 		region = n.settings.Region
 	}
-	_ = n.state.Do(func(s *state) { out = s.which(host, region, n.servingState(), n.now()) })
+	_ = n.state.Do(func(s *state) { out = s.directoryAddrs(host, region, n.servingState(), n.now()) })
 	return out
 }
 
@@ -153,8 +153,8 @@
 	return wire.ServingStateServing
 }
 
-// operators returns the handler of the metrics and the state of the box.
-func (n *Node) operators() http.Handler {
+// operatorHandler returns the handler of the metrics and the state of the box.
+func (n *Node) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", n.meter.Handler())
 	mux.HandleFunc("GET /debug/state", func(w http.ResponseWriter, _ *http.Request) {
--- a/node/silentdomains.go
+++ b/node/silentdomains.go
@@ -11,12 +11,12 @@
 func (n *Node) watchDomains() {
 	var was, silent []string
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
-		was = s.silent
+		was = s.loggedSilent
 		silent = s.roster.SilentDomains(n.now())
-		s.silent = silent
+		s.loggedSilent = silent
 	})
-	n.recordDomains(without(silent, was), decision.Lost)
-	n.recordDomains(without(was, silent), decision.Regained)
+	n.recordDomains(difference(silent, was), decision.Lost)
+	n.recordDomains(difference(was, silent), decision.Regained)
 }
 
 // recordDomains records an event for each failure domain.
@@ -30,7 +30,7 @@
 	}
 }
 
-// without returns the elements of list that other lacks.
-func without(list, other []string) []string {
+// difference returns the elements of list that other lacks.
+func difference(list, other []string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(v string) bool { return slices.Contains(other, v) })
 }
--- a/node/start_again_test.go
+++ b/node/start_again_test.go
@@ -23,7 +23,7 @@
 	r := replicas(b.settings.Region, 1)[0]
 	r.Born = born
 	r.Revision = revision
-	b.take(catalog.Update{
+	b.applyUpdate(catalog.Update{
 		Changes: []catalog.Change{{
 			Revision: revision,
 			Replica:  &r,
@@ -59,10 +59,10 @@
 		}}
 	}
 	heard := func() bool { return b.view.Get(second.Start()).WordAge(now) >= 0 }
-	b.hearWords(word(first.Start()), now)
-	b.hearWords(word(first.ID), now)
+	b.receiveLoadReports(word(first.Start()), now)
+	b.receiveLoadReports(word(first.ID), now)
 	is.True(!heard())
-	b.hearWords(word(second.Start()), now)
+	b.receiveLoadReports(word(second.Start()), now)
 	is.True(heard())
 
 	load := func(of string) int {
@@ -89,8 +89,8 @@
 	first := startAgain(b, firstBorn, 101)
 	account := func(born int64, requests int, at time.Duration) {
 		known := believed(b, first.ID)[0]
-		of, _ := b.startOf(known, born, at)
-		b.account(of, Account{
+		of, _ := b.reportingIncarnation(known, born, at)
+		b.recordUsageReport(of, Account{
 			Running: requests,
 		}, true, at, at)
 	}
@@ -125,7 +125,7 @@
 	leaving := first
 	leaving.Leaving = true
 	svc := b.table.Service(first.Service)
-	news := b.take(adopted(leaving, svc, Identity{
+	news := b.applyUpdate(replacementUpdate(leaving, svc, Identity{
 		ID:   first.ID,
 		Born: secondBorn,
 	}), start)
@@ -148,19 +148,19 @@
 	first := startAgain(b, firstBorn, 101)
 	second := first
 	second.Born = secondBorn
-	of, _ := b.startOf(first.Start(), secondBorn, start)
+	of, _ := b.reportingIncarnation(first.Start(), secondBorn, start)
 	is.Equal(of, second.Start())
 	startAgain(b, firstBorn, 101) // what was published before
 	is.Equal(believed(b, first.ID), []string{second.Start()})
 	startAgain(b, firstBorn, 102) // a change of its entry
 	is.Equal(believed(b, first.ID), []string{first.Start()})
-	of, news := b.startOf(first.Start(), secondBorn, start+time.Second)
+	of, news := b.reportingIncarnation(first.Start(), secondBorn, start+time.Second)
 	is.Equal(of, first.Start()) // it isn't taken in over and over, which would pace it for ever
 	is.Equal(len(news), 0)
 	startAgain(b, secondBorn, 103)
 	is.Equal(believed(b, first.ID), []string{second.Start()})
 	third := second
 	third.Born++
-	of, _ = b.startOf(second.Start(), third.Born, start+2*time.Second)
+	of, _ = b.reportingIncarnation(second.Start(), third.Born, start+2*time.Second)
 	is.Equal(of, third.Start())
 }
--- a/node/state.go
+++ b/node/state.go
@@ -20,62 +20,62 @@
 )
 
 const (
-	fewestSharers = 3             // of a region; a box that starts while it is cut off has a record of none
-	lonelySharers = 4             // the same for a box without a record of another one
-	mostSpenders  = 390           // boxes of the largest installation
-	noPart        = math.MaxInt32 // a divisor that leaves no allocation
+	minSharers      = 3             // of a region; a box that starts while it is cut off has a record of none
+	minSharersAlone = 4             // the same for a box without a record of another one
+	maxRetryBoxes   = 390           // boxes of the largest installation
+	noAllocation    = math.MaxInt32 // a divisor that leaves no allocation
 
-	roomsPerReplica = 400 * time.Microsecond // between two computations of the region's capacity, for each of its replicas
-	roomsMost       = 2 * time.Second        // of it, below the TTL of a received capacity
+	capacityIntervalPerReplica = 400 * time.Microsecond // between two computations of the region's capacity, for each of its replicas
+	maxCapacityInterval        = 2 * time.Second        // of it, below the TTL of a received capacity
 )
 
 // state is the recorded state of a box. It belongs to one actor, and takes the time as an
 // argument.
 type state struct {
-	settings   Settings
-	roster     *roster.Table
-	view       *placement.View
-	budget     *budget.Budget
-	content    *catalog.Content
-	table      *catalog.Table            // nil until a policy is known
-	alive      map[string]bool           // boxes, as last logged
-	complete   bool                      // all boxes of the region are recorded, as last logged
-	silent     []string                  // silent failure domains, as last logged
-	paths      map[string]decay.Failures // failures of requests, by region
-	lost       map[string]unreached      // by box
-	asks       map[string]decay.Count    // requests, by the name of a bound route
-	lapses     map[string]lapses         // removals that boxes have sent, by box
-	taking     map[string]taking         // boxes that callers are sent to, by region
-	short      shortNames
-	unanswered map[string]int   // consecutive requests for a usage report, by engine
-	told       map[string]int64 // start times from engines' own reports, by replica id
-	seq        int              // of the last status sent
-	refreshed  int              // updates fetched from readers
-	rooms      []wire.ServiceRoom
-	roomsAt    time.Duration // when it was computed; 0 for never
-	poison     *poison.Watch
+	settings       Settings
+	roster         *roster.Table
+	view           *placement.View
+	budget         *budget.Budget
+	content        *catalog.Content
+	table          *catalog.Table            // nil until a policy is known
+	loggedAlive    map[string]bool           // boxes, as last logged
+	loggedComplete bool                      // all boxes of the region are recorded, as last logged
+	loggedSilent   []string                  // silent failure domains, as last logged
+	regionFailures map[string]decay.Failures // failures of requests, by region
+	unreachable    map[string]unreachableBox // by box
+	routeRequests  map[string]decay.Count    // requests, by the name of a bound route
+	removals       map[string]lapses         // removals that boxes have sent, by box
+	active         map[string]activeSet      // boxes that callers are sent to, by region
+	replicaIDs     replicaIDs
+	unanswered     map[string]int   // consecutive requests for a usage report, by engine
+	reportedBorn   map[string]int64 // start times from engines' own reports, by replica id
+	seq            int              // of the last status sent
+	refreshCount   int              // updates fetched from readers
+	capacity       []wire.ServiceRoom
+	capacityAt     time.Duration // when it was computed; 0 for never
+	poison         *poison.Watch
 }
 
 // newState returns the state of a box without any records.
 func newState(s Settings, self wire.BoxStatus, now time.Duration) *state {
 	pacer := pacing.New(s.Box, coldTerms(s.Bounds), pacing.WithStart(now))
-	short := make(shortNames)
+	short := make(replicaIDs)
 	return &state{
-		settings:   s,
-		roster:     roster.New(self, roster.WithSeeds(otherSeeds(s))),
-		view:       placement.NewView(s.Region, s.Domain, pacer, placement.WithStarts(short.add, short.drop)),
-		budget:     budget.New(retryTerms(s.Bounds)),
-		content:    catalog.NewContent(),
-		alive:      make(map[string]bool),
-		paths:      make(map[string]decay.Failures),
-		lost:       make(map[string]unreached),
-		asks:       make(map[string]decay.Count),
-		lapses:     make(map[string]lapses),
-		taking:     make(map[string]taking),
-		short:      short,
-		unanswered: make(map[string]int),
-		told:       make(map[string]int64),
-		poison:     poison.NewWatch(s.Box),
+		settings:       s,
+		roster:         roster.New(self, roster.WithSeeds(otherSeeds(s))),
+		view:           placement.NewView(s.Region, s.Domain, pacer, placement.WithStarts(short.add, short.drop)),
+		budget:         budget.New(retryTerms(s.Bounds)),
+		content:        catalog.NewContent(),
+		loggedAlive:    make(map[string]bool),
+		regionFailures: make(map[string]decay.Failures),
+		unreachable:    make(map[string]unreachableBox),
+		routeRequests:  make(map[string]decay.Count),
+		removals:       make(map[string]lapses),
+		active:         make(map[string]activeSet),
+		replicaIDs:     short,
+		unanswered:     make(map[string]int),
+		reportedBorn:   make(map[string]int64),
+		poison:         poison.NewWatch(s.Box),
 	}
 }
 
@@ -101,15 +101,15 @@
 	}
 }
 
-// take applies a catalog update and returns the changes of the recorded state.
-func (s *state) take(u catalog.Update, now time.Duration) []placement.Belief {
+// applyUpdate applies a catalog update and returns the changes of the recorded state.
+func (s *state) applyUpdate(u catalog.Update, now time.Duration) []placement.Belief {
 	var out []placement.Belief
 	taken := s.content.Take(u)
 	known := s.content.Newest() > 0 // a policy from another box may arrive before the replicas
 	if p := s.content.Policy(); known && p != nil && (s.table == nil || p.Version > s.table.Version()) {
 		s.table = catalog.NewTable(*p)
 		s.view.SetTable(s.table)
-		s.forgetRoutes()
+		s.pruneRoutes()
 		out = append(out, placement.Belief{
 			Reason: "policy in force",
 			About:  fmt.Sprint(p.Version),
@@ -118,27 +118,27 @@
 	if !taken {
 		return out
 	}
-	return append(out, s.takeView(now)...)
+	return append(out, s.updateView(now)...)
 }
 
-// takeView updates the view of the replicas from the catalog.
-func (s *state) takeView(now time.Duration) []placement.Belief {
+// updateView updates the view of the replicas from the catalog.
+func (s *state) updateView(now time.Duration) []placement.Belief {
 	out := s.view.Take(s.content, now)
 	maps.DeleteFunc(s.unanswered, func(start string, _ int) bool { return s.view.Get(start) == nil })
-	if len(s.told) > 0 {
-		s.forgetTold()
+	if len(s.reportedBorn) > 0 {
+		s.pruneReportedBorn()
 	}
 	return out
 }
 
-// settle applies removals whose time to be refuted has expired. It returns the changes since
+// applyExpired applies removals whose time to be refuted has expired. It returns the changes since
 // its last call, also those by load reports.
-func (s *state) settle(now time.Duration) []placement.Belief {
+func (s *state) applyExpired(now time.Duration) []placement.Belief {
 	out := s.view.Changed()
 	if !s.content.Settle() {
 		return out
 	}
-	return append(out, s.takeView(now)...)
+	return append(out, s.updateView(now)...)
 }
 
 // sharers returns the boxes of the region that may send to its replicas, this one included.
@@ -152,9 +152,9 @@
 	}
 	s.view.Pacer().SetStart(since) // other boxes' earlier requests count for a window
 	out := append([]string{s.settings.Box}, s.roster.Sharers(s.settings.Region, now)...)
-	fewest := fewestSharers
+	fewest := minSharers
 	if len(out) == 1 {
-		fewest = lonelySharers
+		fewest = minSharersAlone
 	}
 	for n := len(out); n < fewest; n++ {
 		out = append(out, fmt.Sprint("unknown-", n)) // boxes that may be cut off from this one
@@ -162,14 +162,14 @@
 	return out
 }
 
-// spenders returns the number of boxes that share the retries beyond the ratio, this one
+// retryBoxes returns the number of boxes that share the retries beyond the ratio, this one
 // included, or noPart where this box has no allocation. The active boxes of all regions share
 // them: divided among all boxes, an allocation would be below one retry. Silent boxes count
 // for a while, so that boxes that are cut off from each other compute the same number. Until
 // all boxes of the region are recorded, it assumes the largest installation.
-func (s *state) spenders(now time.Duration) int {
+func (s *state) retryBoxes(now time.Duration) int {
 	if _, ok := s.roster.CompleteSince(now); !ok {
-		return max(1+len(s.roster.Sharers("", now)), mostSpenders)
+		return max(1+len(s.roster.Sharers("", now)), maxRetryBoxes)
 	}
 	byRegion := map[string][]string{
 		s.settings.Region: append(s.roster.Sharers(s.settings.Region, now), s.settings.Box),
@@ -180,18 +180,18 @@
 		}
 	}
 	own := byRegion[s.settings.Region]
-	if !slices.Contains(takersOf(own), s.settings.Box) {
-		return noPart
+	if !slices.Contains(activeOf(own), s.settings.Box) {
+		return noAllocation
 	}
 	out := 0
 	for _, names := range byRegion {
-		out += min(len(names), mostTaking)
+		out += min(len(names), maxActive)
 	}
-	return max(out, fewestSharers)
+	return max(out, minSharers)
 }
 
-// hear applies another box's message.
-func (s *state) hear(g wire.Gossip, now time.Duration) {
+// receive applies another box's message.
+func (s *state) receive(g wire.Gossip, now time.Duration) {
 	if s.roster.Hear(g.From, true, now) && g.From.Region == s.settings.Region {
 		loads := make([]placement.OwnLoad, 0, len(g.From.Loads))
 		for _, l := range g.From.Loads {
@@ -204,16 +204,16 @@
 	}
 }
 
-// hearCompact applies another box's compact datagram.
-func (s *state) hearCompact(b roster.Compact, from string, now time.Duration) roster.Heard {
+// receiveCompact applies another box's compact datagram.
+func (s *state) receiveCompact(b roster.Compact, from string, now time.Duration) roster.Heard {
 	h := s.roster.HearCompact(b, from, now)
-	s.hearWords(b.Words, now)
+	s.receiveLoadReports(b.Words, now)
 	if !h.Newer || h.Status.Region != s.settings.Region || (len(h.Loads) == 0 && !h.All) {
 		return h
 	}
 	loads := make([]placement.OwnLoad, 0, len(h.Loads))
 	for _, l := range h.Loads {
-		if id, ok := s.short[l.Replica]; ok {
+		if id, ok := s.replicaIDs[l.Replica]; ok {
 			loads = append(loads, ownLoad(id, l.Load))
 		}
 	}
@@ -231,12 +231,12 @@
 			Unread:   l.Prompt,
 			Reads:    l.Reads,
 		},
-		Kept: partKeys(l.Kept),
+		Kept: segmentKeys(l.Kept),
 	}
 }
 
-// numbers converts segment keys to their wire form.
-func numbers(keys []placement.PartKey) []int {
+// segmentNumbers converts segment keys to their wire form.
+func segmentNumbers(keys []placement.PartKey) []int {
 	out := make([]int, 0, len(keys))
 	for _, k := range keys {
 		out = append(out, int(k))
@@ -244,8 +244,8 @@
 	return out
 }
 
-// partKeys converts segment keys from their wire form.
-func partKeys(list []int) []placement.PartKey {
+// segmentKeys converts segment keys from their wire form.
+func segmentKeys(list []int) []placement.PartKey {
 	out := make([]placement.PartKey, 0, len(list))
 	for _, n := range list {
 		out = append(out, placement.PartKey(n))
@@ -253,8 +253,8 @@
 	return out
 }
 
-// fill adds the variable part to a status.
-func (s *state) fill(b wire.BoxStatus, now time.Duration) wire.BoxStatus {
+// fillStatus adds the variable part to a status.
+func (s *state) fillStatus(b wire.BoxStatus, now time.Duration) wire.BoxStatus {
 	s.seq++
 	b.Seq = s.seq
 	b.Catalog = int(s.content.Newest())
@@ -270,19 +270,19 @@
 			Tokens:   l.Load.Tokens,
 			Prompt:   l.Load.Unread,
 			Reads:    l.Load.Reads,
-			Kept:     numbers(l.Kept),
+			Kept:     segmentNumbers(l.Kept),
 		})
 	}
-	if every := min(time.Duration(len(s.view.Replicas()))*roomsPerReplica, roomsMost); s.roomsAt == 0 || now-s.roomsAt >= every {
-		s.rooms = s.roomsNow(now)
-		s.roomsAt = now
+	if every := min(time.Duration(len(s.view.Replicas()))*capacityIntervalPerReplica, maxCapacityInterval); s.capacityAt == 0 || now-s.capacityAt >= every {
+		s.capacity = s.computeCapacity(now)
+		s.capacityAt = now
 	}
-	b.Rooms = s.rooms
+	b.Rooms = s.capacity
 	return b
 }
 
-// roomsNow computes the capacity of this region by service, for other regions.
-func (s *state) roomsNow(now time.Duration) []wire.ServiceRoom {
+// computeCapacity computes the capacity of this region by service, for other regions.
+func (s *state) computeCapacity(now time.Duration) []wire.ServiceRoom {
 	var out []wire.ServiceRoom
 	sharers := s.sharers(now)
 	for _, svc := range s.table.Policy().Services {
@@ -290,7 +290,7 @@
 			Service: svc.Name,
 		}, sharers, now)
 		if o.Reason != placement.None {
-			o.Expect = noRoom
+			o.Expect = noCapacityWait
 		}
 		out = append(out, wire.ServiceRoom{
 			Service: svc.Name,
@@ -310,7 +310,7 @@
 // loss is lower.
 func (s *state) place(ask ingress.Ask, now time.Duration, draw func(n int) int) ingress.Target {
 	if len(ask.Route.Homes) > 0 && !ask.Relayed {
-		s.asked(ask.Route.Name, now)
+		s.countRouteRequest(ask.Route.Name, now)
 	}
 	sharers := s.sharers(now)
 	ask.Request.Steps = s.view.Steps(ask.Request.Service)
@@ -320,29 +320,29 @@
 		Left:  ask.Left,
 	}
 	here := s.view.Outlook(ask.Request, sharers, now)
-	others := s.others(ask, now)
-	home := s.home(ask, here, others)
-	far, hasFar := s.weigh(others, ask, home, goals, now)
+	others := s.remoteRegions(ask, now)
+	home := s.homeRegion(ask, here, others)
+	far, hasFar := s.lowestLoss(others, ask, home, goals, now)
 	allowed := ask.Route.Allows(s.settings.Region)
 	if hasFar {
-		risk := s.riskHere(here, ask, goals, home)
-		if !allowed || here.Reason != placement.None || betterAway(risk, far.risk, far.region == home, draw) {
-			t := sendAway(far, draw)
-			s.tryAgain(t.Box, now)
+		risk := s.localLoss(here, ask, goals, home)
+		if !allowed || here.Reason != placement.None || sendsToRegion(risk, far.loss, far.region == home, draw) {
+			t := remoteTarget(far, draw)
+			s.markProbed(t.Box, now)
 			return t
 		}
 	}
 	if !allowed {
 		return ingress.Target{
 			Reason: placement.Nothing,
-			Wait:   askAgain,
+			Wait:   placementRetryWait,
 		}
 	}
 	c := s.pick(ask, sharers, now)
 	return ingress.Target{
 		Choice: c,
 		Reason: c.Reason,
-		Wait:   cmp.Or(c.Wait, askAgain),
+		Wait:   cmp.Or(c.Wait, placementRetryWait),
 	}
 }
 
@@ -365,9 +365,9 @@
 	}
 }
 
-// other returns a target that was not tried, without counting the request; false when there
+// alternative returns a target that was not tried, without counting the request; false when there
 // is none.
-func (s *state) other(ask ingress.Ask, now time.Duration, draw func(n int) int) (ingress.Target, bool) {
+func (s *state) alternative(ask ingress.Ask, now time.Duration, draw func(n int) int) (ingress.Target, bool) {
 	if ask.Route.Allows(s.settings.Region) {
 		if c := s.view.Next(ask.Request, s.sharers(now), now); c.Reason == placement.None {
 			return ingress.Target{
@@ -375,11 +375,11 @@
 			}, true
 		}
 	}
-	if list := s.others(ask, now); len(list) > 0 {
-		return sendAway(list[draw(len(list))], draw), true
+	if list := s.remoteRegions(ask, now); len(list) > 0 {
+		return remoteTarget(list[draw(len(list))], draw), true
 	}
 	return ingress.Target{}, false
 }
 
-// askAgain is the wait before the next attempt at a placement where no other time is known.
-const askAgain = 40 * time.Millisecond
+// placementRetryWait is the wait before the next attempt at a placement where no other time is known.
+const placementRetryWait = 40 * time.Millisecond
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -45,12 +45,12 @@
 func TestABoxThatLosesSightOfOthersDoesNotTakeTheirPartOfTheRetries(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	is.Equal(b.spenders(start), 3)
+	is.Equal(b.retryBoxes(start), 3)
 	for n := range 8 {
 		b.tells(status(fmt.Sprint("box-", n), "a"), start)
 	}
-	is.Equal(b.spenders(start+time.Minute-time.Millisecond), 9)
-	is.Equal(b.spenders(start+time.Minute), 3)
+	is.Equal(b.retryBoxes(start+time.Minute-time.Millisecond), 9)
+	is.Equal(b.retryBoxes(start+time.Minute), 3)
 }
 
 func TestABoxThatLeavesStillSharesQuotas(t *testing.T) {
@@ -104,7 +104,7 @@
 				newest = version
 				want = []string{fmt.Sprint(version)}
 			}
-			if got := inForce(b.take(u, start)); !slices.Equal(got, want) {
+			if got := inForce(b.applyUpdate(u, start)); !slices.Equal(got, want) {
 				t.Fatalf("told of policies %v in force, want %v", got, want)
 			}
 			if b.table.Version() != newest {
@@ -158,7 +158,7 @@
 func TestARegionWithoutReplicasTellsThatItHasNoRoom(t *testing.T) {
 	is := is.New(t)
 	rooms := newBox("self", "a", 0).says(start).From.Rooms
-	is.Equal(rooms, []wire.ServiceRoom{room(0, noRoom)})
+	is.Equal(rooms, []wire.ServiceRoom{room(0, noCapacityWait)})
 }
 
 func TestAMessageIsHeardOnce(t *testing.T) {
@@ -174,7 +174,7 @@
 	repeated := other
 	repeated.Seq = int(start / time.Millisecond)
 	repeated.Loads = nil
-	b.hear(wire.Gossip{
+	b.receive(wire.Gossip{
 		From: repeated,
 	}, start)
 	is.Equal(b.view.Get("a-0").Load(start).Requests, 3)
--- a/node/story_test.go
+++ b/node/story_test.go
@@ -76,7 +76,7 @@
 		if n := b.node.Load(); n != nil {
 			_ = n.state.Do(func(s *state) {
 				r := s.view.Get(*story)
-				now = fmt.Sprint("lists it ", r != nil && r.Listed(), ", in doubt ", s.content.InDoubt(*story), ", follows ", n.follows.Load())
+				now = fmt.Sprint("lists it ", r != nil && r.Listed(), ", in doubt ", s.content.InDoubt(*story), ", follows ", n.isFollower.Load())
 			})
 		}
 		if was[b.settings.Box] != now {
--- a/node/which.go
+++ b/node/which.go
@@ -11,25 +11,25 @@
 
 // Limits of the choice of a region for a host whose routes have different homes.
 const (
-	asksHalf = 30 * time.Second // half-life of the request count of a route
-	asksMin  = 20.0             // requests for a host's bound routes from which their shares are used
-	homeMost = 0.97             // share of them whose data may enter a region; the platform allows one in 20 that may not
+	routeHalfLife    = 30 * time.Second // half-life of the request count of a route
+	minRouteRequests = 20.0             // requests for a host's bound routes from which their shares are used
+	minHomeShare     = 0.97             // share of them whose data may enter a region; the platform allows one in 20 that may not
 )
 
-// asked counts a request for a bound route.
-func (s *state) asked(route string, now time.Duration) {
-	n := s.asks[route]
-	n.Add(1, now, asksHalf)
-	s.asks[route] = n
+// countRouteRequest counts a request for a bound route.
+func (s *state) countRouteRequest(route string, now time.Duration) {
+	n := s.routeRequests[route]
+	n.Add(1, now, routeHalfLife)
+	s.routeRequests[route] = n
 }
 
-// forgetRoutes drops the counts of routes that the policy no longer contains.
-func (s *state) forgetRoutes() {
+// pruneRoutes drops the counts of routes that the policy no longer contains.
+func (s *state) pruneRoutes() {
 	known := make(map[string]bool)
 	for _, r := range s.table.Policy().Routes {
 		known[r.Name] = true
 	}
-	maps.DeleteFunc(s.asks, func(route string, _ decay.Count) bool { return !known[route] })
+	maps.DeleteFunc(s.routeRequests, func(route string, _ decay.Count) bool { return !known[route] })
 }
 
 // homeOfMost reports whether the data of all routes of a host may enter a region, or that of
@@ -44,20 +44,20 @@
 	}
 	all, allowed := 0.0, 0.0
 	for _, r := range s.table.Homes(host) {
-		n := s.asks[r.Name].At(now, asksHalf)
+		n := s.routeRequests[r.Name].At(now, routeHalfLife)
 		all += n
 		if r.Allows(region) {
 			allowed += n
 		}
 	}
-	return all >= asksMin && allowed >= homeMost*all
+	return all >= minRouteRequests && allowed >= minHomeShare*all
 }
 
-// which returns the addresses of boxes for a caller in a region, from the first of these
+// directoryAddrs returns the addresses of boxes for a caller in a region, from the first of these
 // groups that has any: serving boxes of the region, serving boxes of the host's home regions,
 // leaving boxes of the region, leaving boxes of the home regions, and, for a host without
 // bound data, serving boxes of all regions. Without any, callers keep their last answer.
-func (s *state) which(host, region string, own wire.ServingState, now time.Duration) []string {
+func (s *state) directoryAddrs(host, region string, own wire.ServingState, now time.Duration) []string {
 	serving, leaving := wire.ServingStateServing, wire.ServingStateLeaving
 	near := func(r string) bool { return r == region }
 	home := func(r string) bool { return s.homeOfMost(host, r, now) }
@@ -73,24 +73,24 @@
 		{serving, free},
 	}
 	for _, step := range steps {
-		if out := s.named(own, now, step.state, step.in); len(out) > 0 {
+		if out := s.callerAddrs(own, now, step.state, step.in); len(out) > 0 {
 			slices.Sort(out)
-			return out[:min(len(out), maxNamed)]
+			return out[:min(len(out), maxDirectoryAddrs)]
 		}
 	}
 	return nil
 }
 
-// maxNamed is the maximum number of boxes in a directory answer.
-const maxNamed = 64
+// maxDirectoryAddrs is the maximum number of boxes in a directory answer.
+const maxDirectoryAddrs = 64
 
-// named returns the addresses for callers of the boxes in a state and in some regions. A box
+// callerAddrs returns the addresses for callers of the boxes in a state and in some regions. A box
 // that is closed to callers sends no such address. Boxes of a silent failure domain are left
 // out, since the timeout of a single box is longer.
-func (s *state) named(own wire.ServingState, now time.Duration, want wire.ServingState, in func(region string) bool) []string {
+func (s *state) callerAddrs(own wire.ServingState, now time.Duration, want wire.ServingState, in func(region string) bool) []string {
 	var out []string
 	consider := func(box, region, callers string) {
-		standsBy := want == wire.ServingStateServing && !s.taking[region].has(box)
+		standsBy := want == wire.ServingStateServing && !s.active[region].has(box)
 		if in(region) && !standsBy {
 			out = append(out, callers)
 		}
--- a/node/which_test.go
+++ b/node/which_test.go
@@ -42,9 +42,9 @@
 	b.told("goes", "a", leavingState, false, start)
 	b.told("begins", "a", startingState, false, start)
 	b.told("far", "b", "", false, start)
-	is.Equal(b.which(host, "a", servingState, start), callersOf("near", "self"))
-	is.Equal(b.which(host, "a", leavingState, start), callersOf("near"))
-	is.Equal(b.which(host, "b", servingState, start), callersOf("far"))
+	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("near", "self"))
+	is.Equal(b.directoryAddrs(host, "a", leavingState, start), callersOf("near"))
+	is.Equal(b.directoryAddrs(host, "b", servingState, start), callersOf("far"))
 }
 
 func TestCallersOfARegionWithoutBoxesAreNamedTheHomesOfTheData(t *testing.T) {
@@ -54,9 +54,9 @@
 	b.told("home", "b", "", false, start)
 	b.told("far", "c", "", false, start)
 	b.told("goes", "d", leavingState, false, start)
-	is.Equal(b.which(host, "d", servingState, start), callersOf("home"))
-	is.Equal(b.which("SHOP.example:80", "d", servingState, start), callersOf("home"))
-	is.Equal(b.which("other.example", "d", servingState, start), callersOf("goes")) // nothing binds it
+	is.Equal(b.directoryAddrs(host, "d", servingState, start), callersOf("home"))
+	is.Equal(b.directoryAddrs("SHOP.example:80", "d", servingState, start), callersOf("home"))
+	is.Equal(b.directoryAddrs("other.example", "d", servingState, start), callersOf("goes")) // nothing binds it
 }
 
 func TestAHomeOfSomeDataOfAHostIsNotOneOfAll(t *testing.T) {
@@ -67,7 +67,7 @@
 	b.publish(2, p, nil)
 	b.told("some", "b", "", false, start)
 	b.told("all", "c", "", false, start)
-	is.Equal(b.which(host, "d", servingState, start), callersOf("all"))
+	is.Equal(b.directoryAddrs(host, "d", servingState, start), callersOf("all"))
 }
 
 func TestCallersOfAHostWithBoundDataAreNamedNoBoxOutsideItsHomes(t *testing.T) {
@@ -76,11 +76,11 @@
 	b.publish(2, policy(2, "a", "b"), nil)
 	b.told("goes", "b", leavingState, false, start)
 	b.told("begins", "a", startingState, false, start)
-	is.Equal(b.which(host, "a", servingState, start), callersOf("goes")) // also where it goes, it may read the data
+	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("goes")) // also where it goes, it may read the data
 	b.told("goes", "b", leavingState, true, start+time.Millisecond)
-	is.Equal(len(b.which(host, "a", servingState, start+time.Millisecond)), 0)
-	is.Equal(b.which("other.example", "a", servingState, start), callersOf("self")) // nothing binds it
-	is.Equal(b.which(host, "c", servingState, start), callersOf("self"))            // the caller is there itself
+	is.Equal(len(b.directoryAddrs(host, "a", servingState, start+time.Millisecond)), 0)
+	is.Equal(b.directoryAddrs("other.example", "a", servingState, start), callersOf("self")) // nothing binds it
+	is.Equal(b.directoryAddrs(host, "c", servingState, start), callersOf("self"))            // the caller is there itself
 }
 
 func TestCallersAreNamedTheHomeOfNearlyAllThatTheyAskFor(t *testing.T) {
@@ -92,11 +92,11 @@
 	p.Routes = append(p.Routes, rare)
 	b.publish(2, p, nil)
 	b.told("home", "b", "", false, start)
-	named := func() []string { return b.which(host, "a", servingState, start) }
+	named := func() []string { return b.directoryAddrs(host, "a", servingState, start) }
 	is.Equal(len(named()), 0) // nothing is known of what callers ask for
 	ask := func(name string, n int) {
 		for range n {
-			b.asked(name, start)
+			b.countRouteRequest(name, start)
 		}
 	}
 	ask(p.Routes[0].Name, 19)
@@ -107,7 +107,7 @@
 	ask("rare", 1)
 	is.Equal(len(named()), 0) // more than three in a hundred may not enter b
 	b.publish(3, policy(3, "a"), nil)
-	is.Equal(len(b.asks), 1) // the rare route is gone
+	is.Equal(len(b.routeRequests), 1) // the rare route is gone
 }
 
 func TestABoxWithoutAPolicyNamesNoBoxOfAnotherRegion(t *testing.T) {
@@ -115,19 +115,19 @@
 	b := newBox("self", "a", 0)
 	b.state = newState(b.settings, b.self, 0)
 	b.told("far", "b", "", false, start)
-	is.Equal(len(b.which(host, "a", servingState, start)), 0) // the data may be bound
-	is.Equal(b.which(host, "b", servingState, start), callersOf("far"))
+	is.Equal(len(b.directoryAddrs(host, "a", servingState, start)), 0) // the data may be bound
+	is.Equal(b.directoryAddrs(host, "b", servingState, start), callersOf("far"))
 }
 
 func TestBoxesThatLeaveAreNamedBeforeThoseOfOtherRegions(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	b.told("goes", "b", leavingState, false, start)
-	is.Equal(b.which(host, "b", servingState, start), callersOf("goes"))
+	is.Equal(b.directoryAddrs(host, "b", servingState, start), callersOf("goes"))
 	b.told("goes", "b", leavingState, true, start+time.Millisecond)
-	is.Equal(b.which(host, "b", servingState, start+time.Millisecond), callersOf("self"))
-	is.Equal(b.which(host, "a", leavingState, start), callersOf("self")) // it leaves itself, and there is no other
-	is.Equal(len(b.which(host, "a", closedState, start)), 0)
+	is.Equal(b.directoryAddrs(host, "b", servingState, start+time.Millisecond), callersOf("self"))
+	is.Equal(b.directoryAddrs(host, "a", leavingState, start), callersOf("self")) // it leaves itself, and there is no other
+	is.Equal(len(b.directoryAddrs(host, "a", closedState, start)), 0)
 }
 
 func TestASilentBoxIsNotNamed(t *testing.T) {
@@ -136,26 +136,26 @@
 	b.told("near", "a", "", false, start)
 	b.told("goes", "b", leavingState, false, start)
 	later := start + 3*time.Second
-	is.Equal(b.which(host, "a", servingState, later), callersOf("self"))
-	is.Equal(b.which(host, "b", servingState, later), callersOf("self"))
+	is.Equal(b.directoryAddrs(host, "a", servingState, later), callersOf("self"))
+	is.Equal(b.directoryAddrs(host, "b", servingState, later), callersOf("self"))
 }
 
 func TestABoxWithoutAPolicyNamesOthersOnly(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	b.state = newState(b.settings, b.self, 0)
-	is.Equal(len(b.which(host, "a", servingState, start)), 0)
+	is.Equal(len(b.directoryAddrs(host, "a", servingState, start)), 0)
 	b.told("near", "a", "", false, start)
-	is.Equal(b.which(host, "a", servingState, start), callersOf("near"))
+	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("near"))
 }
 
 func TestAnAnswerNamesNoMoreThanSoManyBoxes(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	for n := range 3 * maxNamed {
+	for n := range 3 * maxDirectoryAddrs {
 		b.told(fmt.Sprintf("box-%03d", n), "a", "", false, start)
 	}
-	got := b.which(host, "a", servingState, start)
+	got := b.directoryAddrs(host, "a", servingState, start)
 	is.Equal(len(got), 64)
 	is.Equal(len(slices.Compact(slices.Clone(got))), 64) // each once
 }
@@ -211,7 +211,7 @@
 			self.state = leavingState
 		}
 		region := rapid.SampledFrom(regions).Draw(t, "asked")
-		got := b.which(host, region, own, now)
+		got := b.directoryAddrs(host, region, own, now)
 		want := callersOf(expect(append(peers, self), homes, region)...)
 		slices.Sort(want)
 		if !slices.Equal(got, want) {
--- a/node/words.go
+++ b/node/words.go
@@ -10,23 +10,23 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-const mostTaking = 32 // boxes of a region that callers are sent to
+const maxActive = 32 // boxes of a region that callers are sent to
 
-// takersOf returns the active boxes of a region.
-func takersOf(names []string) []string { return rendezvous.Top("callers", names, mostTaking) }
+// activeOf returns the active boxes of a region.
+func activeOf(names []string) []string { return rendezvous.Top("callers", names, maxActive) }
 
-// taking is the set of active boxes of a region with more boxes than mostTaking; nil means
+// activeSet is the set of active boxes of a region with more boxes than mostTaking; nil means
 // all. The others are standby boxes. Each active box sees a larger part of the load of the
 // region's replicas, and boxes exchange fewer reports.
-type taking map[string]bool
+type activeSet map[string]bool
 
 // has reports whether a box is active.
-func (t taking) has(box string) bool { return t == nil || t[box] }
+func (t activeSet) has(box string) bool { return t == nil || t[box] }
 
-// chooseTaking selects the active boxes of all regions. Boxes with the same records agree,
+// chooseActive selects the active boxes of all regions. Boxes with the same records agree,
 // and one box more or less changes one of them. Boxes of a silent failure domain are replaced
 // at once.
-func (s *state) chooseTaking(own wire.ServingState, now time.Duration) {
+func (s *state) chooseActive(own wire.ServingState, now time.Duration) {
 	byRegion := make(map[string][]string)
 	silent := s.roster.SilentDomains(now)
 	for m := range s.roster.AllServing("", now) {
@@ -37,25 +37,25 @@
 	if s.table != nil && own == wire.ServingStateServing {
 		byRegion[s.settings.Region] = append(byRegion[s.settings.Region], s.settings.Box)
 	}
-	clear(s.taking)
+	clear(s.active)
 	for region, names := range byRegion {
-		if len(names) <= mostTaking {
+		if len(names) <= maxActive {
 			continue
 		}
-		set := make(taking)
-		for _, box := range takersOf(names) {
+		set := make(activeSet)
+		for _, box := range activeOf(names) {
 			set[box] = true
 		}
-		s.taking[region] = set
+		s.active[region] = set
 	}
-	here := min(len(byRegion[s.settings.Region]), mostTaking)
+	here := min(len(byRegion[s.settings.Region]), maxActive)
 	s.view.ByWords(!s.roster.TellsLoads(), here)
 }
 
-// tellWords returns the datagrams with the replicas' load reports for other active boxes,
+// loadReportPackets returns the datagrams with the replicas' load reports for other active boxes,
 // where boxes are too many to send each other their own loads.
-func (s *state) tellWords(now time.Duration, draw func(n int) int) []roster.Packet {
-	here := s.taking[s.settings.Region]
+func (s *state) loadReportPackets(now time.Duration, draw func(n int) int) []roster.Packet {
+	here := s.active[s.settings.Region]
 	if s.roster.TellsLoads() || !here.has(s.settings.Box) {
 		return nil
 	}
@@ -65,11 +65,11 @@
 			addrs = append(addrs, m.Status.Peers)
 		}
 	}
-	return s.roster.TellWords(s.compactWords(now), addrs, draw)
+	return s.roster.TellWords(s.compactLoadReports(now), addrs, draw)
 }
 
-// compactWords returns the replicas' load reports in wire form, the latest first.
-func (s *state) compactWords(now time.Duration) []roster.CompactWord {
+// compactLoadReports returns the replicas' load reports in wire form, the latest first.
+func (s *state) compactLoadReports(now time.Duration) []roster.CompactWord {
 	var out []roster.CompactWord
 	for _, w := range s.view.Words(now) {
 		out = append(out, roster.CompactWord{
@@ -84,10 +84,10 @@
 	return out
 }
 
-// hearWords records the load reports that another box forwards.
-func (s *state) hearWords(list []roster.CompactWord, now time.Duration) {
+// receiveLoadReports records the load reports that another box forwards.
+func (s *state) receiveLoadReports(list []roster.CompactWord, now time.Duration) {
 	for _, w := range list {
-		id, ok := s.short[w.Replica]
+		id, ok := s.replicaIDs[w.Replica]
 		if !ok {
 			continue
 		}
@@ -101,14 +101,14 @@
 	}
 }
 
-// shortNames maps the short ids on the wire to the incarnations of the region's replicas.
-type shortNames map[roster.ReplicaID]string
+// replicaIDs maps the short ids on the wire to the incarnations of the region's replicas.
+type replicaIDs map[roster.ReplicaID]string
 
 // add adds an incarnation.
-func (n shortNames) add(start string) { n[roster.ReplicaIDOf(start)] = start }
+func (n replicaIDs) add(start string) { n[roster.ReplicaIDOf(start)] = start }
 
 // drop removes an incarnation.
-func (n shortNames) drop(start string) {
+func (n replicaIDs) drop(start string) {
 	if id := roster.ReplicaIDOf(start); n[id] == start {
 		delete(n, id)
 	}
--- a/node/words_test.go
+++ b/node/words_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	b.roster.Adapt(start)
-	b.chooseTaking(wire.ServingStateServing, start)
+	b.chooseActive(wire.ServingStateServing, start)
 	return b
 }
 
@@ -37,8 +37,8 @@
 	taking := 0
 	for n := range largeBoxes {
 		b := crowded(fmt.Sprintf("box-%03d", n), largeBoxes)
-		named := b.which(host, "a", wire.ServingStateServing, start)
-		is.Equal(len(named), mostTaking)
+		named := b.directoryAddrs(host, "a", wire.ServingStateServing, start)
+		is.Equal(len(named), maxActive)
 		if all == nil {
 			all = named
 		}
@@ -47,35 +47,35 @@
 			taking++
 		}
 	}
-	is.Equal(taking, mostTaking)
+	is.Equal(taking, maxActive)
 }
 
 func TestAllBoxesOfASmallerRegionTakeCallers(t *testing.T) {
 	is := is.New(t)
-	b := crowded("box-000", mostTaking)
-	is.Equal(len(b.which(host, "a", wire.ServingStateServing, start)), mostTaking)
-	is.Equal(len(b.taking), 0) // in any region
+	b := crowded("box-000", maxActive)
+	is.Equal(len(b.directoryAddrs(host, "a", wire.ServingStateServing, start)), maxActive)
+	is.Equal(len(b.active), 0) // in any region
 }
 
 func TestABoxThatIsLostIsReplacedAmongThoseThatTakeCallers(t *testing.T) {
 	is := is.New(t)
 	b := crowded("box-000", largeBoxes)
-	before := b.which(host, "a", wire.ServingStateServing, start)
+	before := b.directoryAddrs(host, "a", wire.ServingStateServing, start)
 	later := start + 20*time.Second // all others are silent
 	for n := 1; n < largeBoxes/2; n++ {
 		s := status(fmt.Sprintf("box-%03d", n), "a")
 		b.tells(s, later)
 	}
-	b.chooseTaking(wire.ServingStateServing, later)
-	after := b.which(host, "a", wire.ServingStateServing, later)
-	is.Equal(len(after), mostTaking)
+	b.chooseActive(wire.ServingStateServing, later)
+	after := b.directoryAddrs(host, "a", wire.ServingStateServing, later)
+	is.Equal(len(after), maxActive)
 	kept := 0
 	for _, addr := range before {
 		if slices.Contains(after, addr) {
 			kept++
 		}
 	}
-	is.True(kept >= mostTaking/4) // those that live stay
+	is.True(kept >= maxActive/4) // those that live stay
 }
 
 // saysAll has all engines say that they have so many requests.
@@ -87,7 +87,7 @@
 			Requests: requests,
 		})
 	}
-	b.hearWords(words, start)
+	b.receiveLoadReports(words, start)
 }
 
 // A busy engine that nobody asks is known to nobody, and one that all ask answers for each.
@@ -97,9 +97,9 @@
 	for n := range largeBoxes {
 		b := crowded(fmt.Sprintf("box-%03d", n), largeBoxes)
 		is.True(!b.roster.TellsLoads())
-		is.Equal(len(b.engines(start)), 0) // it knows of no work anywhere
+		is.Equal(len(b.reportTargets(start)), 0) // it knows of no work anywhere
 		b.saysAll(8)
-		for _, e := range b.engines(start) {
+		for _, e := range b.reportTargets(start) {
 			asks[e.start]++
 		}
 	}
@@ -109,36 +109,36 @@
 			t.Errorf("%s is asked by %d boxes", id, n)
 		}
 	}
-	is.Equal(len(crowded("box-000", 9).engines(start)), 0) // few boxes tell each other
+	is.Equal(len(crowded("box-000", 9).reportTargets(start)), 0) // few boxes tell each other
 }
 
 func TestWordsOfEnginesAreToldToBoxesThatTakeCallers(t *testing.T) {
 	is := is.New(t)
 	var b *testBox
-	for n := 0; b == nil || !b.taking["a"].has(b.settings.Box); n++ {
+	for n := 0; b == nil || !b.active["a"].has(b.settings.Box); n++ {
 		b = crowded(fmt.Sprintf("box-%03d", n), largeBoxes)
 	}
 	other := crowded("outside", largeBoxes)
 	id := replicas("a", 3)[2].ID
-	is.Equal(len(b.tellWords(start, lowest)), 0) // there are none
-	b.hearWords([]roster.CompactWord{{
+	is.Equal(len(b.loadReportPackets(start, lowest)), 0) // there are none
+	b.receiveLoadReports([]roster.CompactWord{{
 		Replica:  roster.ReplicaIDOf(id),
 		Age:      100 * time.Millisecond,
 		Requests: 7,
 		Waiting:  2,
 	}}, start)
-	packets := b.tellWords(start, lowest)
+	packets := b.loadReportPackets(start, lowest)
 	is.Equal(len(packets), 2)
 	for _, p := range packets {
 		got, err := roster.DecodeCompact(p.Buf)
 		is.NoErr(err)
-		other.hearCompact(got, "peers of "+b.settings.Box, start)
+		other.receiveCompact(got, "peers of "+b.settings.Box, start)
 	}
 	words := other.view.Words(start)
 	is.Equal(len(words), 1)
 	is.Equal(words[0].Replica, id)
 	is.Equal(words[0].Requests, 7)
-	is.Equal(len(crowded("box-000", 9).tellWords(start, lowest)), 0)
+	is.Equal(len(crowded("box-000", 9).loadReportPackets(start, lowest)), 0)
 }
 
 // Of 98 boxes of a region 32 take callers, and each tells rarely what its region can take. By
@@ -147,11 +147,11 @@
 func TestAnyBoxOfALargeRegionTellsWhatThatCanTake(t *testing.T) {
 	is := is.New(t)
 	b := crowded("box-000", largeBoxes)
-	b.chooseTaking(wire.ServingStateServing, start)
+	b.chooseActive(wire.ServingStateServing, start)
 	told := 0
 	for n := range largeBoxes {
 		name := fmt.Sprint(regions[1], "-", n)
-		if b.taking[regions[1]].has(name) {
+		if b.active[regions[1]].has(name) {
 			continue
 		}
 		told++
@@ -162,10 +162,10 @@
 		break
 	}
 	is.Equal(told, 1)
-	for _, f := range b.others(ask(&policy(1).Routes[0]), start+time.Second) {
+	for _, f := range b.remoteRegions(ask(&policy(1).Routes[0]), start+time.Second) {
 		if f.region == regions[1] {
-			is.Equal(f.room.Usable, 7)
-			is.Equal(len(f.boxes), mostTaking)
+			is.Equal(f.estimate.Usable, 7)
+			is.Equal(len(f.boxes), maxActive)
 			return
 		}
 	}
