--- a/node/accept_test.go
+++ b/node/accept_test.go
@@ -1,11 +1,5 @@
 package node
 
-// One run in which a planned stop took more than its second was never explained. Of what can
-// hold up the end of a box and nothing else, this is one: net/http answers each accept that
-// fails for want of descriptors with a longer sleep, up to 1 s, which neither Shutdown nor
-// Close ends, and Shutdown waits for it beyond its context. The box then ends 1 s late, in
-// the middle of answers, by the platform's SIGKILL.
-
 import (
 	"context"
 	"io"
@@ -22,17 +16,17 @@
 	"github.com/havenrudder/havenrudder/decision"
 )
 
-// emptyHanded is a listener whose accepts fail as where no descriptor is left.
-type emptyHanded struct {
+// noDescriptorListener is a listener whose accepts fail for want of descriptors.
+type noDescriptorListener struct {
 	once    sync.Once
 	closed  chan struct{}
 	accepts int
 }
 
-var _ net.Listener = (*emptyHanded)(nil)
+var _ net.Listener = (*noDescriptorListener)(nil)
 
 // Accept fails.
-func (l *emptyHanded) Accept() (net.Conn, error) {
+func (l *noDescriptorListener) Accept() (net.Conn, error) {
 	select {
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -46,33 +40,35 @@
 	}
 }
 
-// Close has the next Accept say that the listener is closed.
-func (l *emptyHanded) Close() error {
+// Close makes the next Accept report that the listener is closed.
+func (l *noDescriptorListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr returns an address.
-func (l *emptyHanded) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *noDescriptorListener) Addr() net.Addr { return &net.TCPAddr{} }
 
+// Guards against a stop that waits beyond its limit for the sleep of net/http after a failed
+// accept, up to 1 s, which neither Shutdown nor Close ends.
 func TestABoxWithoutDescriptorsStopsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := &Node{
 			log: decision.New("box", io.Discard),
 		}
-		l := &emptyHanded{
+		l := &noDescriptorListener{
 			closed: make(chan struct{}),
 		}
 		s := newServer(http.NotFoundHandler())
 		n.serveOn(func(error) {}, s, l)
-		time.Sleep(1300 * time.Millisecond) // the next sleep of net/http would be of a second
+		time.Sleep(1300 * time.Millisecond) // the next sleep of net/http would take 1 s
 		began := time.Now()
 		limit, stop := context.WithTimeout(t.Context(), 600*time.Millisecond)
 		defer stop()
 		_ = s.Shutdown(limit) // no connection is open
 		n.tasks.Wait()
 		is.True(time.Since(began) <= 600*time.Millisecond)
-		is.True(l.accepts >= 1300/50) // it goes on trying, so that callers are served again at once
+		is.True(l.accepts >= 1300/50) // accepts continue, so that callers are served again at once
 	})
 }
--- a/node/words_test.go
+++ b/node/activeboxes_test.go
@@ -12,18 +12,18 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// crowded returns a box of one of three regions of so many boxes each, with as many
-// engines as a large one.
-func crowded(name string, boxes int) *testBox {
+// newLargeRegionBox returns a box of an installation with a number of boxes per region, and with many
+// engines.
+func newLargeRegionBox(name string, boxes int) *testBox {
 	b := newBox(name, "a", largeReplicas)
 	for n := range boxes {
 		if other := fmt.Sprintf("box-%03d", n); other != name {
 			s := status(other, "a")
 			s.Peers = "peers of " + other
-			b.tells(s, start)
+			b.receiveStatus(s, start)
 		}
 		for _, region := range regions[1:largeRegions] {
-			b.tells(status(fmt.Sprint(region, "-", n), region), start)
+			b.receiveStatus(status(fmt.Sprint(region, "-", n), region), start)
 		}
 	}
 	b.roster.Adapt(start)
@@ -31,12 +31,12 @@
 	return b
 }
 
-func TestBoxesOfALargeRegionAgreeWhichOfThemTakeCallers(t *testing.T) {
+func TestBoxesOfALargeRegionAgreeWhichOfThemAreActive(t *testing.T) {
 	is := is.New(t)
 	var all []string
 	taking := 0
 	for n := range largeBoxes {
-		b := crowded(fmt.Sprintf("box-%03d", n), largeBoxes)
+		b := newLargeRegionBox(fmt.Sprintf("box-%03d", n), largeBoxes)
 		named := b.directoryAddrs(host, "a", wire.ServingStateServing, start)
 		is.Equal(len(named), maxActive)
 		if all == nil {
@@ -50,21 +50,21 @@
 	is.Equal(taking, maxActive)
 }
 
-func TestAllBoxesOfASmallerRegionTakeCallers(t *testing.T) {
+func TestAllBoxesOfASmallerRegionAreActive(t *testing.T) {
 	is := is.New(t)
-	b := crowded("box-000", maxActive)
+	b := newLargeRegionBox("box-000", maxActive)
 	is.Equal(len(b.directoryAddrs(host, "a", wire.ServingStateServing, start)), maxActive)
 	is.Equal(len(b.active), 0) // in any region
 }
 
-func TestABoxThatIsLostIsReplacedAmongThoseThatTakeCallers(t *testing.T) {
+func TestALostActiveBoxIsReplaced(t *testing.T) {
 	is := is.New(t)
-	b := crowded("box-000", largeBoxes)
+	b := newLargeRegionBox("box-000", largeBoxes)
 	before := b.directoryAddrs(host, "a", wire.ServingStateServing, start)
 	later := start + 20*time.Second // all others are silent
 	for n := 1; n < largeBoxes/2; n++ {
 		s := status(fmt.Sprintf("box-%03d", n), "a")
-		b.tells(s, later)
+		b.receiveStatus(s, later)
 	}
 	b.chooseActive(wire.ServingStateServing, later)
 	after := b.directoryAddrs(host, "a", wire.ServingStateServing, later)
@@ -75,11 +75,11 @@
 			kept++
 		}
 	}
-	is.True(kept >= maxActive/4) // those that live stay
+	is.True(kept >= maxActive/4) // living active boxes stay active
 }
 
-// saysAll has all engines say that they have so many requests.
-func (b *testBox) saysAll(requests int) {
+// reportAll records a load report of all engines with a number of requests.
+func (b *testBox) reportAll(requests int) {
 	var words []roster.CompactWord
 	for _, r := range b.view.Replicas() {
 		words = append(words, roster.CompactWord{
@@ -90,15 +90,15 @@
 	b.receiveLoadReports(words, start)
 }
 
-// A busy engine that nobody asks is known to nobody, and one that all ask answers for each.
+// Guards against busy engines without usage reports, and against several requests for one.
 func TestEachBusyEngineIsAskedForItsLoadByOneBox(t *testing.T) {
 	is := is.New(t)
 	asks := make(map[string]int)
 	for n := range largeBoxes {
-		b := crowded(fmt.Sprintf("box-%03d", n), largeBoxes)
+		b := newLargeRegionBox(fmt.Sprintf("box-%03d", n), largeBoxes)
 		is.True(!b.roster.TellsLoads())
-		is.Equal(len(b.reportTargets(start)), 0) // it knows of no work anywhere
-		b.saysAll(8)
+		is.Equal(len(b.reportTargets(start)), 0) // it has no record of any work
+		b.reportAll(8)
 		for _, e := range b.reportTargets(start) {
 			asks[e.start]++
 		}
@@ -109,18 +109,18 @@
 			t.Errorf("%s is asked by %d boxes", id, n)
 		}
 	}
-	is.Equal(len(crowded("box-000", 9).reportTargets(start)), 0) // few boxes tell each other
+	is.Equal(len(newLargeRegionBox("box-000", 9).reportTargets(start)), 0) // few boxes send each other their loads
 }
 
-func TestWordsOfEnginesAreToldToBoxesThatTakeCallers(t *testing.T) {
+func TestLoadReportsOfEnginesAreSentToActiveBoxes(t *testing.T) {
 	is := is.New(t)
 	var b *testBox
 	for n := 0; b == nil || !b.active["a"].has(b.settings.Box); n++ {
-		b = crowded(fmt.Sprintf("box-%03d", n), largeBoxes)
+		b = newLargeRegionBox(fmt.Sprintf("box-%03d", n), largeBoxes)
 	}
-	other := crowded("outside", largeBoxes)
+	other := newLargeRegionBox("outside", largeBoxes)
 	id := replicas("a", 3)[2].ID
-	is.Equal(len(b.loadReportPackets(start, lowest)), 0) // there are none
+	is.Equal(len(b.loadReportPackets(start, lowest)), 0) // no reports
 	b.receiveLoadReports([]roster.CompactWord{{
 		Replica:  roster.ReplicaIDOf(id),
 		Age:      100 * time.Millisecond,
@@ -138,15 +138,13 @@
 	is.Equal(len(words), 1)
 	is.Equal(words[0].Replica, id)
 	is.Equal(words[0].Requests, 7)
-	is.Equal(len(crowded("box-000", 9).loadReportPackets(start, lowest)), 0)
+	is.Equal(len(newLargeRegionBox("box-000", 9).loadReportPackets(start, lowest)), 0)
 }
 
-// Of 98 boxes of a region 32 take callers, and each tells rarely what its region can take. By
-// the word of these 32 alone a region had mostly told nothing of late, and was the home of no
-// prompt.
-func TestAnyBoxOfALargeRegionTellsWhatThatCanTake(t *testing.T) {
+// Guards against regions whose capacity expires because only active boxes' reports are used.
+func TestAnyBoxOfALargeRegionSendsItsCapacity(t *testing.T) {
 	is := is.New(t)
-	b := crowded("box-000", largeBoxes)
+	b := newLargeRegionBox("box-000", largeBoxes)
 	b.chooseActive(wire.ServingStateServing, start)
 	told := 0
 	for n := range largeBoxes {
@@ -155,7 +153,7 @@
 			continue
 		}
 		told++
-		b.tells(status(name, regions[1]), start+time.Second, wire.ServiceRoom{
+		b.receiveStatus(status(name, regions[1]), start+time.Second, wire.ServiceRoom{
 			Service: service,
 			Usable:  7,
 		})
--- a/node/backlog_test.go
+++ b/node/backlog_test.go
@@ -10,22 +10,20 @@
 	"github.com/havenrudder/havenrudder/roster"
 )
 
-const backlog = 4 * time.Second // that datagrams wait in a box whose processor or link is behind
+const backlog = 4 * time.Second // delay of datagrams in a box whose processor or link is overloaded
 
-// A box whose processor was full for 4 s ("66: 19, 67: 18, 68: 19, 69: 19" percent, of 19.2)
-// takes datagrams from its queue seconds after they came. It reckons the age of what others
-// know from the moment at which it handles them, so it thinks its own knowledge young and doesn't
-// read for itself, though the listing would answer it and no watcher is lost.
+// Guards against an overloaded follower that handles datagrams late, considers its catalog recent
+// and doesn't read it.
 func TestABoxThatHandlesDatagramsLateReadsInTime(t *testing.T) {
 	first := cmp.Or(*firstSeed, 2)
 	for seed := first; seed < first+*seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { behindWithDatagrams(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runWithDatagramBacklog(t, seed) })
 		})
 	}
 }
 
-func behindWithDatagrams(t *testing.T, seed uint64) {
+func runWithDatagramBacklog(t *testing.T, seed uint64) {
 	f := newFollows(t.Context(), seed, 60)
 	defer f.end()
 	var behind *followBox
--- a/node/bigpolicy_test.go
+++ b/node/bigpolicy_test.go
@@ -36,7 +36,7 @@
 func newBusy(t *testing.T, boxes int) *busy {
 	f := newFollows(t.Context(), 1, boxes)
 	f.links.Store(newLinks(narrowLink))
-	f.listing.ways.Store(newWays())
+	f.listing.ways.Store(newDownlinks())
 	return &busy{
 		follows: f,
 		t:       t,
@@ -167,14 +167,14 @@
 			n = b.play(n, idleAfter)
 			b.publish((i + 1) * bigRoutes)
 			n = b.play(n, bigEvery-idleAfter)
-			bytes, answers := b.links.Load().mostSent()
+			bytes, answers := b.links.Load().maxSent()
 			t.Logf("%d routes: a box sent %d KB in %d answers, %d at once, longest queue %v; in force after %v, leaving known after %v, removals after %v; the listing gave a policy %d times",
-				(i+1)*bigRoutes, bytes/1000, answers, b.links.Load().most, b.links.Load().longest, b.inForce, b.learned, b.worst, b.listing.ways.Load().read)
+				(i+1)*bigRoutes, bytes/1000, answers, b.links.Load().maxOpen, b.links.Load().longest, b.inForce, b.learned, b.worst, b.listing.ways.Load().read)
 		}
 		if b.late != "" {
 			t.Error(b.late)
 		}
-		if bytes, _ := b.links.Load().mostSent(); bytes > mostPolicies*size {
+		if bytes, _ := b.links.Load().maxSent(); bytes > mostPolicies*size {
 			t.Errorf("a box sent %d KB of answers, and a policy has %d KB", bytes/1000, size/1000)
 		}
 	})
--- a/node/coldstart_fuzz_test.go
+++ b/node/coldstart_fuzz_test.go
@@ -30,8 +30,8 @@
 		in:    newInstallation(rapid.Uint64().Draw(t, "seed"), regions, perRegion),
 		alone: make(map[string]bool),
 	}
-	o.in.greedy = true
-	o.in.lossy = rapid.SampledFrom([]float64{0, 0, 0.1, 0.3}).Draw(t, "lost datagrams")
+	o.in.retrying = true
+	o.in.lossRate = rapid.SampledFrom([]float64{0, 0, 0.1, 0.3}).Draw(t, "lost datagrams")
 	o.in.cut = func(from, to *machine) bool { return o.alone[from.addr] || o.alone[to.addr] }
 	o.in.startAll(400*time.Millisecond, rapid.SampledFrom([]time.Duration{0, 700 * time.Millisecond, 5 * time.Second}).Draw(t, "seeds later"))
 	return o
@@ -93,11 +93,11 @@
 			rapid.SampledFrom(actions).Draw(t, "action")()
 		}
 		o.in.run(calm)
-		if flood := o.in.flood(); flood != nil {
+		if flood := o.in.excessSends(); flood != nil {
 			t.Fatalf("a cold replica got %d requests in a second: %v", len(flood), flood)
 		}
-		if n := o.in.mostRepeats(); n > repeatExtra {
-			t.Fatalf("%d repeats in a window, %d are allowed", n, repeatExtra)
+		if n := o.in.maxRetries(); n > retryExtra {
+			t.Fatalf("%d repeats in a window, %d are allowed", n, retryExtra)
 		}
 		if slow := slices.IndexFunc(o.in.machines, o.incomplete); slow >= 0 {
 			t.Fatalf("%s doesn't know its region", o.in.machines[slow].name)
--- a/node/coldstart_test.go
+++ b/node/coldstart_test.go
@@ -26,20 +26,20 @@
 	in := newInstallation(1, 3, 21)
 	in.startAll(400*time.Millisecond, 700*time.Millisecond)
 	in.run(10 * time.Second)
-	in.keepsPace(t)
+	in.checkColdRate(t)
 }
 
 // The same cause let boxes that knew nobody repeat as many requests as one of three
 // boxes may: the budget of repeats is shared among the boxes known as well.
 func TestBoxesThatAllStartBeforeTheirSeedsKeepTheBudgetOfRepeats(t *testing.T) {
 	in := newInstallation(1, 3, 21)
-	in.greedy = true
+	in.retrying = true
 	in.startAll(400*time.Millisecond, 6*time.Second)
 	in.run(15 * time.Second)
-	n := in.mostRepeats()
-	t.Logf("%d repeats within %v", n, repeatWindow)
-	if n > repeatExtra {
-		t.Fatalf("%d repeats within %v, %d are allowed", n, repeatWindow, repeatExtra)
+	n := in.maxRetries()
+	t.Logf("%d repeats within %v", n, retryWindow)
+	if n > retryExtra {
+		t.Fatalf("%d repeats within %v, %d are allowed", n, retryWindow, retryExtra)
 	}
 }
 
@@ -49,14 +49,14 @@
 func TestTheBudgetOfRepeatsIsKeptAndUsedByTheBoxesThatTakeCallers(t *testing.T) {
 	const extra = 640
 	in := newInstallation(1, 3, 36)
-	in.greedy = true
+	in.retrying = true
 	in.extra = extra
 	in.startAll(400*time.Millisecond, 300*time.Millisecond)
 	in.run(16 * time.Second)
-	calm := in.mostRepeats()
-	t.Logf("%d repeats within %v in the calm", calm, repeatWindow)
+	calm := in.maxRetries()
+	t.Logf("%d repeats within %v in the calm", calm, retryWindow)
 	if calm < extra/4 || calm > extra {
-		t.Errorf("%d repeats within %v, %d are allowed and a quarter is of use", calm, repeatWindow, extra)
+		t.Errorf("%d repeats within %v, %d are allowed and a quarter is of use", calm, retryWindow, extra)
 	}
 	for i, m := range in.machines {
 		if i%3 == 0 {
@@ -74,8 +74,8 @@
 		in.restart(m, in.upTo(time.Second))
 	}
 	in.run(12 * time.Second)
-	if n := in.mostRepeats(); n > extra {
-		t.Errorf("%d repeats within %v, %d are allowed", n, repeatWindow, extra)
+	if n := in.maxRetries(); n > extra {
+		t.Errorf("%d repeats within %v, %d are allowed", n, retryWindow, extra)
 	}
 }
 
--- a/node/cost_test.go
+++ b/node/cost_test.go
@@ -12,15 +12,14 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Sizes of the largest region of the users' installations: the costs that grow with
-// boxes or replicas are measured at these.
+// Sizes of a large installation, for costs that grow with boxes or replicas.
 const (
 	largeRegions  = 3
 	largeBoxes    = 98 // of a region
 	largeReplicas = 72 // of a region
 )
 
-// largeBox returns a box that knows all others of a large installation.
+// largeBox returns a box with records of all others of a large installation.
 func largeBox() *testBox {
 	b := newBox("box-0-0", "a", largeReplicas)
 	for r := range largeRegions {
@@ -28,14 +27,14 @@
 			if r+n > 0 {
 				s := status(fmt.Sprintf("box-%d-%d", r, n), regions[r])
 				s.Peers = fmt.Sprintf("10.%d.0.%d:7000", r, n)
-				b.tells(s, start, room(largeReplicas, 20*time.Millisecond))
+				b.receiveStatus(s, start, serviceCapacity(largeReplicas, 20*time.Millisecond))
 			}
 		}
 	}
 	return b
 }
 
-// bytesOf returns the bytes of memory that one run of f takes, of a few.
+// bytesOf returns the mean number of bytes that a run of f allocates.
 func bytesOf(f func()) uint64 {
 	const runs = 50
 	var before, after runtime.MemStats
@@ -47,15 +46,13 @@
 	return (after.TotalAlloc - before.TotalAlloc) / runs
 }
 
-// Memory that is taken again and again makes the collector run, which goes through the
-// whole heap: with 227 KB for a request and 177 KB for a beat a box spent more time on
-// that than on requests.
+// Guards against allocations that make garbage collection more expensive than the requests.
 func TestWhatABoxDoesOftenTakesLittleMemoryAmongManyBoxes(t *testing.T) {
 	box := largeBox()
 	q := askShared(route(), "part")
 	limits := []struct {
 		what string
-		most uint64 // bytes; half as much again as when this was written
+		most uint64 // bytes
 		f    func()
 	}{
 		{"a request", 18_000, func() {
@@ -89,7 +86,7 @@
 		}
 		box.view.End(&t.Choice, placement.Answered, 20*time.Millisecond, now)
 		if now > start+2*time.Second {
-			now = start // the others are alive
+			now = start // keeps the others alive
 		}
 	}
 }
@@ -124,7 +121,7 @@
 		if n != 1 {
 			s := status(fmt.Sprintf("box-0-%d", n), "a")
 			s.Peers = fmt.Sprintf("10.0.0.%d:7000", n)
-			other.tells(s, start)
+			other.receiveStatus(s, start)
 		}
 	}
 	var list []roster.Packet
--- a/node/which_test.go
+++ b/node/directory_test.go
@@ -17,14 +17,14 @@
 	startingState = wire.ServingStateStarting
 )
 
-// told has the box hear one that is in a state and takes callers, or not.
-func (b *testBox) told(name, region string, state wire.ServingState, closed bool, now time.Duration) {
+// receiveState makes the box receive the status of another one in a state, closed to callers or not.
+func (b *testBox) receiveState(name, region string, state wire.ServingState, closed bool, now time.Duration) {
 	s := status(name, region)
 	s.State = state
 	if closed {
 		s.Callers = ""
 	}
-	b.tells(s, now)
+	b.receiveStatus(s, now)
 }
 
 func callersOf(names ...string) []string {
@@ -38,10 +38,10 @@
 func TestCallersAreNamedTheServingBoxesOfTheirRegion(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.told("near", "a", "", false, start)
-	b.told("goes", "a", leavingState, false, start)
-	b.told("begins", "a", startingState, false, start)
-	b.told("far", "b", "", false, start)
+	b.receiveState("near", "a", "", false, start)
+	b.receiveState("goes", "a", leavingState, false, start)
+	b.receiveState("begins", "a", startingState, false, start)
+	b.receiveState("far", "b", "", false, start)
 	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("near", "self"))
 	is.Equal(b.directoryAddrs(host, "a", leavingState, start), callersOf("near"))
 	is.Equal(b.directoryAddrs(host, "b", servingState, start), callersOf("far"))
@@ -51,12 +51,12 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	b.publish(2, policy(2, "b"), nil)
-	b.told("home", "b", "", false, start)
-	b.told("far", "c", "", false, start)
-	b.told("goes", "d", leavingState, false, start)
+	b.receiveState("home", "b", "", false, start)
+	b.receiveState("far", "c", "", false, start)
+	b.receiveState("goes", "d", leavingState, false, start)
 	is.Equal(b.directoryAddrs(host, "d", servingState, start), callersOf("home"))
 	is.Equal(b.directoryAddrs("SHOP.example:80", "d", servingState, start), callersOf("home"))
-	is.Equal(b.directoryAddrs("other.example", "d", servingState, start), callersOf("goes")) // nothing binds it
+	is.Equal(b.directoryAddrs("other.example", "d", servingState, start), callersOf("goes")) // its data is free
 }
 
 func TestAHomeOfSomeDataOfAHostIsNotOneOfAll(t *testing.T) {
@@ -65,8 +65,8 @@
 	p := policy(2, "b", "c")
 	p.Routes = append(p.Routes, *route("c"))
 	b.publish(2, p, nil)
-	b.told("some", "b", "", false, start)
-	b.told("all", "c", "", false, start)
+	b.receiveState("some", "b", "", false, start)
+	b.receiveState("all", "c", "", false, start)
 	is.Equal(b.directoryAddrs(host, "d", servingState, start), callersOf("all"))
 }
 
@@ -74,13 +74,13 @@
 	is := is.New(t)
 	b := newBox("self", "c", 0)
 	b.publish(2, policy(2, "a", "b"), nil)
-	b.told("goes", "b", leavingState, false, start)
-	b.told("begins", "a", startingState, false, start)
-	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("goes")) // also where it goes, it may read the data
-	b.told("goes", "b", leavingState, true, start+time.Millisecond)
+	b.receiveState("goes", "b", leavingState, false, start)
+	b.receiveState("begins", "a", startingState, false, start)
+	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("goes")) // a leaving box may process the data
+	b.receiveState("goes", "b", leavingState, true, start+time.Millisecond)
 	is.Equal(len(b.directoryAddrs(host, "a", servingState, start+time.Millisecond)), 0)
-	is.Equal(b.directoryAddrs("other.example", "a", servingState, start), callersOf("self")) // nothing binds it
-	is.Equal(b.directoryAddrs(host, "c", servingState, start), callersOf("self"))            // the caller is there itself
+	is.Equal(b.directoryAddrs("other.example", "a", servingState, start), callersOf("self")) // its data is free
+	is.Equal(b.directoryAddrs(host, "c", servingState, start), callersOf("self"))            // the caller's own region
 }
 
 func TestCallersAreNamedTheHomeOfNearlyAllThatTheyAskFor(t *testing.T) {
@@ -91,16 +91,16 @@
 	rare.Name = "rare"
 	p.Routes = append(p.Routes, rare)
 	b.publish(2, p, nil)
-	b.told("home", "b", "", false, start)
+	b.receiveState("home", "b", "", false, start)
 	named := func() []string { return b.directoryAddrs(host, "a", servingState, start) }
-	is.Equal(len(named()), 0) // nothing is known of what callers ask for
+	is.Equal(len(named()), 0) // no requests are counted
 	ask := func(name string, n int) {
 		for range n {
 			b.countRouteRequest(name, start)
 		}
 	}
 	ask(p.Routes[0].Name, 19)
-	is.Equal(len(named()), 0) // too little is
+	is.Equal(len(named()), 0) // too few are
 	ask(p.Routes[0].Name, 78)
 	ask("rare", 3)
 	is.Equal(named(), callersOf("home"))
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	b.state = newState(b.settings, b.self, 0)
-	b.told("far", "b", "", false, start)
+	b.receiveState("far", "b", "", false, start)
 	is.Equal(len(b.directoryAddrs(host, "a", servingState, start)), 0) // the data may be bound
 	is.Equal(b.directoryAddrs(host, "b", servingState, start), callersOf("far"))
 }
@@ -122,9 +122,9 @@
 func TestBoxesThatLeaveAreNamedBeforeThoseOfOtherRegions(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.told("goes", "b", leavingState, false, start)
+	b.receiveState("goes", "b", leavingState, false, start)
 	is.Equal(b.directoryAddrs(host, "b", servingState, start), callersOf("goes"))
-	b.told("goes", "b", leavingState, true, start+time.Millisecond)
+	b.receiveState("goes", "b", leavingState, true, start+time.Millisecond)
 	is.Equal(b.directoryAddrs(host, "b", servingState, start+time.Millisecond), callersOf("self"))
 	is.Equal(b.directoryAddrs(host, "a", leavingState, start), callersOf("self")) // it leaves itself, and there is no other
 	is.Equal(len(b.directoryAddrs(host, "a", closedState, start)), 0)
@@ -133,8 +133,8 @@
 func TestASilentBoxIsNotNamed(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.told("near", "a", "", false, start)
-	b.told("goes", "b", leavingState, false, start)
+	b.receiveState("near", "a", "", false, start)
+	b.receiveState("goes", "b", leavingState, false, start)
 	later := start + 3*time.Second
 	is.Equal(b.directoryAddrs(host, "a", servingState, later), callersOf("self"))
 	is.Equal(b.directoryAddrs(host, "b", servingState, later), callersOf("self"))
@@ -145,7 +145,7 @@
 	b := newBox("self", "a", 0)
 	b.state = newState(b.settings, b.self, 0)
 	is.Equal(len(b.directoryAddrs(host, "a", servingState, start)), 0)
-	b.told("near", "a", "", false, start)
+	b.receiveState("near", "a", "", false, start)
 	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("near"))
 }
 
@@ -153,30 +153,30 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for n := range 3 * maxDirectoryAddrs {
-		b.told(fmt.Sprintf("box-%03d", n), "a", "", false, start)
+		b.receiveState(fmt.Sprintf("box-%03d", n), "a", "", false, start)
 	}
 	got := b.directoryAddrs(host, "a", servingState, start)
 	is.Equal(len(got), 64)
 	is.Equal(len(slices.Compact(slices.Clone(got))), 64) // each once
 }
 
-// named is a box as it was told.
-type named struct {
+// peerState is a box as received.
+type peerState struct {
 	name, region string
 	state        wire.ServingState
 	closed, dead bool
 }
 
-// States of this box as a question which box to use meets them.
+// States of this box in directory requests.
 const (
 	servingState = wire.ServingStateServing
 	closedState  = wire.ServingState("")
 )
 
-func drawPeers(t *rapid.T) []named {
-	var out []named
+func drawPeers(t *rapid.T) []peerState {
+	var out []peerState
 	for n := range rapid.IntRange(0, 8).Draw(t, "boxes") {
-		out = append(out, named{
+		out = append(out, peerState{
 			name:   fmt.Sprint("box-", n),
 			region: rapid.SampledFrom(regions).Draw(t, "region"),
 			state:  rapid.SampledFrom([]wire.ServingState{"", startingState, leavingState}).Draw(t, "state"),
@@ -199,10 +199,10 @@
 			if p.dead {
 				heard = now - 10*time.Second
 			}
-			b.told(p.name, p.region, p.state, p.closed, heard)
+			b.receiveState(p.name, p.region, p.state, p.closed, heard)
 		}
 		own := rapid.SampledFrom([]wire.ServingState{servingState, leavingState, closedState}).Draw(t, "own")
-		self := named{
+		self := peerState{
 			name:   "self",
 			region: "a",
 			closed: own == closedState,
@@ -220,14 +220,14 @@
 	})
 }
 
-// expect returns the boxes that are to be named to a caller in a region.
-func expect(peers []named, homes []string, region string) []string {
-	steps := []func(p named) bool{
-		func(p named) bool { return p.state == "" && p.region == region },
-		func(p named) bool { return p.state == "" && slices.Contains(homes, p.region) },
-		func(p named) bool { return p.state == leavingState && p.region == region },
-		func(p named) bool { return p.state == leavingState && slices.Contains(homes, p.region) },
-		func(p named) bool { return p.state == "" && len(homes) == 0 },
+// expect returns the boxes that a directory answer for a region has to contain.
+func expect(peers []peerState, homes []string, region string) []string {
+	steps := []func(p peerState) bool{
+		func(p peerState) bool { return p.state == "" && p.region == region },
+		func(p peerState) bool { return p.state == "" && slices.Contains(homes, p.region) },
+		func(p peerState) bool { return p.state == leavingState && p.region == region },
+		func(p peerState) bool { return p.state == leavingState && slices.Contains(homes, p.region) },
+		func(p peerState) bool { return p.state == "" && len(homes) == 0 },
 	}
 	for _, step := range steps {
 		var out []string
--- a/node/domainloss_test.go
+++ b/node/domainloss_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	domainNamed = 1500 * time.Millisecond // after it was lost a failure domain is named no more: the age of its last signs of life, and a look
-	lookAtNames = 50 * time.Millisecond
+	maxNamedAfterLoss     = 1500 * time.Millisecond // limit, after the loss of a failure domain, of directory answers with its boxes
+	directoryPollInterval = 50 * time.Millisecond
 )
 
-// twoDomains is an installation whose regions have two failure domains each.
+// twoDomains returns an installation whose regions have two failure domains each.
 func twoDomains(perRegion int) *installation {
 	in := newInstallation(1, regionsOf, perRegion)
 	for i, m := range in.machines {
@@ -25,9 +25,9 @@
 	return in
 }
 
-// named returns how many boxes of a failure domain the others of its region name to
-// callers, and of how many answers.
-func (in *installation) named(region, domain string) (named, answers int) {
+// countNamed returns how often the directory answers of a region's other boxes contain a box of a
+// failure domain, and the number of answers.
+func (in *installation) countNamed(region, domain string) (named, answers int) {
 	addrs := make(map[string]bool)
 	for _, m := range in.machines {
 		addrs[m.addr] = m.domain == domain
@@ -48,16 +48,14 @@
 	return named, answers
 }
 
-// A whole failure domain went, half of the boxes before a region. Callers were named its
-// boxes for up to 6 s more, the time after which one that fell silent counts as lost among
-// many boxes, and half of their connections failed: 5.5 s went by until all were served
-// again with 300 boxes, and none with 100.
+// Guards against directory answers with boxes of a lost failure domain for as long as the timeout
+// of a single box.
 func TestALostFailureDomainIsNamedToCallersForNoLongerThanStated(t *testing.T) {
 	for _, perRegion := range []int{7, 33} {
 		in := twoDomains(perRegion)
 		lost := in.machines[1]
 		region, domain := lost.region, lost.domain
-		if n, _ := in.named(region, domain); n == 0 {
+		if n, _ := in.countNamed(region, domain); n == 0 {
 			t.Fatalf("%d boxes a region: the domain isn't named while it lives", perRegion)
 		}
 		for _, m := range in.machines {
@@ -67,9 +65,9 @@
 		}
 		at := in.now
 		for n := 1; n > 0; {
-			in.run(lookAtNames)
-			n, _ = in.named(region, domain)
-			if in.now-at > domainNamed {
+			in.run(directoryPollInterval)
+			n, _ = in.countNamed(region, domain)
+			if in.now-at > maxNamedAfterLoss {
 				t.Fatalf("%d boxes a region: %d times a lost box is named %v later", perRegion, n, in.now-at)
 			}
 		}
@@ -77,22 +75,22 @@
 	}
 }
 
-// A domain that lives stays named beside datagrams that are lost.
+// Guards against the loss of datagrams removing a living failure domain from the directory.
 func TestALivingFailureDomainIsNamedBesideLostDatagrams(t *testing.T) {
 	in := twoDomains(33)
-	in.lossy = 0.3
+	in.lossRate = 0.3
 	one := in.machines[1]
 	for range 100 {
-		in.run(lookAtNames)
-		n, answers := in.named(one.region, one.domain)
+		in.run(directoryPollInterval)
+		n, answers := in.countNamed(one.region, one.domain)
 		if n < answers {
 			t.Fatalf("%d times a box of the domain is named in %d answers", n, answers)
 		}
 	}
 }
 
-// A box that hears nobody is cut off itself, and names those whom it knows as before.
-func TestABoxThatIsCutOffTakesNoFailureDomainForLost(t *testing.T) {
+// Guards against a box that is cut off and considers all failure domains lost.
+func TestABoxThatIsCutOffConsidersNoFailureDomainLost(t *testing.T) {
 	in := twoDomains(7)
 	alone := in.machines[0]
 	before := names(in, alone)
@@ -103,7 +101,7 @@
 	}
 }
 
-// names returns whom a box names to callers of its region.
+// names returns the directory answer of a box for its region.
 func names(in *installation, m *machine) string {
 	list := m.state.directoryAddrs(host, m.region, wire.ServingStateServing, m.age(in))
 	return strings.Join(list, " ")
--- a/node/build_test.go
+++ b/node/fixtures_test.go
@@ -12,24 +12,23 @@
 )
 
 const (
-	start   = time.Minute // of the tests' clock; the boxes have started long before
+	start   = time.Minute // time of the tests; boxes started long before
 	host    = "shop.example"
 	service = "engine"
-	prompt  = 4000 // tokens of a usual prompt
-	shared  = 3000 // of them in a shared part
+	prompt  = 4000 // tokens of a typical prompt
+	shared  = 3000 // of them in a shared segment
 )
 
 // regions are the regions of the tests; each is a failure domain of its name.
 var regions = []string{"a", "b", "c", "d"}
 
-// testBox is the state of a box and what it says of itself.
+// testBox is the state of a box and its status.
 type testBox struct {
 	*state
 	self wire.BoxStatus
 }
 
-// newBox returns a box of a region that knows a policy, and n replicas in its
-// region.
+// newBox returns a box with a policy and n replicas in its region.
 func newBox(name, region string, n int) *testBox {
 	b := &testBox{
 		self: status(name, region),
@@ -45,7 +44,7 @@
 	return b
 }
 
-// publish has the box read all that is published at a revision.
+// publish applies a snapshot of a revision.
 func (b *testBox) publish(revision int64, p *catalog.Policy, all []catalog.Replica) []placement.Belief {
 	return b.applyUpdate(catalog.Update{
 		Revision: revision,
@@ -58,8 +57,8 @@
 	}, start)
 }
 
-// says returns what the box tells others at now.
-func (b *testBox) says(now time.Duration) wire.Gossip {
+// message returns the message of the box at now.
+func (b *testBox) message(now time.Duration) wire.Gossip {
 	return wire.Gossip{
 		From: b.fillStatus(b.self, now),
 	}
@@ -79,7 +78,7 @@
 	}
 }
 
-// route returns a route whose data may enter some regions, or all for none.
+// route returns a route whose data may enter the regions homes, or all regions without any.
 func route(homes ...string) *catalog.Route {
 	return &catalog.Route{
 		Name:     "chat",
@@ -113,7 +112,7 @@
 	return out
 }
 
-// status returns what a box says of itself that never changes.
+// status returns the constant part of a box's status.
 func status(name, region string) wire.BoxStatus {
 	return wire.BoxStatus{
 		Box:     name,
@@ -125,9 +124,8 @@
 	}
 }
 
-// room returns what a box tells of its region: how many replicas are usable and
-// how long a request waits there.
-func room(usable int, wait time.Duration) wire.ServiceRoom {
+// serviceCapacity returns the capacity of a region: its usable replicas and the wait of a request.
+func serviceCapacity(usable int, wait time.Duration) wire.ServiceRoom {
 	return wire.ServiceRoom{
 		Service: service,
 		Usable:  usable,
@@ -135,8 +133,8 @@
 	}
 }
 
-// tells has the box hear another one directly at now.
-func (b *testBox) tells(s wire.BoxStatus, now time.Duration, rooms ...wire.ServiceRoom) {
+// receiveStatus makes the box receive the status of another one at now.
+func (b *testBox) receiveStatus(s wire.BoxStatus, now time.Duration, rooms ...wire.ServiceRoom) {
 	s.Seq = int(now / time.Millisecond)
 	s.Rooms = rooms
 	b.receive(wire.Gossip{
@@ -144,7 +142,7 @@
 	}, now)
 }
 
-// ask returns a question for the target of a request without a prompt.
+// ask returns the placement query of a request without a prompt.
 func ask(r *catalog.Route) ingress.Ask {
 	return ingress.Ask{
 		Route: r,
@@ -157,7 +155,7 @@
 	}
 }
 
-// askShared returns a question for a request whose prompt has a shared part.
+// askShared returns the placement query of a request with a shared prompt segment.
 func askShared(r *catalog.Route, part string) ingress.Ask {
 	q := ask(r)
 	q.Request.Prompt = prompt
@@ -168,5 +166,5 @@
 	return q
 }
 
-// lowest draws the number at which a request goes away for the least gain.
+// lowest draws the number at which the smallest gain sends a request to another region.
 func lowest(int) int { return 0 }
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -25,7 +25,7 @@
 				if name := fmt.Sprintf("%s-%03d", region, i); name != b.settings.Box {
 					s := status(name, region)
 					s.Peers = "peers of " + name
-					b.tells(s, start)
+					b.receiveStatus(s, start)
 				}
 			}
 		}
@@ -63,7 +63,7 @@
 // BenchmarkQuestions is what it takes a box to find out which engines to ask.
 func BenchmarkQuestions(b *testing.B) {
 	box := fleetBox(584)
-	box.saysAll(8)
+	box.reportAll(8)
 	now := start
 	b.ResetTimer()
 	for range b.N {
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -20,8 +20,8 @@
 		r := b.role(start)
 		is.True(!r.follows)
 		is.True(!r.tells)
-		b.tells(status(fmt.Sprint("box-", n), "a"), start)
-		b.tells(status(fmt.Sprint("far-", n), "b"), start) // of no matter
+		b.receiveStatus(status(fmt.Sprint("box-", n), "a"), start)
+		b.receiveStatus(status(fmt.Sprint("far-", n), "b"), start) // of no matter
 	}
 	is.True(b.role(start).tells)
 	is.True(!b.role(start + time.Minute).tells) // the others are dead
@@ -36,7 +36,7 @@
 		b := newBox(name(self), "a", 0)
 		for n := range boxes {
 			if n != self {
-				b.tells(status(name(n), "a"), start)
+				b.receiveStatus(status(name(n), "a"), start)
 			}
 		}
 		r := b.role(start)
@@ -144,7 +144,7 @@
 	is := is.New(t)
 	b := newBox("self", "a", 2)
 	watcher := newBox("near", "a", 2)
-	says := func() wire.BoxStatus { return watcher.says(start).From }
+	says := func() wire.BoxStatus { return watcher.message(start).From }
 	is.True(!b.untold(says()))
 	watcher.applyUpdate(catalog.Update{ // just after an outage, in which entries may have lapsed
 		Revision: 1,
@@ -155,7 +155,7 @@
 	}, start)
 	is.True(!b.untold(says()))
 	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the revision that both know
-	is.Equal(says().Catalog, b.says(start).From.Catalog)
+	is.Equal(says().Catalog, b.message(start).From.Catalog)
 	is.True(b.untold(says()))
 	b.applyUpdate(watcher.content.Since(b.content.Revision()).Update(), start)
 	b.toldLapses(says())
--- a/node/follows_test.go
+++ b/node/follows_test.go
@@ -49,7 +49,7 @@
 	began    time.Time
 	seed     uint64
 	mu       sync.Mutex
-	waiting  errands       // what is to be done later
+	waiting  schedule      // what is to be done later
 	sooner   chan struct{} // something was put in that comes first
 	trace    atomic.Uint64 // sum of the hashes of all datagrams and answers, which is the same in any order
 	listing  *listing
@@ -104,7 +104,7 @@
 	}
 	f.listing = newListing(list, f.jitter)
 	f.system = cell.NewSystem(slog.New(slog.DiscardHandler), func(reason any) { panic(reason) }, cell.InPlace())
-	go f.carry()
+	go f.runScheduled()
 	f.populate(boxes, func(*Settings) {})
 	return f
 }
@@ -151,13 +151,13 @@
 	n.lastRead.Store(-int64(neverReadAge))
 	n.isReader.Store(true)
 	n.state = cell.New(context.WithoutCancel(f.ctx), f.system, "state", newState(n.settings, n.status(), n.now()))
-	n.feed = n.newFeed(f.watched(b.settings.Box, f.listing.source(b.settings.Box)))
+	n.feed = n.newFeed(f.tracedSource(b.settings.Box, f.listing.source(b.settings.Box)))
 	n.fetchChanges = func(ctx context.Context, addr string, after int64) (catalog.News, error) {
 		news, err := f.askBox(ctx, addr, after)
-		f.tell(b.settings.Box, "asked", addr, "after", after, "told up to", news.Revision, news.Snapshot != nil, aboutIt(news.Changes, news.Doubts), err)
+		f.printTraced(b.settings.Box, "asked", addr, "after", after, "told up to", news.Revision, news.Snapshot != nil, changesOfTraced(news.Changes, news.Doubts), err)
 		return news, err
 	}
-	n.fetchPolicy = f.askPolicy
+	n.fetchPolicy = f.fetchPolicy
 	n.fetchProof = func(ctx context.Context, addr string) (proofAnswer, error) { return f.askProof(ctx, b, addr) }
 	n.quotas = n.newQuotas()
 	n.requestCredit = func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) {
@@ -175,7 +175,7 @@
 		}
 	}
 	b.stop = cancel
-	f.tell(b.settings.Box, "starts")
+	f.printTraced(b.settings.Box, "starts")
 	b.node.Store(n)
 	n.tasks.Go(func() {
 		sleep.For(ctx, f.jitter(roster.Tick, "start", b.settings.Box))
@@ -222,7 +222,7 @@
 	}
 	b.stop()
 	n.tasks.Wait()
-	f.tell(b.settings.Box, "killed")
+	f.printTraced(b.settings.Box, "killed")
 }
 
 // restart kills the process on a machine and starts one after a while.
@@ -256,7 +256,7 @@
 	addr := net.JoinHostPort(from.settings.IP, "7001")
 	h := f.hash(from.settings.Box, p.Addr, p.Buf)
 	f.trace.Add(h)
-	f.later(delay+f.jitter(mostJitter, h)+f.links.Load().carry(from, len(p.Buf)), func() {
+	f.later(delay+f.jitter(mostJitter, h)+f.links.Load().transmit(from, len(p.Buf)), func() {
 		n := to.node.Load()
 		if n == nil {
 			return
@@ -290,13 +290,13 @@
 // look notes how late the boxes are that don't believe a removal yet, and which don't
 // list a replica that lives.
 func (f *follows) look() {
-	f.lookAtStory(f.storied)
+	f.printListings(f.storied)
 	for _, b := range f.boxes {
 		n := b.node.Load()
 		for id := range f.lapsing {
 			if n != nil && n.now() >= settlesIn && strings.HasPrefix(id, b.settings.Region) && !n.lists(id) {
 				f.dropped++
-				f.tell(b.settings.Box, "doesn't list the living", id)
+				f.printTraced(b.settings.Box, "doesn't list the living", id)
 			}
 		}
 	}
@@ -318,7 +318,7 @@
 			}
 			if lag > f.worst {
 				f.worst = lag
-				f.tell(b.settings.Box, "still lists", id, lag, "after its removal")
+				f.printTraced(b.settings.Box, "still lists", id, lag, "after its removal")
 			}
 			if lag > removalWithin {
 				f.late = fmt.Sprintf("%s sends to %s %v after its removal (leaving: %t)", b.settings.Box, id, lag, f.left[id])
@@ -340,7 +340,7 @@
 // them come back with it.
 func (f *follows) outage(d time.Duration, lapses int) {
 	f.listing.setDown(true)
-	f.tell("-", "outage begins")
+	f.printTraced("-", "outage begins")
 	var back []catalog.Replica
 	for _, id := range f.some(lapses) {
 		r := f.listing.get(id)
@@ -354,7 +354,7 @@
 	}
 	f.after(d, func() {
 		f.listing.setDown(false)
-		f.tell("-", "outage ends")
+		f.printTraced("-", "outage ends")
 		f.wellFrom = time.Now()
 		for _, r := range back {
 			f.after(time.Duration(f.rnd.Int64N(int64(1800*time.Millisecond))), func() {
@@ -370,7 +370,7 @@
 	for _, id := range f.some(count) {
 		r := f.listing.get(id)
 		f.listing.drop(id)
-		f.tell("-", id, "removed")
+		f.printTraced("-", id, "removed")
 		f.removed[id] = time.Now()
 		delete(f.lapsing, id)
 		f.replaceReplica(r)
@@ -391,7 +391,7 @@
 		r := f.listing.get(id)
 		r.Leaving = true
 		f.listing.put(r)
-		f.tell("-", id, "leaves")
+		f.printTraced("-", id, "leaves")
 		f.removed[id] = time.Now()
 		f.left[id] = true
 		delete(f.lapsing, id)
@@ -406,10 +406,10 @@
 			continue
 		}
 		f.listing.refuse(b.settings.Box, true)
-		f.tell(b.settings.Box, "turned away")
+		f.printTraced(b.settings.Box, "turned away")
 		f.after(d+time.Duration(f.rnd.Int64N(int64(time.Second))), func() {
 			f.listing.refuse(b.settings.Box, false)
-			f.tell(b.settings.Box, "served again")
+			f.printTraced(b.settings.Box, "served again")
 		})
 	}
 }
--- a/node/home_test.go
+++ b/node/home_test.go
@@ -14,15 +14,15 @@
 
 const subjects = 400
 
-// fleet returns a box of each region that has heard all others, with so many
-// replicas in each.
+// fleet returns a box of each region, with records of all others and with a number of
+// replicas by region.
 func fleet(usable map[string]int, now time.Duration) []*testBox {
 	boxes := make([]*testBox, 0, len(regions))
 	for _, region := range regions {
 		boxes = append(boxes, newBox("box-"+region, region, usable[region]))
 	}
 	for _, from := range boxes {
-		g := from.says(now)
+		g := from.message(now)
 		for _, to := range boxes {
 			if to != from {
 				to.receive(g, now)
@@ -32,7 +32,7 @@
 	return boxes
 }
 
-// homeOf returns the home region of a request as the box sees it.
+// homeOf returns the home region of a request according to the box.
 func (b *testBox) homeOf(q ingress.Ask, now time.Duration) string {
 	here := b.view.Outlook(q.Request, b.sharers(now), now)
 	return b.homeRegion(q, here, b.remoteRegions(q, now))
@@ -106,8 +106,8 @@
 	}
 }
 
-// That a replica of this region is the first in the rank of the parts doesn't mean
-// that it keeps them: where another region is their home, nobody sends them there.
+// Guards against a request that stays because a local replica is preferred for its segments,
+// though another region caches them.
 func TestAPromptGoesToTheHomeOfItsPartsAlsoWhereThisRegionHasReplicas(t *testing.T) {
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 2, "b": 2, "c": 2}, start)[0]
@@ -128,16 +128,16 @@
 	is.True(away > subjects/2)
 }
 
-// regionOf places a request of which region a keeps no replica.
+// regionOf returns where a box without local replicas places a request.
 func (b *testBox) regionOf(now time.Duration, waitB, waitC time.Duration) string {
-	b.tells(status("box-b", "b"), now, room(3, waitB))
-	b.tells(status("box-c", "c"), now, room(3, waitC))
+	b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, waitB))
+	b.receiveStatus(status("box-c", "c"), now, serviceCapacity(3, waitC))
 	return b.place(ask(route()), now, lowest).Region
 }
 
 func TestARegionThatFailsRequestsIsAvoidedAndUsedAgainLater(t *testing.T) {
 	is := is.New(t)
-	const far = 20 * time.Millisecond // that c is slower by, which is no risk
+	const far = 20 * time.Millisecond // by which c is slower, without expected loss
 	b := newBox("self", "a", 0)
 	is.Equal(b.regionOf(start, 0, far), "b")
 	for n := range 5 {
@@ -177,7 +177,7 @@
 func TestALocalServiceInTimeIsNotLeftForARegionThatFails(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
 	for range 20 {
 		b.recordRegionResult("b", false, start)
 	}
--- a/node/installation_test.go
+++ b/node/installation_test.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	nearDelay = 2 * time.Millisecond  // of a datagram within a region
-	farDelay  = 81 * time.Millisecond // of one between regions
-	pressGap  = 10 * time.Millisecond // between two requests that a box has for the cold replica
-	coldID    = "cold-replica"
-	coldRate  = 1.5 // requests a second that it bears
-	coldBound = 5   // whole requests in a second: coldRate x 1.5 + 3
-	longCold  = time.Hour
+	nearDelay       = 2 * time.Millisecond  // of a datagram within a region
+	farDelay        = 81 * time.Millisecond // of one between regions
+	requestInterval = 10 * time.Millisecond // between two requests of a box for the cold replica
+	coldID          = "cold-replica"
+	coldRate        = 1.5 // requests per second
+	coldBound       = 5   // requests in a second: coldRate x 1.5 + 3, rounded
+	longCold        = time.Hour
 
-	repeatRatio  = 0.2
-	repeatExtra  = 168
-	repeatWindow = 10 * time.Second
+	retryRatio  = 0.2
+	retryExtra  = 168
+	retryWindow = 10 * time.Second
 )
 
-// machine is one place of an installation and the process in it, if any.
+// machine is a host of an installation and its box, if one runs.
 type machine struct {
 	name   string
 	region string
@@ -45,11 +45,11 @@
 	region string
 	box    string
 	age    time.Duration // of its process
-	shared int           // boxes among which it shared the pace
+	shared int           // boxes that share the rate limit
 }
 
-// installation is boxes of several regions in one time line, with datagrams between
-// them. Each region has a cold replica for which all its boxes have requests.
+// installation simulates boxes of several regions and their datagrams in virtual time. All
+// boxes of a region have requests for its cold replica.
 type installation struct {
 	rnd      *rand.Rand
 	clock    virtual.Clock
@@ -58,15 +58,15 @@
 	byAddr   map[string]*machine
 	seeds    []string
 	cut      func(from, to *machine) bool
-	lossy    float64 // share of datagrams that are lost
+	lossRate float64 // share of datagrams that are lost
 	sends    []send
-	repeats  []time.Duration
-	greedy   bool // boxes repeat requests, too
-	extra    int  // repeats beyond the ratio; repeatExtra where it is 0
+	retries  []time.Duration
+	retrying bool // boxes also retry requests
+	extra    int  // retries beyond the ratio; 0 for repeatExtra
 }
 
-// newInstallation returns an installation of so many machines in each region, of
-// which none runs. The first machine of each region is a seed.
+// newInstallation returns an installation without running boxes. The first machine of each
+// region is a seed.
 func newInstallation(seed uint64, regions, perRegion int) *installation {
 	in := &installation{
 		rnd:    rand.New(rand.NewPCG(seed, 1)),
@@ -96,7 +96,7 @@
 	return m
 }
 
-// after has something done later.
+// after schedules act.
 func (in *installation) after(d time.Duration, act func()) {
 	in.clock.After(d, func() {
 		in.now = in.clock.Now()
@@ -104,18 +104,18 @@
 	})
 }
 
-// run lets time pass.
+// run advances the clock.
 func (in *installation) run(d time.Duration) {
 	in.clock.RunUntil(in.clock.Now() + d)
 	in.now = in.clock.Now()
 }
 
-// upTo returns a random time below d.
+// upTo returns a random time in [0, d].
 func (in *installation) upTo(d time.Duration) time.Duration {
 	return time.Duration(in.rnd.Int64N(int64(d) + 1))
 }
 
-// start starts a process on m.
+// start starts a box on m.
 func (in *installation) start(m *machine) {
 	m.inc = 1 + int(in.now/time.Millisecond)
 	m.born = in.now
@@ -127,26 +127,26 @@
 		Bounds: Bounds{
 			ColdOverage: 1.5,
 			ColdSlack:   3,
-			RetryRatio:  repeatRatio,
-			RetryWindow: repeatWindow,
-			RetryExtra:  cmp.Or(in.extra, repeatExtra),
+			RetryRatio:  retryRatio,
+			RetryWindow: retryWindow,
+			RetryExtra:  cmp.Or(in.extra, retryExtra),
 		},
 	}, m.status(), 0)
 	m.state.applyUpdate(coldCatalog(m.region), 0)
-	in.post(m, m.state.roster.TellEveryone(m.says(0), 0, true))
+	in.post(m, m.state.roster.TellEveryone(m.fullStatus(0), 0, true))
 	alive := in.while(m)
 	in.every(roster.Tick, alive, func() {
-		out := m.state.roster.Tell(m.says(m.age(in)), m.age(in), in.rnd.IntN)
+		out := m.state.roster.Tell(m.fullStatus(m.age(in)), m.age(in), in.rnd.IntN)
 		m.state.view.OthersFor(m.state.roster.LoadsAge())
 		in.post(m, out)
 	})
-	in.after(in.upTo(pressGap), func() { in.every(pressGap, alive, func() { in.press(m) }) })
+	in.after(in.upTo(requestInterval), func() { in.every(requestInterval, alive, func() { in.sendCold(m) }) })
 }
 
-// kill ends the process on m at once.
+// kill ends the box on m at once.
 func (in *installation) kill(m *machine) { m.state = nil }
 
-// restart kills the process on m, if any, and starts one after a while.
+// restart kills the box on m, if any, and starts another one after down.
 func (in *installation) restart(m *machine, down time.Duration) {
 	in.kill(m)
 	in.after(down, func() {
@@ -156,13 +156,13 @@
 	})
 }
 
-// while returns whether the present process of m still runs.
+// while returns a function that reports whether the current box of m still runs.
 func (in *installation) while(m *machine) func() bool {
 	state := m.state
 	return func() bool { return m.state == state }
 }
 
-// every does something now and again and again while ok.
+// every calls act now and after each gap while ok.
 func (in *installation) every(gap time.Duration, ok func() bool, act func()) {
 	if !ok() {
 		return
@@ -171,8 +171,7 @@
 	in.after(gap, func() { in.every(gap, ok, act) })
 }
 
-// coldCatalog is what is published: a service, and a replica of it in the region that
-// is cold for long.
+// coldCatalog returns a catalog of one service with a cold replica in a region.
 func coldCatalog(region string) catalog.Update {
 	p := policy(1)
 	p.Services[0].Engine = nil
@@ -203,8 +202,10 @@
 	}
 }
 
-// says returns what the box says of itself.
-func (m *machine) says(age time.Duration) wire.BoxStatus { return m.state.fillStatus(m.status(), age) }
+// fullStatus returns the current status of the box.
+func (m *machine) fullStatus(age time.Duration) wire.BoxStatus {
+	return m.state.fillStatus(m.status(), age)
+}
 
 func (m *machine) age(in *installation) time.Duration { return in.now - m.born }
 
@@ -212,7 +213,7 @@
 func (in *installation) post(from *machine, list []roster.Packet) {
 	for _, p := range list {
 		to := in.byAddr[p.Addr]
-		if to == nil || in.cut(from, to) || in.rnd.Float64() < in.lossy {
+		if to == nil || in.cut(from, to) || in.rnd.Float64() < in.lossRate {
 			continue
 		}
 		delay := nearDelay
@@ -223,7 +224,7 @@
 	}
 }
 
-// deliver has a box hear a datagram, as node.Node does.
+// deliver makes a box receive a datagram, as Node does.
 func (in *installation) deliver(from, to *machine, buf []byte) {
 	if to.state == nil {
 		return
@@ -243,13 +244,13 @@
 	}
 	to.state.receive(g, now)
 	if g.Ask && g.From.Peers != "" {
-		in.post(to, to.state.roster.Answer(to.says(now), g.From.Peers, now))
+		in.post(to, to.state.roster.Answer(to.fullStatus(now), g.From.Peers, now))
 	}
 }
 
-// press has a box send a request to the cold replica of its region, and repeat one,
-// if it may.
-func (in *installation) press(m *machine) {
+// sendCold sends a request to the cold replica of the region, and a retry, where the limits
+// allow them.
+func (in *installation) sendCold(m *machine) {
 	now := m.age(in)
 	c := m.state.view.Pick(placement.Request{
 		Service: service,
@@ -265,14 +266,14 @@
 			shared: c.Sharers,
 		})
 	}
-	if in.greedy && m.state.budget.Take(service, m.state.retryBoxes(now), now) {
-		in.repeats = append(in.repeats, in.now)
+	if in.retrying && m.state.budget.Take(service, m.state.retryBoxes(now), now) {
+		in.retries = append(in.retries, in.now)
 	}
 }
 
-// flood returns the sends of a second in which the cold replica of a region got more
-// than its bound, none if there is no such second.
-func (in *installation) flood() []send {
+// excessSends returns the requests of a second in which a cold replica received more than its
+// bound; none without such a second.
+func (in *installation) excessSends() []send {
 	byRegion := make(map[string][]send)
 	for _, s := range in.sends {
 		list := append(byRegion[s.region], s)
@@ -287,10 +288,10 @@
 	return nil
 }
 
-// keepsPace fails the test if a cold replica got too much.
-func (in *installation) keepsPace(t testing.TB) {
+// checkColdRate fails the test if a cold replica received too many requests.
+func (in *installation) checkColdRate(t testing.TB) {
 	t.Helper()
-	flood := in.flood()
+	flood := in.excessSends()
 	if flood == nil {
 		return
 	}
@@ -300,11 +301,11 @@
 	t.Fatalf("a cold replica got %d requests in a second, the bound is %d", len(flood), coldBound)
 }
 
-// mostRepeats returns the most repeats in a window of the budget.
-func (in *installation) mostRepeats() int {
+// maxRetries returns the maximum number of retries in a window of the budget.
+func (in *installation) maxRetries() int {
 	most, first := 0, 0
-	for i, at := range in.repeats {
-		for in.repeats[first] < at-repeatWindow {
+	for i, at := range in.retries {
+		for in.retries[first] < at-retryWindow {
 			first++
 		}
 		most = max(most, i-first+1)
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -12,19 +12,19 @@
 	"github.com/havenrudder/havenrudder/common/sleep"
 )
 
-const narrowLink = 1.25e6 // bytes a second of a link of 10 Mbit/s
+const narrowLink = 1.25e6 // bytes per second of a 10 Mbit/s link
 
-// links are the ways out of boxes: what a box sends goes in order, at a rate. A nil one
+// links simulates the uplinks of boxes, each of which sends in order at a rate. A nil one
 // takes no time.
 type links struct {
 	mu      sync.Mutex
-	rate    float64 // bytes a second
+	rate    float64 // bytes per second
 	free    map[*followBox]time.Time
 	sent    map[*followBox]int // bytes of answers
 	answers map[*followBox]int
-	open    map[*followBox]int // answers under way
-	most    int                // of these at one box at once
-	longest time.Duration      // that something waited for what was before it and for its own bytes
+	open    map[*followBox]int // answers that are being sent
+	maxOpen int                // maximum of these at one box
+	longest time.Duration      // maximum delay of a message, by its own bytes and those before it
 }
 
 func newLinks(rate float64) *links {
@@ -37,8 +37,8 @@
 	}
 }
 
-// carry returns how long a box takes to send so many bytes after what it sends already.
-func (l *links) carry(from *followBox, bytes int) time.Duration {
+// transmit returns the time in which a box sends a number of bytes after those in its queue.
+func (l *links) transmit(from *followBox, bytes int) time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -55,18 +55,18 @@
 	return wait
 }
 
-// answer has a box send an answer. It ends with ctx, but the bytes are sent all the
-// same: whoever asked has given up, and the box that answers doesn't know.
+// answer sends an answer of a box. It returns when ctx is done, but the bytes are still sent,
+// since the box doesn't learn that the requester gave up.
 func (l *links) answer(ctx context.Context, from *followBox, bytes int) {
 	if l == nil {
 		return
 	}
-	took := l.carry(from, bytes)
+	took := l.transmit(from, bytes)
 	l.mu.Lock()
 	l.sent[from] += bytes
 	l.answers[from]++
 	l.open[from]++
-	l.most = max(l.most, l.open[from])
+	l.maxOpen = max(l.maxOpen, l.open[from])
 	l.mu.Unlock()
 	time.AfterFunc(took, func() {
 		l.mu.Lock()
@@ -76,18 +76,18 @@
 	sleep.For(ctx, took)
 }
 
-// reset forgets what was counted.
+// reset clears the counts.
 func (l *links) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.sent)
 	clear(l.answers)
-	l.most = 0
+	l.maxOpen = 0
 	l.longest = 0
 }
 
-// mostSent returns the most bytes, and the most answers, that one box has sent.
-func (l *links) mostSent() (bytes, answers int) {
+// maxSent returns the maximum bytes, and the maximum answers, that a box has sent.
+func (l *links) maxSent() (bytes, answers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, n := range l.sent {
@@ -99,9 +99,9 @@
 	return bytes, answers
 }
 
-var sizes sync.Map // of policies as JSON, by their addresses
+var sizes sync.Map // of policies as JSON, by pointer
 
-// sizeOf returns the bytes of news.
+// sizeOf returns the size of a catalog update as JSON.
 func sizeOf(news catalog.News) int {
 	out := 0
 	for i := range news.Changes {
@@ -136,88 +136,88 @@
 	return len(data)
 }
 
-// ways are the ways from a listing to boxes, of the same rate as their links. A box
+// downlinks simulates the links from a listing to boxes, of the same rate as their uplinks. A box
 // reads a policy as platform.Store does.
-type ways struct {
-	mu       sync.Mutex
-	free     map[string]time.Time       // by box
-	known    map[string]*catalog.Policy // the same
-	learned  map[string]time.Time       // the same: when
-	arriving map[string]bool            // the same: a watch brings a policy
-	read     int                        // answers with a policy
+type downlinks struct {
+	mu         sync.Mutex
+	free       map[string]time.Time       // by box
+	policies   map[string]*catalog.Policy // by box
+	receivedAt map[string]time.Time       // when, by box
+	arriving   map[string]bool            // a watch receives a policy, by box
+	read       int                        // answers with a policy
 }
 
-func newWays() *ways {
-	return &ways{
-		free:     make(map[string]time.Time),
-		known:    make(map[string]*catalog.Policy),
-		learned:  make(map[string]time.Time),
-		arriving: make(map[string]bool),
+func newDownlinks() *downlinks {
+	return &downlinks{
+		free:       make(map[string]time.Time),
+		policies:   make(map[string]*catalog.Policy),
+		receivedAt: make(map[string]time.Time),
+		arriving:   make(map[string]bool),
 	}
 }
 
 const (
-	givenUpAt   = 1.25 // policies that a box reads of an answer with several
-	givenUpSoon = 0.25 // the same when one has just changed
+	readOfSeveral   = 1.25 // policies that a box reads of an answer with several before it gives up
+	readAfterChange = 0.25 // the same shortly after a change
 )
 
-// recent says whether a box has just learned a policy.
-func (w *ways) recent(box string) bool {
+// recent reports whether a box has received a policy recently.
+func (w *downlinks) recent(box string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Since(w.learned[box]) < 5*time.Second
+	return time.Since(w.receivedAt[box]) < 5*time.Second
 }
 
-// inBase64 is how much longer a value gets on its way from the listing.
-const inBase64 = 4.0 / 3
+// base64Factor is the factor by which base64 extends a value.
+const base64Factor = 4.0 / 3
 
-// take lets a box take a policy in, after what is on its way already.
-func (w *ways) take(ctx context.Context, box string, p *catalog.Policy, parts float64) {
+// transmit blocks until a box has received a policy after those before it on its link.
+func (w *downlinks) transmit(ctx context.Context, box string, p *catalog.Policy, parts float64) {
 	w.mu.Lock()
 	w.read++
 	start := w.free[box]
 	if now := time.Now(); start.Before(now) {
 		start = now
 	}
-	w.free[box] = start.Add(time.Duration(parts * float64(sizeOfPolicy(p)) * inBase64 / narrowLink * float64(time.Second)))
+	w.free[box] = start.Add(time.Duration(parts * float64(sizeOfPolicy(p)) * base64Factor / narrowLink * float64(time.Second)))
 	end := w.free[box]
 	w.mu.Unlock()
 	sleep.For(ctx, time.Until(end))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if parts == 1 {
-		w.known[box] = p
-		w.learned[box] = time.Now()
+		w.policies[box] = p
+		w.receivedAt[box] = time.Now()
 	}
 }
 
-// late returns what a box knows while a watch brings it a policy.
-func (w *ways) late(box string, p *catalog.Policy) (known *catalog.Policy, ok bool) {
+// heldDuringWatch returns the policy of a box whose watch is receiving a newer one.
+func (w *downlinks) heldDuringWatch(box string, p *catalog.Policy) (known *catalog.Policy, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if known = w.known[box]; known == nil || (known != p && !w.arriving[box]) {
+	if known = w.policies[box]; known == nil || (known != p && !w.arriving[box]) {
 		return nil, false
 	}
 	return known, true
 }
 
-func (w *ways) arrives(box string, is bool) {
+func (w *downlinks) setArriving(box string, is bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.arriving[box] = is
 }
 
-// narrowed returns a source whose answers take their time on the way to a box.
+// narrowed returns a source whose answers pass the link to a box.
 func (l *listing) narrowed(box string, s catalog.Source) catalog.Source {
 	read, wait := s.Read, s.Wait
 	s.Read = func(ctx context.Context) (catalog.Snapshot, error) {
 		out, err := read(ctx)
 		if w := l.ways.Load(); w != nil && err == nil {
-			known, ok := w.late(box, out.Policy)
+			known, ok := w.heldDuringWatch(box, out.Policy)
 			if ok {
 				out.Policy = known
 			} else {
-				w.take(ctx, box, out.Policy, 1)
+				w.transmit(ctx, box, out.Policy, 1)
 			}
 		}
 		return out, err
@@ -234,17 +234,17 @@
 				list = append(list, c.Policy)
 			}
 		}
-		w.arrives(box, len(list) > 0)
-		defer w.arrives(box, false)
+		w.setArriving(box, len(list) > 0)
+		defer w.setArriving(box, false)
 		switch {
 		case len(list) == 0:
 		case w.recent(box):
-			w.take(ctx, box, list[0], givenUpSoon)
+			w.transmit(ctx, box, list[0], readAfterChange)
 			return nil, 0, catalog.ErrHistoryGone
 		case len(list) == 1:
-			w.take(ctx, box, list[0], 1)
+			w.transmit(ctx, box, list[0], 1)
 		default:
-			w.take(ctx, box, list[0], givenUpAt)
+			w.transmit(ctx, box, list[0], readOfSeveral)
 			return nil, 0, catalog.ErrHistoryGone
 		}
 		return changes, rev, err
@@ -252,8 +252,8 @@
 	return s
 }
 
-// askPolicy asks a box for its policy, as over a connection.
-func (f *follows) askPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
+// fetchPolicy fetches the policy of a box, as over a connection.
+func (f *follows) fetchPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay)
 	if err != nil {
 		return news, err
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -36,7 +36,7 @@
 	deaf     bool                                                // changes are made that no watch hears of
 	page     int                                                 // replicas in one answer; 0 for all
 	way      func(box string) time.Duration                      // there and back for a call of a box; nil for none
-	ways     atomic.Pointer[ways]                                // to the boxes, nil for wide ones
+	ways     atomic.Pointer[downlinks]                           // to the boxes, nil for wide ones
 	jitter   func(most time.Duration, what ...any) time.Duration // a short time by the seed
 }
 
--- a/node/place_test.go
+++ b/node/place_test.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	known   = 6  // boxes of other regions, and of the own
-	actions = 60 // in one run
+	sceneBoxes = 6  // boxes of all regions
+	actions    = 60 // per run
 )
 
-// scene is a box that hears others, with what a test believes of them.
+// scene is a box that receives messages, with the expected records.
 type scene struct {
 	*rapid.T
-	box   *testBox
-	now   time.Duration
-	last  map[string]wire.BoxStatus
-	heard map[string]time.Duration
-	lost  map[string]time.Duration
-	rev   int64
+	box           *testBox
+	now           time.Duration
+	last          map[string]wire.BoxStatus
+	lastSeen      map[string]time.Duration
+	unreachableAt map[string]time.Duration
+	rev           int64
 }
 
 func newScene(t *rapid.T) *scene {
 	return &scene{
-		T:     t,
-		box:   newBox("self", "a", rapid.IntRange(0, 3).Draw(t, "replicas")),
-		now:   start,
-		last:  make(map[string]wire.BoxStatus),
-		heard: make(map[string]time.Duration),
-		lost:  make(map[string]time.Duration),
-		rev:   1,
+		T:             t,
+		box:           newBox("self", "a", rapid.IntRange(0, 3).Draw(t, "replicas")),
+		now:           start,
+		last:          make(map[string]wire.BoxStatus),
+		lastSeen:      make(map[string]time.Duration),
+		unreachableAt: make(map[string]time.Duration),
+		rev:           1,
 	}
 }
 
-// name returns a box; its region follows from its name.
+// name returns a random box and its region.
 func (s *scene) name() (name, region string) {
-	n := rapid.IntRange(0, known-1).Draw(s.T, "box")
+	n := rapid.IntRange(0, sceneBoxes-1).Draw(s.T, "box")
 	return fmt.Sprint("box-", n), regions[n%len(regions)]
 }
 
-func (s *scene) hear(*rapid.T) {
+func (s *scene) receive(*rapid.T) {
 	name, region := s.name()
 	b := status(name, region)
 	b.State = rapid.SampledFrom([]wire.ServingState{"", wire.ServingStateServing, wire.ServingStateStarting, wire.ServingStateLeaving}).Draw(s.T, "state")
@@ -61,26 +61,26 @@
 	var rooms []wire.ServiceRoom
 	if rapid.Bool().Draw(s.T, "tells") {
 		wait := rapid.SampledFrom([]time.Duration{0, time.Second, noCapacityWait}).Draw(s.T, "wait")
-		rooms = append(rooms, room(rapid.IntRange(0, 4).Draw(s.T, "usable"), wait))
+		rooms = append(rooms, serviceCapacity(rapid.IntRange(0, 4).Draw(s.T, "usable"), wait))
 	}
 	s.now += time.Millisecond // each is newer than the last
-	s.box.tells(b, s.now, rooms...)
+	s.box.receiveStatus(b, s.now, rooms...)
 	b.Rooms = rooms
 	s.last[name] = b
-	s.heard[name] = s.now
+	s.lastSeen[name] = s.now
 }
 
-func (s *scene) pass(*rapid.T) {
+func (s *scene) advance(*rapid.T) {
 	s.now += time.Duration(rapid.IntRange(1, 1500).Draw(s.T, "ms")) * time.Millisecond
 }
 
-func (s *scene) lose(*rapid.T) {
+func (s *scene) markUnreachable(*rapid.T) {
 	name, _ := s.name()
 	s.box.markUnreachable(name, s.now)
-	s.lost[name] = s.now
+	s.unreachableAt[name] = s.now
 }
 
-func (s *scene) cross(*rapid.T) {
+func (s *scene) recordRegionResult(*rapid.T) {
 	s.box.recordRegionResult(rapid.SampledFrom(regions[1:]).Draw(s.T, "region"), rapid.Bool().Draw(s.T, "answered"), s.now)
 }
 
@@ -113,7 +113,7 @@
 			s.Fatalf("nowhere for %q, yet %+v", t.Reason, t)
 		}
 	case t.Box != "":
-		s.away(q, t)
+		s.checkRemote(q, t)
 	case t.Choice.Replica == "" || !q.Route.Allows("a"):
 		s.Fatalf("homes %v: placed at %+v", q.Route.Homes, t.Choice)
 	default:
@@ -121,10 +121,10 @@
 	}
 }
 
-// away checks a request that goes to a box of another region.
-func (s *scene) away(q ingress.Ask, t ingress.Target) {
+// checkRemote checks a request that is sent to another region.
+func (s *scene) checkRemote(q ingress.Ask, t ingress.Target) {
 	b := s.last[t.Box]
-	lost, wasLost := s.lost[t.Box]
+	lost, wasLost := s.unreachableAt[t.Box]
 	switch {
 	case q.Relayed:
 		s.Fatalf("sent on to a third box")
@@ -136,9 +136,9 @@
 		s.Fatalf("%s of %s was asked before", t.Box, t.Region)
 	case b.State != "" && b.State != wire.ServingStateServing:
 		s.Fatalf("%s is %s", t.Box, b.State)
-	case s.now-s.heard[t.Box] > 2500*time.Millisecond:
-		s.Fatalf("%s was heard %v ago", t.Box, s.now-s.heard[t.Box])
-	case wasLost && s.heard[t.Box] <= lost:
+	case s.now-s.lastSeen[t.Box] > 2500*time.Millisecond:
+		s.Fatalf("%s was heard %v ago", t.Box, s.now-s.lastSeen[t.Box])
+	case wasLost && s.lastSeen[t.Box] <= lost:
 		s.Fatalf("%s could not be reached and was not heard since", t.Box)
 	}
 }
@@ -147,11 +147,11 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newScene(rt)
 		actionsOf := map[string]func(*rapid.T){
-			"hear":    s.hear,
-			"again":   s.hear,
-			"pass":    s.pass,
-			"lose":    s.lose,
-			"cross":   s.cross,
+			"hear":    s.receive,
+			"again":   s.receive,
+			"pass":    s.advance,
+			"lose":    s.markUnreachable,
+			"cross":   s.recordRegionResult,
 			"publish": s.publish,
 			"place":   s.place,
 			"other":   s.place,
@@ -166,7 +166,7 @@
 func TestDataBoundToAnotherRegionWaitsWhereNoneIsReachable(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 3)
-	b.tells(status("box-c", "c"), start, room(3, 0))
+	b.receiveStatus(status("box-c", "c"), start, serviceCapacity(3, 0))
 	got := b.place(ask(route("b")), start, lowest)
 	is.Equal(got.Reason, placement.Nothing)
 	is.Equal(got.Box, "")
@@ -176,7 +176,7 @@
 func TestDataBoundToAnotherRegionGoesThereAlsoWhenItIsSlow(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 3)
-	b.tells(status("box-b", "b"), start, room(1, 20*time.Second))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(1, 20*time.Second))
 	got := b.place(ask(route("b")), start, lowest)
 	is.Equal(got.Box, "box-b")
 	is.Equal(got.BoxAddr, "forward of box-b")
@@ -185,8 +185,8 @@
 func TestARegionThatRefusedIsNotAskedAgain(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(3, 0))
-	b.tells(status("box-c", "c"), start, room(3, time.Second))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
+	b.receiveStatus(status("box-c", "c"), start, serviceCapacity(3, time.Second))
 	q := ask(route())
 	is.Equal(b.place(q, start, lowest).Region, "b")
 	q.NoRegions = []string{"b"}
@@ -195,68 +195,68 @@
 	is.Equal(b.place(q, start, lowest).Reason, placement.Nothing)
 }
 
-// Datagrams come through a cut of one direction, so being heard is not enough.
-func TestABoxThatWasNotReachedIsUsedWhenItIsHeardAgainAfterAWhile(t *testing.T) {
+// Guards against the use of a box whose datagrams pass a partition in one direction.
+func TestAnUnreachableBoxIsUsedAgainAfterItsBackOffAndAHeartbeat(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	now := start
 	for _, out := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
-		b.tells(status("box-b", "b"), now, room(3, 0))
+		b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, 0))
 		is.Equal(b.place(ask(route()), now, lowest).Box, "box-b")
 		b.markUnreachable("box-b", now)
 		now += out - time.Millisecond
-		b.tells(status("box-b", "b"), now, room(3, 0))
+		b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, 0))
 		is.Equal(b.place(ask(route()), now, lowest).Box, "")
 		now += time.Millisecond
 	}
-	b.tells(status("box-b", "b"), now, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, 0))
 	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b")
 	b.markReached("box-b")
 	b.markUnreachable("box-b", now)
 	now += time.Second
-	b.tells(status("box-b", "b"), now, room(3, 0))
-	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b") // as at first
+	b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, 0))
+	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b") // the back-off starts anew
 }
 
 func TestRequestsThatFailTogetherLeaveABoxOutOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
 	for n := range 6 {
 		b.markUnreachable("box-b", start+time.Duration(n)*70*time.Millisecond)
 	}
 	later := start + time.Second
-	b.tells(status("box-b", "b"), later, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), later, serviceCapacity(3, 0))
 	is.Equal(b.place(ask(route()), later, lowest).Box, "box-b")
 }
 
 func TestOneRequestAtATimeTriesABoxThatWasNotReached(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
 	b.markUnreachable("box-b", start)
 	tried := start + time.Second
-	b.tells(status("box-b", "b"), tried, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), tried, serviceCapacity(3, 0))
 	is.Equal(b.place(ask(route()), tried, lowest).Box, "box-b")
 	is.Equal(b.place(ask(route()), tried+10*time.Millisecond, lowest).Box, "")
-	is.Equal(b.place(ask(route()), tried+probeWindow, lowest).Box, "box-b") // that one told nothing
+	is.Equal(b.place(ask(route()), tried+probeWindow, lowest).Box, "box-b") // the probe has no result
 	b.markReached("box-b")
 	is.Equal(b.place(ask(route()), tried+probeWindow, lowest).Box, "box-b")
 	is.Equal(b.place(ask(route()), tried+probeWindow, lowest).Box, "box-b")
 }
 
-func TestABoxThatWasNotReachedIsNotUsedUntilItIsHeard(t *testing.T) {
+func TestAnUnreachableBoxIsNotUsedBeforeItsNextHeartbeat(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
 	b.markUnreachable("box-b", start+time.Millisecond)
 	is.Equal(b.place(ask(route()), start+1500*time.Millisecond, lowest).Box, "")
 }
 
-func TestARequestThatAnotherBoxPassedOnGoesToNoThird(t *testing.T) {
+func TestAForwardedRequestGoesToNoThirdBox(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
 	q := ask(route())
 	q.Relayed = true
 	is.Equal(b.place(q, start, lowest).Reason, placement.Nothing)
@@ -268,24 +268,24 @@
 	is.Equal(other.Box, "box-b")
 }
 
-func TestARegionThatToldNothingIsAskedAndOneWithoutRoomIsNot(t *testing.T) {
+func TestARegionWithoutAReportIsTriedAndOneWithoutCapacityIsNot(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(0, 0))
-	b.tells(status("box-c", "c"), start, room(3, noCapacityWait))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(0, 0))
+	b.receiveStatus(status("box-c", "c"), start, serviceCapacity(3, noCapacityWait))
 	is.Equal(len(b.remoteRegions(ask(route()), start)), 0)
-	b.tells(status("box-d", "d"), start)
+	b.receiveStatus(status("box-d", "d"), start)
 	got := b.remoteRegions(ask(route()), start)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].region, "d")
 	is.Equal(got[0].estimate.Expect, unknownRegionWait)
 }
 
-func TestTheNewestWordOfARegionCounts(t *testing.T) {
+func TestTheLatestCapacityOfARegionCounts(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-1", "b"), start+time.Millisecond, room(4, time.Second))
-	b.tells(status("box-2", "b"), start, room(2, time.Minute))
+	b.receiveStatus(status("box-1", "b"), start+time.Millisecond, serviceCapacity(4, time.Second))
+	b.receiveStatus(status("box-2", "b"), start, serviceCapacity(2, time.Minute))
 	got := b.remoteRegions(ask(route()), start+11*time.Millisecond)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].estimate.Usable, 4)
@@ -294,7 +294,7 @@
 	is.Equal(len(got[0].boxes), 2)
 }
 
-func TestMoreRequestsGoAwayTheMoreTheyGain(t *testing.T) {
+func TestMoreRequestsAreSentToAnotherRegionTheMoreTheyGain(t *testing.T) {
 	is := is.New(t)
 	share := func(gain float64) float64 {
 		n := 0
@@ -330,7 +330,7 @@
 func TestRequestsStayWhereTheyAreServedInTime(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 1)
-	b.tells(status("box-b", "b"), start, room(10, 0))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(10, 0))
 	got := b.place(ask(route()), start, lowest)
 	is.Equal(got.Choice.Replica, "a-0")
 }
--- a/node/policies_test.go
+++ b/node/policies_test.go
@@ -22,7 +22,7 @@
 		if b.late != "" {
 			t.Error(b.late)
 		}
-		bytes, answers := b.links.Load().mostSent()
+		bytes, answers := b.links.Load().maxSent()
 		t.Logf("a box sent %d KB in %d answers, longest queue %v; in force after %v, leaving known after %v, removals after %v",
 			bytes/1000, answers, b.links.Load().longest, b.inForce, b.learned, b.worst)
 	})
--- a/node/storm_test.go
+++ b/node/policyfallback_test.go
@@ -11,21 +11,21 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// noJitter lets a box wait as long as it may.
+// noJitter makes waits as long as possible.
 func noJitter() float64 { return 0 }
 
-// A box that gets each version soon is not one that can't get a policy.
+// Guards against reads of the platform by a box that receives each version after a short delay.
 func TestABoxThatGetsOnePolicyAfterTheOtherReadsForItselfOnlyOnceItGetsNone(t *testing.T) {
 	is := is.New(t)
 	var p ownReading
 	const versions = 60
 	now := time.Duration(0)
-	for v := 1; v <= versions; v++ { // the one before is in force by now
+	for v := 1; v <= versions; v++ { // the previous one is in force
 		is.True(!p.readsFor(v-1, v, now, noJitter))
 		now += policyPause
 	}
 	reads := 0
-	for end := now + ownReadAfter; now < end; now += policyPause { // and the last never
+	for end := now + ownReadAfter; now < end; now += policyPause { // the last one never arrives
 		if p.readsFor(versions-1, versions, now, noJitter) {
 			reads++
 		}
@@ -35,7 +35,7 @@
 	is.True(!p.readsFor(versions-1, versions, now+5*ownReadAfter, noJitter))
 }
 
-func TestABoxThatGetsNoneOfManyPoliciesReadsForItself(t *testing.T) {
+func TestABoxThatMissesSeveralPoliciesReadsOne(t *testing.T) {
 	is := is.New(t)
 	var p ownReading
 	is.True(!p.readsFor(3, 4, 0, noJitter))
@@ -43,7 +43,7 @@
 	is.True(p.readsFor(3, 21, ownReadAfter, noJitter))
 }
 
-func TestBoxesReadAloneApart(t *testing.T) {
+func TestReadsOfBoxesAreSpreadInTime(t *testing.T) {
 	is := is.New(t)
 	var early, late ownReading
 	is.True(!early.readsFor(0, 1, 0, func() float64 { return 1 }))
@@ -53,7 +53,7 @@
 	is.True(late.readsFor(0, 1, ownReadAfter, noJitter))
 }
 
-func TestBoxesThatFailedAreLeftOutUntilOneGivesAPolicy(t *testing.T) {
+func TestFailedSourcesAreExcludedUntilAPolicyArrives(t *testing.T) {
 	is := is.New(t)
 	var p policySeeker
 	p.failed = append(p.failed, "a", "b")
@@ -65,8 +65,7 @@
 	is.Equal(p.excluded(), []string{""})
 }
 
-// Two boxes of the region that ended were asked by turns otherwise, 1.5 s each, and those
-// of other regions never.
+// Guards against a box that retries dead boxes of its region and never asks other regions.
 func TestAPolicyIsAskedOfOtherRegionsWhereAllOfTheOwnFailed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/node/reload_test.go
+++ b/node/reload_test.go
@@ -15,9 +15,9 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// reloading runs a box's look at its settings for some seconds, with a word to
-// reload them at the end, and returns how often they were read.
-func reloading(t *testing.T, changed func() bool, fail error) int {
+// countReloads polls the settings of a box for some seconds, requests a reload at the end, and
+// returns how often they were read.
+func countReloads(t *testing.T, changed func() bool, fail error) int {
 	t.Helper()
 	reads := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -45,14 +45,14 @@
 
 func TestSettingsAreReadWhenTheyMayHaveChanged(t *testing.T) {
 	is := is.New(t)
-	is.Equal(reloading(t, func() bool { return false }, nil), 1) // when told so
-	is.Equal(reloading(t, func() bool { return true }, nil), 11)
+	is.Equal(countReloads(t, func() bool { return false }, nil), 1) // on request
+	is.Equal(countReloads(t, func() bool { return true }, nil), 11)
 	asked := 0
 	once := func() bool {
 		asked++
 		return asked == 3
 	}
-	is.Equal(reloading(t, once, nil), 2)
+	is.Equal(countReloads(t, once, nil), 2)
 	asked = 0
-	is.Equal(reloading(t, once, errors.New("cut")), 9) // until they can be read
+	is.Equal(countReloads(t, once, errors.New("cut")), 9) // until they can be read
 }
--- a/node/silentdomains_test.go
+++ b/node/silentdomains_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOnlyWhatChangedOfTheSilentDomainsIsWrittenDown(t *testing.T) {
+func TestOnlyChangesOfSilentDomainsAreRecorded(t *testing.T) {
 	is := is.New(t)
 	is.Equal(difference([]string{"a", "b"}, []string{"b", "c"}), []string{"a"})
 	is.Equal(len(difference(nil, []string{"b"})), 0)
--- a/node/start_again_test.go
+++ b/node/start_again_test.go
@@ -73,7 +73,7 @@
 			Replica:  of,
 			InFlight: 5,
 		}}
-		b.tells(s, now)
+		b.receiveStatus(s, now)
 		return b.view.Get(second.Start()).Load(now).Requests
 	}
 	is.Equal(load(first.Start()), 0)
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -18,36 +18,36 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for n := range 4 {
-		b.tells(status(fmt.Sprint("box-", n), "a"), start+time.Duration(n)*time.Second)
+		b.receiveStatus(status(fmt.Sprint("box-", n), "a"), start+time.Duration(n)*time.Second)
 	}
-	b.tells(status("far", "b"), start)
+	b.receiveStatus(status("far", "b"), start)
 	all := []string{"self", "box-0", "box-1", "box-2", "box-3"}
 	is.Equal(b.sharers(start+4*time.Second), all)
 	is.Equal(b.sharers(start+time.Minute-time.Millisecond), all)
 	is.Equal(b.sharers(start+time.Minute), slices.Delete(slices.Clone(all), 1, 2))
 }
 
-func TestABoxThatKnowsFewOthersSupposesThatThereAreMore(t *testing.T) {
+func TestABoxWithFewRecordsAssumesMoreBoxes(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	for n, want := range []int{4, 3, 3} { // alone, its region may have a spare box beside the usual three
+	for n, want := range []int{4, 3, 3} { // alone it assumes one more
 		got := b.sharers(start)
 		is.Equal(len(got), want)
 		slices.Sort(got)
-		is.Equal(len(slices.Compact(got)), want) // all with names of their own
+		is.Equal(len(slices.Compact(got)), want) // unique names
 		is.True(slices.Contains(got, "self"))
-		b.tells(status(fmt.Sprint("box-", n), "a"), start)
+		b.receiveStatus(status(fmt.Sprint("box-", n), "a"), start)
 	}
 	is.Equal(len(b.sharers(start)), 4)
 	is.Equal(len(b.sharers(start+time.Hour)), 4)
 }
 
-func TestABoxThatLosesSightOfOthersDoesNotTakeTheirPartOfTheRetries(t *testing.T) {
+func TestABoxThatLosesOthersDoesNotTakeTheirAllocationOfRetries(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	is.Equal(b.retryBoxes(start), 3)
 	for n := range 8 {
-		b.tells(status(fmt.Sprint("box-", n), "a"), start)
+		b.receiveStatus(status(fmt.Sprint("box-", n), "a"), start)
 	}
 	is.Equal(b.retryBoxes(start+time.Minute-time.Millisecond), 9)
 	is.Equal(b.retryBoxes(start+time.Minute), 3)
@@ -56,7 +56,7 @@
 func TestABoxThatLeavesStillSharesQuotas(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.told("goes", "a", leavingState, true, start)
+	b.receiveState("goes", "a", leavingState, true, start)
 	is.True(slices.Contains(b.sharers(start), "goes"))
 }
 
@@ -84,7 +84,7 @@
 	return u, version
 }
 
-func inForce(news []placement.Belief) (out []string) {
+func policiesInForce(news []placement.Belief) (out []string) {
 	for _, b := range news {
 		if b.Reason == "policy in force" {
 			out = append(out, b.About)
@@ -104,20 +104,20 @@
 				newest = version
 				want = []string{fmt.Sprint(version)}
 			}
-			if got := inForce(b.applyUpdate(u, start)); !slices.Equal(got, want) {
+			if got := policiesInForce(b.applyUpdate(u, start)); !slices.Equal(got, want) {
 				t.Fatalf("told of policies %v in force, want %v", got, want)
 			}
 			if b.table.Version() != newest {
 				t.Fatalf("version %d in force after %d", b.table.Version(), newest)
 			}
-			if got := b.says(start).From.Policy; got != newest {
+			if got := b.message(start).From.Policy; got != newest {
 				t.Fatalf("says that %d is in force, it is %d", got, newest)
 			}
 		}
 	})
 }
 
-func TestWhatIsBelievedOfReplicasIsTold(t *testing.T) {
+func TestChangesOfReplicasAreReturned(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	news := b.publish(2, policy(2), append(replicas("a", 1), replicas("b", 1)...))
@@ -129,7 +129,7 @@
 	news = b.publish(3, policy(2), nil)
 	is.Equal(news, []placement.Belief{{Reason: "replica no longer listed", About: "a-0", Rev: 3}})
 	is.Equal(len(b.publish(1, policy(1), replicas("a", 1))), 0) // it is older
-	is.Equal(b.says(start).From.Catalog, 3)
+	is.Equal(b.message(start).From.Catalog, 3)
 }
 
 func TestANewerPolicyOfAnOlderSnapshotIsInForce(t *testing.T) {
@@ -137,31 +137,31 @@
 	b := newBox("self", "a", 1)
 	b.publish(5, nil, replicas("a", 2))
 	news := b.publish(4, policy(7), nil)
-	is.Equal(inForce(news), []string{"7"})
+	is.Equal(policiesInForce(news), []string{"7"})
 	is.Equal(b.table.Version(), 7)
 	is.Equal(len(b.view.Replicas()), 2) // the replicas are those of the newer one
 }
 
-func TestABoxWithoutAPolicyTellsNoRooms(t *testing.T) {
+func TestABoxWithoutAPolicySendsNoCapacity(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 1)
-	is.Equal(b.says(start).From.Rooms, []wire.ServiceRoom{{
+	is.Equal(b.message(start).From.Rooms, []wire.ServiceRoom{{
 		Service: service,
 		Usable:  1,
-		WaitMs:  b.says(start).From.Rooms[0].WaitMs,
+		WaitMs:  b.message(start).From.Rooms[0].WaitMs,
 	}})
 	b.state = newState(b.settings, b.self, 0)
-	is.Equal(len(b.says(start).From.Rooms), 0)
-	is.Equal(b.says(start).From.Policy, 0)
+	is.Equal(len(b.message(start).From.Rooms), 0)
+	is.Equal(b.message(start).From.Policy, 0)
 }
 
-func TestARegionWithoutReplicasTellsThatItHasNoRoom(t *testing.T) {
+func TestARegionWithoutReplicasSendsThatItHasNoCapacity(t *testing.T) {
 	is := is.New(t)
-	rooms := newBox("self", "a", 0).says(start).From.Rooms
-	is.Equal(rooms, []wire.ServiceRoom{room(0, noCapacityWait)})
+	rooms := newBox("self", "a", 0).message(start).From.Rooms
+	is.Equal(rooms, []wire.ServiceRoom{serviceCapacity(0, noCapacityWait)})
 }
 
-func TestAMessageIsHeardOnce(t *testing.T) {
+func TestAMessageIsAppliedOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 1)
 	other := status("other", "a")
@@ -169,7 +169,7 @@
 		Replica:  "a-0",
 		InFlight: 3,
 	}}
-	b.tells(other, start)
+	b.receiveStatus(other, start)
 	is.Equal(b.view.Get("a-0").Load(start).Requests, 3)
 	repeated := other
 	repeated.Seq = int(start / time.Millisecond)
@@ -180,6 +180,6 @@
 	is.Equal(b.view.Get("a-0").Load(start).Requests, 3)
 	other.Region = "b"
 	other.Box = "far"
-	b.tells(other, start) // its loads are no concern of this region
+	b.receiveStatus(other, start) // loads in another region don't count
 	is.Equal(b.view.Get("a-0").Load(start).Requests, 3)
 }
--- a/node/account_test.go
+++ b/node/usagereport_test.go
@@ -7,19 +7,18 @@
 	"github.com/matryer/is"
 )
 
-// An engine that had gone dark got three requests from each of the boxes that found it
-// out by themselves.
-func TestABoxTellsOfAnEngineThatDoesNotAnswer(t *testing.T) {
+// Guards against silent engines that each box has to find out by itself.
+func TestAnEngineThatDoesNotAnswerIsReportedAsSilent(t *testing.T) {
 	is := is.New(t)
-	b := crowded("box-000", largeBoxes)
+	b := newLargeRegionBox("box-000", largeBoxes)
 	id := replicas("a", 1)[0].ID
 	b.recordUsageReport(id, Account{Running: 3, Waiting: 1, Tokens: 900}, true, start, start)
 	is.Equal(b.view.Words(start)[0].Requests, 4)
 	at := start + 400*time.Millisecond
 	b.recordUsageReport(id, Account{}, false, at, at)
-	is.True(!b.view.Words(at)[0].Silent) // once says nothing
+	is.True(!b.view.Words(at)[0].Silent) // one unanswered request is not enough
 	at += 400 * time.Millisecond
-	b.tells(status("box-001", "a"), at)
+	b.receiveStatus(status("box-001", "a"), at)
 	b.recordUsageReport(id, Account{}, false, at, at)
 	is.True(b.view.Words(at)[0].Silent)
 	at += 400 * time.Millisecond
@@ -27,9 +26,9 @@
 	is.True(!b.view.Words(at)[0].Silent)
 }
 
-func TestABoxThatHearsNobodyCondemnsNoEngine(t *testing.T) {
+func TestABoxThatIsCutOffReportsNoEngineAsSilent(t *testing.T) {
 	is := is.New(t)
-	b := crowded("box-000", largeBoxes)
+	b := newLargeRegionBox("box-000", largeBoxes)
 	id := replicas("a", 1)[0].ID
 	b.recordUsageReport(id, Account{Running: 3}, true, start, start)
 	for n := range 5 {
