--- a/node/activeboxes.go
+++ b/node/activeboxes.go
@@ -13,7 +13,7 @@
 // activeOf returns the active boxes of a region.
 func activeOf(names []string) []string { return rendezvous.Top("callers", names, maxActive) }
 
-// activeSet is the set of active boxes of a region with more boxes than mostTaking; nil means
+// activeSet is the set of active boxes of a region with more boxes than maxActive; nil means
 // all. The others are standby boxes. Each active box sees a larger part of the load of the
 // region's replicas, and boxes exchange fewer reports.
 type activeSet map[string]bool
--- a/node/crossregion.go
+++ b/node/crossregion.go
@@ -39,9 +39,9 @@
 
 // recordRegionResult records whether a request to a region was answered.
 func (s *state) recordRegionResult(region string, ok bool, now time.Duration) {
-	path := s.regionFailures[region]
-	path.Add(!ok, now)
-	s.regionFailures[region] = path
+	failures := s.regionFailures[region]
+	failures.Add(!ok, now)
+	s.regionFailures[region] = failures
 }
 
 // sendsToRegion reports whether a request is sent to another region. The probability grows with
@@ -145,11 +145,11 @@
 
 // localLoss returns the expected loss in this region.
 func (s *state) localLoss(here placement.Outlook, ask ingress.Ask, goals placement.Goals, home string) float64 {
-	risk := here.Risk(goals) + ask.Request.Harm(here.Missing, here.Fewest)
+	loss := here.Risk(goals) + ask.Request.Harm(here.Missing, here.Fewest)
 	if home != "" && home != s.settings.Region {
-		risk += cacheMissCost * float64(here.Unsent) / 1000
+		loss += cacheMissCost * float64(here.Unsent) / 1000
 	}
-	return risk
+	return loss
 }
 
 // unreachableBox is a box that could not be reached.
@@ -163,8 +163,8 @@
 // doubles until a request reaches it. A heartbeat doesn't reset the back-off, since datagrams
 // pass a partition in one direction.
 func (s *state) markUnreachable(box string, now time.Duration) {
-	u, known := s.unreachable[box]
-	if known && u.backOff.On(now) {
+	u, recorded := s.unreachable[box]
+	if recorded && u.backOff.On(now) {
 		return // concurrent requests count once
 	}
 	u.failedAt = now
@@ -203,16 +203,16 @@
 		if at < 0 {
 			continue
 		}
-		room := m.Status.Rooms[at]
+		reported := m.Status.Rooms[at]
 		newest = m.Told
 		out = placement.Outlook{
-			Expect: time.Duration(room.WaitMs) * time.Millisecond,
-			Busy:   float64(room.Busy) / percent,
-			Usable: room.Usable,
-			Fewest: room.Fewest,
+			Expect: time.Duration(reported.WaitMs) * time.Millisecond,
+			Busy:   float64(reported.Busy) / percent,
+			Usable: reported.Usable,
+			Fewest: reported.Fewest,
 			AgeMs:  (now - m.Told).Milliseconds(),
 		}
-		ok = room.Usable > 0 && out.Expect < noCapacityWait
+		ok = reported.Usable > 0 && out.Expect < noCapacityWait
 	}
 	if newest < 0 {
 		out.Expect = unknownRegionWait
--- a/node/directory.go
+++ b/node/directory.go
@@ -90,8 +90,8 @@
 func (s *state) callerAddrs(own wire.ServingState, now time.Duration, want wire.ServingState, in func(region string) bool) []string {
 	var out []string
 	consider := func(box, region, callers string) {
-		standsBy := want == wire.ServingStateServing && !s.active[region].has(box)
-		if in(region) && !standsBy {
+		isStandby := want == wire.ServingStateServing && !s.active[region].has(box)
+		if in(region) && !isStandby {
 			out = append(out, callers)
 		}
 	}
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -30,7 +30,7 @@
 		if err := peer.Serve(ctx, n.listeners.peers, n.answerPeer, func(peer.Method, int) {}); err != nil {
 			n.record(decision.Event{
 				Kind:   decision.Lost,
-				Reason: "boxes can't ask this one",
+				Reason: "connections of other boxes not served",
 				Detail: err.Error(),
 			})
 		}
@@ -110,9 +110,9 @@
 }
 
 // send sends the datagrams that from makes of the state and of this box's status.
-func (n *Node) send(from func(s *state, self wire.BoxStatus) []roster.Packet) {
+func (n *Node) send(makePackets func(s *state, self wire.BoxStatus) []roster.Packet) {
 	var out []roster.Packet
-	_ = n.state.Do(func(s *state) { out = from(s, n.ownStatus(s)) })
+	_ = n.state.Do(func(s *state) { out = makePackets(s, n.ownStatus(s)) })
 	n.sendPackets(out)
 }
 
--- a/node/identity.go
+++ b/node/identity.go
@@ -26,7 +26,7 @@
 
 // errOtherService reports that the replica at an address may belong to another service than
 // its predecessor.
-var errOtherService = errors.New("service of the replica can't be told")
+var errOtherService = errors.New("the identity doesn't show the replica's service")
 
 // queueMisdirected queues a replica whose address belongs to another one now.
 func (n *Node) queueMisdirected(id string) {
--- a/node/installation_test.go
+++ b/node/installation_test.go
@@ -62,7 +62,7 @@
 	sends    []send
 	retries  []time.Duration
 	retrying bool // boxes also retry requests
-	extra    int  // retries beyond the ratio; 0 for repeatExtra
+	extra    int  // retries beyond the ratio; 0 for retryExtra
 }
 
 // newInstallation returns an installation without running boxes. The first machine of each
--- a/node/node.go
+++ b/node/node.go
@@ -31,20 +31,20 @@
 )
 
 const (
-	memoryLimitPercent = 60                     // percent of the memory limit that is given to the collector
-	heapGrowthPercent  = 20                     // percent of heap growth between collections
+	memoryLimitPercent = 60                     // of the process limit, for the collector
+	heapGrowthPercent  = 20                     // between collections
 	neverReadAge       = time.Hour              // age of a catalog that was never read
 	replicaIdleTimeout = 20 * time.Second       // of a connection to a replica
-	busyTimeout        = 30 * time.Second       // on a connection with a request that can't be sent again
+	busyTimeout        = 30 * time.Second       // without bytes, for a request that can't be retried
 	boxIdleTimeout     = 60 * time.Second       // of a connection to another box
-	stopMargin         = 400 * time.Millisecond // between the own end of a planned stop and the kill by the platform
+	stopMargin         = 400 * time.Millisecond // between the end of a planned stop and the kill by the platform
 )
 
 // Node is one box.
 type Node struct {
 	settings        Settings
 	adapter         Adapter
-	incarnation     int // higher after each start of the box
+	incarnation     int // grows with each start of the box
 	started         time.Time
 	log             *decision.Log
 	meter           *meter.Meter
@@ -63,7 +63,7 @@
 	refreshing      atomic.Bool  // a catalog update is being fetched from a reader
 	suspects        atomic.Int32 // requests under which replicas crashed, as sent to all boxes
 	served          *poison.Served
-	nextRemovalPull atomic.Int64 // until then nothing is fetched for unconfirmed removals alone, in nanoseconds since the start
+	nextRemovalPull atomic.Int64 // earliest fetch for unconfirmed removals alone, in nanoseconds since the start
 	replicaPool     *exchange.Pool
 	boxPool         *exchange.Pool
 	storePool       *exchange.Pool
--- a/node/serve.go
+++ b/node/serve.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	headerTimeout  = 10 * time.Second // frees abandoned connections; callers' own timeout is shorter
+	headerTimeout  = 10 * time.Second // callers' own timeout is shorter
 	idleTimeout    = 90 * time.Second // longer than callers keep a connection
 	maxHeaderBytes = 64 << 10
 	directoryTTL   = 800 * time.Millisecond
--- a/node/state.go
+++ b/node/state.go
@@ -26,7 +26,7 @@
 	noAllocation    = math.MaxInt32 // a divisor that leaves no allocation
 
 	capacityIntervalPerReplica = 400 * time.Microsecond // between two computations of the region's capacity, for each of its replicas
-	maxCapacityInterval        = 2 * time.Second        // of it, below the TTL of a received capacity
+	maxCapacityInterval        = 2 * time.Second        // below capacityTTL
 )
 
 // state is the recorded state of a box. It belongs to one actor, and takes the time as an
@@ -37,17 +37,17 @@
 	view           *placement.View
 	budget         *budget.Budget
 	content        *catalog.Content
-	table          *catalog.Table            // nil until a policy is known
-	loggedAlive    map[string]bool           // boxes, as last logged
+	table          *catalog.Table            // nil without a policy
+	loggedAlive    map[string]bool           // state of boxes, as last logged
 	loggedComplete bool                      // all boxes of the region are recorded, as last logged
 	loggedSilent   []string                  // silent failure domains, as last logged
 	regionFailures map[string]decay.Failures // failures of requests, by region
-	unreachable    map[string]unreachableBox // by box
+	unreachable    map[string]unreachableBox // boxes that could not be reached, by name
 	routeRequests  map[string]decay.Count    // requests, by the name of a bound route
 	removals       map[string]lapses         // removals that boxes have sent, by box
-	active         map[string]activeSet      // boxes that callers are sent to, by region
+	active         map[string]activeSet      // active boxes, by region
 	replicaIDs     replicaIDs
-	unanswered     map[string]int   // consecutive requests for a usage report, by engine
+	unanswered     map[string]int   // consecutive unanswered requests for usage reports, by engine
 	reportedBorn   map[string]int64 // start times from engines' own reports, by replica id
 	seq            int              // of the last status sent
 	refreshCount   int              // updates fetched from readers
@@ -59,11 +59,11 @@
 // newState returns the state of a box without any records.
 func newState(s Settings, self wire.BoxStatus, now time.Duration) *state {
 	pacer := pacing.New(s.Box, coldTerms(s.Bounds), pacing.WithStart(now))
-	short := make(replicaIDs)
+	ids := make(replicaIDs)
 	return &state{
 		settings:       s,
 		roster:         roster.New(self, roster.WithSeeds(otherSeeds(s))),
-		view:           placement.NewView(s.Region, s.Domain, pacer, placement.WithStarts(short.add, short.drop)),
+		view:           placement.NewView(s.Region, s.Domain, pacer, placement.WithStarts(ids.add, ids.drop)),
 		budget:         budget.New(retryTerms(s.Bounds)),
 		content:        catalog.NewContent(),
 		loggedAlive:    make(map[string]bool),
@@ -72,7 +72,7 @@
 		routeRequests:  make(map[string]decay.Count),
 		removals:       make(map[string]lapses),
 		active:         make(map[string]activeSet),
-		replicaIDs:     short,
+		replicaIDs:     ids,
 		unanswered:     make(map[string]int),
 		reportedBorn:   make(map[string]int64),
 		poison:         poison.NewWatch(s.Box),
@@ -104,9 +104,9 @@
 // applyUpdate applies a catalog update and returns the changes of the recorded state.
 func (s *state) applyUpdate(u catalog.Update, now time.Duration) []placement.Belief {
 	var out []placement.Belief
-	taken := s.content.Take(u)
-	known := s.content.Newest() > 0 // a policy from another box may arrive before the replicas
-	if p := s.content.Policy(); known && p != nil && (s.table == nil || p.Version > s.table.Version()) {
+	applied := s.content.Take(u)
+	hasCatalog := s.content.Newest() > 0 // a policy from another box may arrive before the replicas
+	if p := s.content.Policy(); hasCatalog && p != nil && (s.table == nil || p.Version > s.table.Version()) {
 		s.table = catalog.NewTable(*p)
 		s.view.SetTable(s.table)
 		s.pruneRoutes()
@@ -115,7 +115,7 @@
 			About:  fmt.Sprint(p.Version),
 		})
 	}
-	if !taken {
+	if !applied {
 		return out
 	}
 	return append(out, s.updateView(now)...)
@@ -152,18 +152,18 @@
 	}
 	s.view.Pacer().SetStart(since) // other boxes' earlier requests count for a window
 	out := append([]string{s.settings.Box}, s.roster.Sharers(s.settings.Region, now)...)
-	fewest := minSharers
+	minimum := minSharers
 	if len(out) == 1 {
-		fewest = minSharersAlone
+		minimum = minSharersAlone
 	}
-	for n := len(out); n < fewest; n++ {
+	for n := len(out); n < minimum; n++ {
 		out = append(out, fmt.Sprint("unknown-", n)) // boxes that may be cut off from this one
 	}
 	return out
 }
 
 // retryBoxes returns the number of boxes that share the retries beyond the ratio, this one
-// included, or noPart where this box has no allocation. The active boxes of all regions share
+// included, or noAllocation where this box has no allocation. The active boxes of all regions share
 // them: divided among all boxes, an allocation would be below one retry. Silent boxes count
 // for a while, so that boxes that are cut off from each other compute the same number. Until
 // all boxes of the region are recorded, it assumes the largest installation.
@@ -322,12 +322,12 @@
 	here := s.view.Outlook(ask.Request, sharers, now)
 	others := s.remoteRegions(ask, now)
 	home := s.homeRegion(ask, here, others)
-	far, hasFar := s.lowestLoss(others, ask, home, goals, now)
+	remote, hasRemote := s.lowestLoss(others, ask, home, goals, now)
 	allowed := ask.Route.Allows(s.settings.Region)
-	if hasFar {
-		risk := s.localLoss(here, ask, goals, home)
-		if !allowed || here.Reason != placement.None || sendsToRegion(risk, far.loss, far.region == home, draw) {
-			t := remoteTarget(far, draw)
+	if hasRemote {
+		loss := s.localLoss(here, ask, goals, home)
+		if !allowed || here.Reason != placement.None || sendsToRegion(loss, remote.loss, remote.region == home, draw) {
+			t := remoteTarget(remote, draw)
 			s.markProbed(t.Box, now)
 			return t
 		}
@@ -351,15 +351,15 @@
 	if ask.Trial == nil {
 		return s.view.Pick(ask.Request, sharers, now)
 	}
-	for most := 0; ; most++ {
-		but := s.poison.Trials(*ask.Trial, most)
+	for maxTrials := 0; ; maxTrials++ {
+		excluded := s.poison.Trials(*ask.Trial, maxTrials)
 		request := ask.Request
-		request.Tried = slices.Concat(request.Tried, but)
+		request.Tried = slices.Concat(request.Tried, excluded)
 		c := s.view.Pick(request, sharers, now)
 		if c.Replica != "" {
 			s.poison.BeginTrial(c.Replica, *ask.Trial)
 		}
-		if c.Replica != "" || len(but) == 0 {
+		if c.Replica != "" || len(excluded) == 0 {
 			return c
 		}
 	}
@@ -381,5 +381,5 @@
 	return ingress.Target{}, false
 }
 
-// placementRetryWait is the wait before the next attempt at a placement where no other time is known.
+// placementRetryWait is the wait before the next attempt at a placement without a known time.
 const placementRetryWait = 40 * time.Millisecond
--- a/node/usagereport.go
+++ b/node/usagereport.go
@@ -80,10 +80,10 @@
 
 // reportingIncarnation returns the incarnation of a replica that sent a usage report. An incarnation later
 // than the recorded one is applied, since its catalog entry may be a heartbeat late.
-func (s *state) reportingIncarnation(known string, born int64, now time.Duration) (string, []placement.Belief) {
-	info, svc := s.listed(known)
+func (s *state) reportingIncarnation(recorded string, born int64, now time.Duration) (string, []placement.Belief) {
+	info, svc := s.listed(recorded)
 	if svc == nil || born == 0 || info.Born == 0 || born == info.Born {
-		return known, nil
+		return recorded, nil
 	}
 	id := Identity{
 		ID:   info.ID,
@@ -95,7 +95,7 @@
 	case born < info.Born:
 		return next.Start(), nil // without a record
 	case born <= s.reportedBorn[info.ID]:
-		return known, nil // the catalog has overruled it
+		return recorded, nil // the catalog has overruled it
 	}
 	s.reportedBorn[info.ID] = born
 	return next.Start(), s.applyUpdate(replacementUpdate(info, svc, id), now)
--- a/node/usagereport_test.go
+++ b/node/usagereport_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against silent engines that each box has to find out by itself.
+// Guards against silent engines that each box detects only by its own requests.
 func TestAnEngineThatDoesNotAnswerIsReportedAsSilent(t *testing.T) {
 	is := is.New(t)
 	b := newLargeRegionBox("box-000", largeBoxes)
