--- a/node/activeboxes_test.go
+++ b/node/activeboxes_test.go
@@ -106,7 +106,7 @@
 	is.Equal(len(asks), largeReplicas)
 	for id, n := range asks {
 		if n != 1 {
-			t.Errorf("%s is asked by %d boxes", id, n)
+			t.Errorf("%s receives report requests of %d boxes", id, n)
 		}
 	}
 	is.Equal(len(newLargeRegionBox("box-000", 9).reportTargets(start)), 0) // few boxes send each other their loads
--- a/node/cost_test.go
+++ b/node/cost_test.go
@@ -51,9 +51,9 @@
 	box := largeBox()
 	q := askShared(route(), "part")
 	limits := []struct {
-		what string
-		most uint64 // bytes
-		f    func()
+		what  string
+		limit uint64 // bytes
+		f     func()
 	}{
 		{"a request", 18_000, func() {
 			c := box.place(q, start, rand.IntN).Choice
@@ -67,8 +67,8 @@
 		}},
 	}
 	for _, l := range limits {
-		if got := bytesOf(l.f); got > l.most {
-			t.Errorf("%s takes %d bytes, at most %d are allowed", l.what, got, l.most)
+		if got := bytesOf(l.f); got > l.limit {
+			t.Errorf("%s takes %d bytes, at most %d are allowed", l.what, got, l.limit)
 		}
 	}
 }
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -149,7 +149,7 @@
 	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("near"))
 }
 
-func TestAnAnswerNamesNoMoreThanSoManyBoxes(t *testing.T) {
+func TestADirectoryAnswerHasAMaximumOfBoxes(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for n := range 3 * maxDirectoryAddrs {
--- a/node/home_test.go
+++ b/node/home_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestAPromptWithLittleInCommonHasNoHome(t *testing.T) {
+func TestAPromptWithFewSharedTokensHasNoHome(t *testing.T) {
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 1, "b": 1}, start)[0]
 	q := askShared(route(), "part")
@@ -108,7 +108,7 @@
 
 // Guards against a request that stays because a local replica is preferred for its segments,
 // though another region caches them.
-func TestAPromptGoesToTheHomeOfItsPartsAlsoWhereThisRegionHasReplicas(t *testing.T) {
+func TestAPromptGoesToTheHomeOfItsSegmentsAlsoWhereThisRegionHasReplicas(t *testing.T) {
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 2, "b": 2, "c": 2}, start)[0]
 	away := 0
@@ -149,7 +149,7 @@
 	is.Equal(b.regionOf(now, 0, far), "b")
 }
 
-func TestAnAnswerMakesUpForAFailureOfARegion(t *testing.T) {
+func TestAnswersOutweighEarlierFailuresOfARegion(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for range 10 {
--- a/node/installation_test.go
+++ b/node/installation_test.go
@@ -298,7 +298,7 @@
 	for _, s := range flood {
 		t.Logf("%v: %s, %v old, shares with %d boxes", s.at, s.box, s.age, s.shared)
 	}
-	t.Fatalf("a cold replica got %d requests in a second, the bound is %d", len(flood), coldBound)
+	t.Fatalf("a cold replica received %d requests in a second, the bound is %d", len(flood), coldBound)
 }
 
 // maxRetries returns the maximum number of retries in a window of the budget.
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -207,8 +207,8 @@
 	w.arriving[box] = is
 }
 
-// narrowed returns a source whose answers pass the link to a box.
-func (l *listing) narrowed(box string, s catalog.Source) catalog.Source {
+// throughDownlink returns a source whose answers pass the link to a box.
+func (l *listing) throughDownlink(box string, s catalog.Source) catalog.Source {
 	read, wait := s.Read, s.Wait
 	s.Read = func(ctx context.Context) (catalog.Snapshot, error) {
 		out, err := read(ctx)
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -152,7 +152,7 @@
 
 // source returns the listing as a box meets it.
 func (l *listing) source(box string) catalog.Source {
-	return l.narrowed(box, catalog.Source{
+	return l.throughDownlink(box, catalog.Source{
 		First: func(ctx context.Context, goOn func(catalog.Snapshot) error) (catalog.Snapshot, error) {
 			return l.readPages(ctx, box, goOn)
 		},
--- a/node/place_test.go
+++ b/node/place_test.go
@@ -110,12 +110,12 @@
 	switch {
 	case t.Reason != placement.None:
 		if t.Box != "" || t.Choice.Replica != "" || t.Wait <= 0 {
-			s.Fatalf("nowhere for %q, yet %+v", t.Reason, t)
+			s.Fatalf("no target for the reason %q, but got %+v", t.Reason, t)
 		}
 	case t.Box != "":
 		s.checkRemote(q, t)
 	case t.Choice.Replica == "" || !q.Route.Allows("a"):
-		s.Fatalf("homes %v: placed at %+v", q.Route.Homes, t.Choice)
+		s.Fatalf("data bound to %v, placed at %+v", q.Route.Homes, t.Choice)
 	default:
 		s.box.view.End(&t.Choice, placement.Answered, time.Millisecond, s.now)
 	}
@@ -127,19 +127,19 @@
 	lost, wasLost := s.unreachableAt[t.Box]
 	switch {
 	case q.Relayed:
-		s.Fatalf("sent on to a third box")
+		s.Fatalf("forwarded to a third box")
 	case t.Choice.Replica != "" || t.Region != b.Region || t.BoxAddr != b.Forward || b.Forward == "":
-		s.Fatalf("%s told %+v, the target is %+v", t.Box, b, t)
+		s.Fatalf("%s sent %+v, the target is %+v", t.Box, b, t)
 	case t.Region == "a" || !q.Route.Allows(t.Region):
-		s.Fatalf("homes %v, but sent to %s", q.Route.Homes, t.Region)
+		s.Fatalf("data bound to %v, sent to %s", q.Route.Homes, t.Region)
 	case slices.Contains(q.NoRegions, t.Region) || slices.Contains(q.TriedBoxes, t.Box):
-		s.Fatalf("%s of %s was asked before", t.Box, t.Region)
+		s.Fatalf("%s of %s was tried before", t.Box, t.Region)
 	case b.State != "" && b.State != wire.ServingStateServing:
 		s.Fatalf("%s is %s", t.Box, b.State)
 	case s.now-s.lastSeen[t.Box] > 2500*time.Millisecond:
-		s.Fatalf("%s was heard %v ago", t.Box, s.now-s.lastSeen[t.Box])
+		s.Fatalf("%s sent its last status %v ago", t.Box, s.now-s.lastSeen[t.Box])
 	case wasLost && s.lastSeen[t.Box] <= lost:
-		s.Fatalf("%s could not be reached and was not heard since", t.Box)
+		s.Fatalf("%s could not be reached and sent no status since", t.Box)
 	}
 }
 
@@ -313,7 +313,7 @@
 		gain := rapid.Float64Range(-2000, 2000).Draw(t, "gain")
 		more := rapid.Float64Range(0, 500).Draw(t, "more")
 		if share(gain+more) < share(gain) {
-			t.Fatalf("a gain of %v sends fewer away than %v", gain+more, gain)
+			t.Fatalf("a gain of %v sends fewer requests to another region than %v", gain+more, gain)
 		}
 	})
 }
--- a/node/schedule_test.go
+++ b/node/schedule_test.go
@@ -7,7 +7,7 @@
 
 // after schedules act after d and a random jitter.
 func (f *follows) after(d time.Duration, act func()) {
-	f.later(d+f.jitter(mostJitter, "after", f.rnd.Uint64())+1, act) // an even one
+	f.later(d+f.jitter(mostJitter, "after", f.rnd.Uint64())+1, act) // at an even nanosecond
 }
 
 // later schedules act after exactly d.
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -105,13 +105,13 @@
 				want = []string{fmt.Sprint(version)}
 			}
 			if got := policiesInForce(b.applyUpdate(u, start)); !slices.Equal(got, want) {
-				t.Fatalf("told of policies %v in force, want %v", got, want)
+				t.Fatalf("policies in force %v, want %v", got, want)
 			}
 			if b.table.Version() != newest {
 				t.Fatalf("version %d in force after %d", b.table.Version(), newest)
 			}
 			if got := b.message(start).From.Policy; got != newest {
-				t.Fatalf("says that %d is in force, it is %d", got, newest)
+				t.Fatalf("sends version %d, %d is in force", got, newest)
 			}
 		}
 	})
@@ -125,7 +125,7 @@
 		{Reason: "policy in force", About: "2"},
 		{Reason: "replica listed", About: "a-0", Rev: 1},
 	})
-	is.Equal(len(b.publish(2, policy(2), replicas("a", 1))), 0) // nothing new
+	is.Equal(len(b.publish(2, policy(2), replicas("a", 1))), 0) // no changes
 	news = b.publish(3, policy(2), nil)
 	is.Equal(news, []placement.Belief{{Reason: "replica no longer listed", About: "a-0", Rev: 3}})
 	is.Equal(len(b.publish(1, policy(1), replicas("a", 1))), 0) // it is older
