--- a/node/accept_test.go
+++ b/node/accept_test.go
@@ -25,7 +25,6 @@
 
 var _ net.Listener = (*noDescriptorListener)(nil)
 
-// Accept fails.
 func (l *noDescriptorListener) Accept() (net.Conn, error) {
 	select {
 	case <-l.closed:
@@ -46,7 +45,6 @@
 	return nil
 }
 
-// Addr returns an address.
 func (l *noDescriptorListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // Guards against a stop that waits beyond its limit for the sleep of net/http after a failed
--- a/node/activeboxes.go
+++ b/node/activeboxes.go
@@ -18,7 +18,6 @@
 // region's replicas, and boxes exchange fewer reports.
 type activeSet map[string]bool
 
-// has reports whether a box is active.
 func (t activeSet) has(box string) bool { return t == nil || t[box] }
 
 // chooseActive selects the active boxes of all regions. Boxes with the same records agree,
--- a/node/core.go
+++ b/node/core.go
@@ -63,8 +63,8 @@
 	return n.storeOK.Load() && due == 0
 }
 
-// recordPolicyVersion records the policy version of a box that forwarded a request. A follower fetches
-// a newer policy from other boxes: a read per request would fill its link.
+// recordPolicyVersion records the policy version of a box that forwarded a request. A follower
+// fetches a newer policy from other boxes: a read per request would fill its link.
 func (n *Node) recordPolicyVersion(version int) {
 	n.state.Post(func(s *state) { s.content.HeardOfPolicy(version) })
 	if !n.isFollower.Load() {
@@ -91,7 +91,6 @@
 // notified of a request at once, since two long prompts at one engine delay its streams.
 const notifyTokens = 2500
 
-// countRequest counts a request for the retry budget.
 func (n *Node) countRequest(service string) {
 	n.state.Post(func(s *state) { s.budget.Request(service, n.now()) })
 }
@@ -114,7 +113,6 @@
 	n.state.Post(func(s *state) { s.view.Written(&choice, now) })
 }
 
-// recordFirstByte records the time to the first byte of an answer.
 func (n *Node) recordFirstByte(c *placement.Choice, took time.Duration) {
 	_ = n.state.Do(func(s *state) { s.view.First(c, took, n.now()) })
 }
@@ -138,7 +136,6 @@
 	n.state.Post(func(s *state) { s.view.Streamed(service, events, guess) })
 }
 
-// recordProgress records that a replica continues an answer.
 func (n *Node) recordProgress(c *placement.Choice) {
 	_ = n.state.Do(func(s *state) { s.view.Heard(c, n.now()) })
 }
@@ -177,7 +174,6 @@
 	}
 }
 
-// recordEjection records the ejection of a replica.
 func (n *Node) recordEjection(replica string) {
 	n.record(decision.Event{
 		Kind:     decision.Belief,
@@ -186,7 +182,6 @@
 	})
 }
 
-// recordRegionResult records whether a request to another region was answered.
 func (n *Node) recordRegionResult(box, region string, ok bool) {
 	n.state.Post(func(s *state) {
 		s.recordRegionResult(region, ok, n.now())
@@ -196,7 +191,6 @@
 	})
 }
 
-// recordUnreachable records that a box could not be reached.
 func (n *Node) recordUnreachable(box string) {
 	n.state.Post(func(s *state) { s.markUnreachable(box, n.now()) })
 	n.record(decision.Event{
--- a/node/crossregion.go
+++ b/node/crossregion.go
@@ -37,7 +37,6 @@
 	loss      float64           // expected loss
 }
 
-// recordRegionResult records whether a request to a region was answered.
 func (s *state) recordRegionResult(region string, ok bool, now time.Duration) {
 	failures := s.regionFailures[region]
 	failures.Add(!ok, now)
@@ -143,7 +142,6 @@
 	return best, len(others) > 0
 }
 
-// localLoss returns the expected loss in this region.
 func (s *state) localLoss(here placement.Outlook, ask ingress.Ask, goals placement.Goals, home string) float64 {
 	loss := here.Risk(goals) + ask.Request.Harm(here.Missing, here.Fewest)
 	if home != "" && home != s.settings.Region {
@@ -152,16 +150,14 @@
 	return loss
 }
 
-// unreachableBox is a box that could not be reached.
 type unreachableBox struct {
 	failedAt time.Duration   // time of the failure
 	backOff  absence.Absence // no requests are sent while it is on
 	probedAt time.Duration   // time of the last request that probed it
 }
 
-// markUnreachable records that a box could not be reached. It receives no requests during a back-off that
-// doubles until a request reaches it. A heartbeat doesn't reset the back-off, since datagrams
-// pass a partition in one direction.
+// markUnreachable starts a back-off for a box that could not be reached. The back-off doubles
+// until a request reaches the box. Heartbeats don't end it: they pass one-way partitions.
 func (s *state) markUnreachable(box string, now time.Duration) {
 	u, recorded := s.unreachable[box]
 	if recorded && u.backOff.On(now) {
@@ -181,11 +177,10 @@
 	}
 }
 
-// markReached records that a box was reached.
 func (s *state) markReached(box string) { delete(s.unreachable, box) }
 
-// isUnreachable reports whether a box is in back-off, is being probed, or has sent no heartbeat since
-// the last failure.
+// isUnreachable reports whether a box is in back-off, is being probed, or has sent no
+// heartbeat since the last failure.
 func (s *state) isUnreachable(m *roster.Member, now time.Duration) bool {
 	u, ok := s.unreachable[m.Status.Box]
 	return ok && (u.backOff.On(now) || m.Heard <= u.failedAt || (u.probedAt > 0 && now-u.probedAt < probeWindow))
--- a/node/directory.go
+++ b/node/directory.go
@@ -16,7 +16,6 @@
 	minHomeShare     = 0.97             // share of them whose data may enter a region; the platform allows one in 20 that may not
 )
 
-// countRouteRequest counts a request for a bound route.
 func (s *state) countRouteRequest(route string, now time.Duration) {
 	n := s.routeRequests[route]
 	n.Add(1, now, routeHalfLife)
--- a/node/drain.go
+++ b/node/drain.go
@@ -68,7 +68,6 @@
 	}
 }
 
-// anotherBoxServes reports whether another box of the region serves.
 func (n *Node) anotherBoxServes() (out bool) {
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
 		out = len(s.roster.Serving(s.settings.Region, n.now())) > 0
--- a/node/dump.go
+++ b/node/dump.go
@@ -105,7 +105,6 @@
 	return d
 }
 
-// fillDump adds the recorded state.
 func (s *state) fillDump(d *Dump, now time.Duration) {
 	d.Revision = s.content.Newest()
 	d.Sharing = len(s.sharers(now))
--- a/node/fixtures_test.go
+++ b/node/fixtures_test.go
@@ -44,7 +44,6 @@
 	return b
 }
 
-// publish applies a snapshot of a revision.
 func (b *testBox) publish(revision int64, p *catalog.Policy, all []catalog.Replica) []placement.Belief {
 	return b.applyUpdate(catalog.Update{
 		Revision: revision,
@@ -57,7 +56,6 @@
 	}, start)
 }
 
-// message returns the message of the box at now.
 func (b *testBox) message(now time.Duration) wire.Gossip {
 	return wire.Gossip{
 		From: b.fillStatus(b.self, now),
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -79,7 +79,6 @@
 	})
 }
 
-// sendHeartbeats sends one round of heartbeats.
 func (n *Node) sendHeartbeats() {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		now := n.now()
@@ -109,21 +108,19 @@
 	})
 }
 
-// send sends the datagrams that from makes of the state and of this box's status.
+// send sends the datagrams that makePackets makes of the state and of this box's status.
 func (n *Node) send(makePackets func(s *state, self wire.BoxStatus) []roster.Packet) {
 	var out []roster.Packet
 	_ = n.state.Do(func(s *state) { out = makePackets(s, n.ownStatus(s)) })
 	n.sendPackets(out)
 }
 
-// sendPackets sends datagrams.
 func (n *Node) sendPackets(list []roster.Packet) {
 	for _, p := range list {
 		n.sendPacket(p)
 	}
 }
 
-// ownStatus returns the current status of this box.
 func (n *Node) ownStatus(s *state) wire.BoxStatus {
 	out := s.fillStatus(n.status(), n.now())
 	out.ReadMs = n.readMs()
@@ -151,7 +148,6 @@
 	n.compareCatalog(ctx, g.From, int64(g.From.Catalog))
 }
 
-// receiveCompact applies a compact datagram.
 func (n *Node) receiveCompact(ctx context.Context, b roster.Compact, from string) {
 	var h roster.Heard
 	_ = n.state.Do(func(s *state) { h = s.receiveCompact(b, from, n.now()) })
@@ -162,8 +158,8 @@
 	n.compareCatalog(ctx, h.Status, max(b.Catalog, b.Newest))
 }
 
-// compareCatalog compares the catalog of another box with the own one. A follower, or a box that can't
-// read the catalog, fetches a newer one from there.
+// compareCatalog fetches a newer catalog from another box if this one is a follower or can't
+// read the catalog.
 func (n *Node) compareCatalog(ctx context.Context, from wire.BoxStatus, newest int64) {
 	var has copyState
 	var waited time.Duration
--- a/node/home_test.go
+++ b/node/home_test.go
@@ -32,7 +32,6 @@
 	return boxes
 }
 
-// homeOf returns the home region of a request according to the box.
 func (b *testBox) homeOf(q ingress.Ask, now time.Duration) string {
 	here := b.view.Outlook(q.Request, b.sharers(now), now)
 	return b.homeRegion(q, here, b.remoteRegions(q, now))
--- a/node/identity.go
+++ b/node/identity.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	recheckAge      = 3 * time.Second        // age of the catalog from which a misdirected request triggers a check; a started replica is listed sooner
+	recheckAge      = 3 * time.Second        // age of the catalog from which a misdirected request triggers a check
 	identityTimeout = 600 * time.Millisecond // for an answer of a replica
 	maxMisdirected  = 64                     // ids in the queue
 )
--- a/node/installation_test.go
+++ b/node/installation_test.go
@@ -96,7 +96,6 @@
 	return m
 }
 
-// after schedules act.
 func (in *installation) after(d time.Duration, act func()) {
 	in.clock.After(d, func() {
 		in.now = in.clock.Now()
@@ -104,7 +103,6 @@
 	})
 }
 
-// run advances the clock.
 func (in *installation) run(d time.Duration) {
 	in.clock.RunUntil(in.clock.Now() + d)
 	in.now = in.clock.Now()
@@ -115,7 +113,6 @@
 	return time.Duration(in.rnd.Int64N(int64(d) + 1))
 }
 
-// start starts a box on m.
 func (in *installation) start(m *machine) {
 	m.inc = 1 + int(in.now/time.Millisecond)
 	m.born = in.now
@@ -143,7 +140,6 @@
 	in.after(in.upTo(requestInterval), func() { in.every(requestInterval, alive, func() { in.sendCold(m) }) })
 }
 
-// kill ends the box on m at once.
 func (in *installation) kill(m *machine) { m.state = nil }
 
 // restart kills the box on m, if any, and starts another one after down.
@@ -202,14 +198,12 @@
 	}
 }
 
-// fullStatus returns the current status of the box.
 func (m *machine) fullStatus(age time.Duration) wire.BoxStatus {
 	return m.state.fillStatus(m.status(), age)
 }
 
 func (m *machine) age(in *installation) time.Duration { return in.now - m.born }
 
-// post sends datagrams.
 func (in *installation) post(from *machine, list []roster.Packet) {
 	for _, p := range list {
 		to := in.byAddr[p.Addr]
@@ -288,7 +282,6 @@
 	return nil
 }
 
-// checkColdRate fails the test if a cold replica received too many requests.
 func (in *installation) checkColdRate(t testing.TB) {
 	t.Helper()
 	flood := in.excessSends()
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -76,7 +76,6 @@
 	sleep.For(ctx, took)
 }
 
-// reset clears the counts.
 func (l *links) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +160,6 @@
 	readAfterChange = 0.25 // the same shortly after a change
 )
 
-// recent reports whether a box has received a policy recently.
 func (w *downlinks) recent(box string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/node/loadreports.go
+++ b/node/loadreports.go
@@ -59,10 +59,8 @@
 // replicaIDs maps the short ids on the wire to the incarnations of the region's replicas.
 type replicaIDs map[roster.ReplicaID]string
 
-// add adds an incarnation.
 func (n replicaIDs) add(start string) { n[roster.ReplicaIDOf(start)] = start }
 
-// drop removes an incarnation.
 func (n replicaIDs) drop(start string) {
 	if id := roster.ReplicaIDOf(start); n[id] == start {
 		delete(n, id)
--- a/node/node.go
+++ b/node/node.go
@@ -154,7 +154,6 @@
 	}
 }
 
-// now returns the time since the start of the box.
 func (n *Node) now() time.Duration { return clock.Since(n.started) }
 
 // Run runs the box until ctx is done or a planned stop is complete.
@@ -279,10 +278,8 @@
 	return sharing
 }
 
-// record writes an event to the decision log.
 func (n *Node) record(e decision.Event) { n.log.Record(e) }
 
-// ingress returns the server of callers' requests.
 func (n *Node) ingress(ctx context.Context) *ingress.Server {
 	return ingress.New(n.settings.Box, n.settings.Region, n.adapter.Codec, n.core(ctx), n.replicaPool, n.boxPool)
 }
--- a/node/place_test.go
+++ b/node/place_test.go
@@ -42,7 +42,6 @@
 	}
 }
 
-// name returns a random box and its region.
 func (s *scene) name() (name, region string) {
 	n := rapid.IntRange(0, sceneBoxes-1).Draw(s.T, "box")
 	return fmt.Sprint("box-", n), regions[n%len(regions)]
@@ -121,7 +120,6 @@
 	}
 }
 
-// checkRemote checks a request that is sent to another region.
 func (s *scene) checkRemote(q ingress.Ask, t ingress.Target) {
 	b := s.last[t.Box]
 	lost, wasLost := s.unreachableAt[t.Box]
--- a/node/removaltrace_test.go
+++ b/node/removaltrace_test.go
@@ -15,14 +15,12 @@
 // -seed=12 -story=region-2-1.
 var tracedReplica = flag.String("story", "", "id of a replica whose records in the boxes are printed")
 
-// printTraced prints an event of the traced replica.
 func (f *follows) printTraced(box string, what ...any) {
 	if *tracedReplica != "" {
 		fmt.Fprintf(os.Stderr, "%9.4f %s %s", time.Since(f.began).Seconds(), box, fmt.Sprintln(what...))
 	}
 }
 
-// tracedSource returns a source whose answers are printed.
 func (f *follows) tracedSource(box string, s catalog.Source) catalog.Source {
 	if *tracedReplica == "" {
 		return s
@@ -47,7 +45,6 @@
 	}
 }
 
-// changesOfTraced returns the changes of the traced replica.
 func changesOfTraced(changes []catalog.Change, doubts []catalog.Doubt) string {
 	out := ""
 	for _, c := range changes {
--- a/node/schedule_test.go
+++ b/node/schedule_test.go
@@ -52,13 +52,11 @@
 	}
 }
 
-// scheduledAction is an action at a time.
 type scheduledAction struct {
 	at  time.Time
 	act func()
 }
 
-// schedule are actions ordered by time.
 type schedule []scheduledAction
 
 var _ heap.Interface = (*schedule)(nil)
--- a/node/serve.go
+++ b/node/serve.go
@@ -22,7 +22,6 @@
 	directoryTTL   = 800 * time.Millisecond
 )
 
-// listeners are the sockets of a box.
 type listeners struct {
 	callers   net.Listener
 	readiness net.Listener
@@ -119,7 +118,6 @@
 	})
 }
 
-// recordAcceptFailure records that no connection can be accepted.
 func (n *Node) recordAcceptFailure(l net.Listener, err error) {
 	n.record(decision.Event{
 		Kind:     decision.Lost,
@@ -153,7 +151,6 @@
 	return wire.ServingStateServing
 }
 
-// operatorHandler returns the handler of the metrics and the state of the box.
 func (n *Node) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", n.meter.Handler())
--- a/node/silentdomains.go
+++ b/node/silentdomains.go
@@ -19,7 +19,6 @@
 	n.recordDomains(difference(was, silent), decision.Regained)
 }
 
-// recordDomains records an event for each failure domain.
 func (n *Node) recordDomains(list []string, kind decision.Kind) {
 	for _, domain := range list {
 		n.record(decision.Event{
--- a/node/state.go
+++ b/node/state.go
@@ -79,12 +79,10 @@
 	}
 }
 
-// otherSeeds returns the seeds that are other boxes.
 func otherSeeds(s Settings) []string {
 	return slices.DeleteFunc(slices.Clone(s.Seeds), func(addr string) bool { return addr == s.Seed })
 }
 
-// coldTerms returns the limits on requests to cold replicas.
 func coldTerms(b Bounds) pacing.Terms {
 	return pacing.Terms{
 		Overage: b.ColdOverage,
@@ -92,7 +90,6 @@
 	}
 }
 
-// retryTerms returns the limits on retries.
 func retryTerms(b Bounds) budget.Terms {
 	return budget.Terms{
 		Ratio:  b.RetryRatio,
@@ -121,7 +118,6 @@
 	return append(out, s.updateView(now)...)
 }
 
-// updateView updates the view of the replicas from the catalog.
 func (s *state) updateView(now time.Duration) []placement.Belief {
 	out := s.view.Take(s.content, now)
 	maps.DeleteFunc(s.unanswered, func(start string, _ int) bool { return s.view.Get(start) == nil })
@@ -190,7 +186,6 @@
 	return max(out, minSharers)
 }
 
-// receive applies another box's message.
 func (s *state) receive(g wire.Gossip, now time.Duration) {
 	if s.roster.Hear(g.From, true, now) && g.From.Region == s.settings.Region {
 		loads := make([]placement.OwnLoad, 0, len(g.From.Loads))
@@ -204,7 +199,6 @@
 	}
 }
 
-// receiveCompact applies another box's compact datagram.
 func (s *state) receiveCompact(b roster.Compact, from string, now time.Duration) roster.Heard {
 	h := s.roster.HearCompact(b, from, now)
 	s.receiveLoadReports(b.Words, now)
--- a/node/usagereport.go
+++ b/node/usagereport.go
@@ -64,7 +64,6 @@
 	})
 }
 
-// requestUsageReport requests and records the usage report of an engine.
 func (n *Node) requestUsageReport(ctx context.Context, a reportTarget) {
 	ctx, cancel := context.WithTimeout(ctx, usageReportTimeout)
 	defer cancel()
@@ -78,8 +77,8 @@
 	})
 }
 
-// reportingIncarnation returns the incarnation of a replica that sent a usage report. An incarnation later
-// than the recorded one is applied, since its catalog entry may be a heartbeat late.
+// reportingIncarnation returns the incarnation of a replica that sent a usage report. A later
+// one than recorded is applied, since its catalog entry may be a heartbeat late.
 func (s *state) reportingIncarnation(recorded string, born int64, now time.Duration) (string, []placement.Belief) {
 	info, svc := s.listed(recorded)
 	if svc == nil || born == 0 || info.Born == 0 || born == info.Born {
