--- a/node/cost_test.go
+++ b/node/cost_test.go
@@ -12,15 +12,14 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Sizes of the largest region of the users' installations: the costs that grow with
-// boxes or replicas are measured at these.
+// Sizes of a large installation, for costs that grow with boxes or replicas.
 const (
 	largeRegions  = 3
 	largeBoxes    = 98 // of a region
 	largeReplicas = 72 // of a region
 )
 
-// largeBox returns a box that knows all others of a large installation.
+// largeBox returns a box with records of all others of a large installation.
 func largeBox() *testBox {
 	b := newBox("box-0-0", "a", largeReplicas)
 	for r := range largeRegions {
@@ -28,14 +27,14 @@
 			if r+n > 0 {
 				s := status(fmt.Sprintf("box-%d-%d", r, n), regions[r])
 				s.Peers = fmt.Sprintf("10.%d.0.%d:7000", r, n)
-				b.tells(s, start, room(largeReplicas, 20*time.Millisecond))
+				b.receiveStatus(s, start, serviceCapacity(largeReplicas, 20*time.Millisecond))
 			}
 		}
 	}
 	return b
 }
 
-// bytesOf returns the bytes of memory that one run of f takes, of a few.
+// bytesOf returns the mean number of bytes that a run of f allocates.
 func bytesOf(f func()) uint64 {
 	const runs = 50
 	var before, after runtime.MemStats
@@ -47,31 +46,29 @@
 	return (after.TotalAlloc - before.TotalAlloc) / runs
 }
 
-// Memory that is taken again and again makes the collector run, which goes through the
-// whole heap: with 227 KB for a request and 177 KB for a beat a box spent more time on
-// that than on requests.
+// Guards against allocations that make garbage collection more expensive than the requests.
 func TestWhatABoxDoesOftenTakesLittleMemoryAmongManyBoxes(t *testing.T) {
 	box := largeBox()
 	q := askShared(route(), "part")
 	limits := []struct {
-		what string
-		most uint64 // bytes; half as much again as when this was written
-		f    func()
+		what  string
+		limit uint64 // bytes
+		f     func()
 	}{
 		{"a request", 18_000, func() {
 			c := box.place(q, start, rand.IntN).Choice
 			box.view.End(&c, placement.Answered, 20*time.Millisecond, start)
 		}},
-		{"a look-up", 7_000, func() { box.which(host, "a", wire.ServingStateServing, start) }},
+		{"a look-up", 7_000, func() { box.directoryAddrs(host, "a", wire.ServingStateServing, start) }},
 		{"a beat", 80_000, func() {
 			box.role(start)
 			box.sharers(start)
-			box.roster.Tell(box.fill(box.self, start), start, rand.IntN)
+			box.roster.Tell(box.fillStatus(box.self, start), start, rand.IntN)
 		}},
 	}
 	for _, l := range limits {
-		if got := bytesOf(l.f); got > l.most {
-			t.Errorf("%s takes %d bytes, at most %d are allowed", l.what, got, l.most)
+		if got := bytesOf(l.f); got > l.limit {
+			t.Errorf("%s takes %d bytes, at most %d are allowed", l.what, got, l.limit)
 		}
 	}
 }
@@ -89,7 +86,7 @@
 		}
 		box.view.End(&t.Choice, placement.Answered, 20*time.Millisecond, now)
 		if now > start+2*time.Second {
-			now = start // the others are alive
+			now = start // keeps the others alive
 		}
 	}
 }
@@ -100,7 +97,7 @@
 	for b.Loop() {
 		box.role(start)
 		box.sharers(start)
-		self := box.fill(box.self, start)
+		self := box.fillStatus(box.self, start)
 		box.roster.Tell(self, start, rand.IntN)
 	}
 }
@@ -109,7 +106,7 @@
 	box := largeBox()
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(box.which(host, "a", wire.ServingStateServing, start)) == 0 {
+		if len(box.directoryAddrs(host, "a", wire.ServingStateServing, start)) == 0 {
 			b.Fatal("nothing named")
 		}
 	}
@@ -124,12 +121,12 @@
 		if n != 1 {
 			s := status(fmt.Sprintf("box-0-%d", n), "a")
 			s.Peers = fmt.Sprintf("10.0.0.%d:7000", n)
-			other.tells(s, start)
+			other.receiveStatus(s, start)
 		}
 	}
 	var list []roster.Packet
 	for len(list) < 64 {
-		list = append(list, other.roster.Tell(other.fill(other.self, start), start, rand.IntN)...)
+		list = append(list, other.roster.Tell(other.fillStatus(other.self, start), start, rand.IntN)...)
 	}
 	var compact []roster.Compact
 	for _, p := range list {
@@ -143,7 +140,7 @@
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		box.hearCompact(compact[n%len(compact)], "10.0.0.1:7000", start)
+		box.receiveCompact(compact[n%len(compact)], "10.0.0.1:7000", start)
 		n++
 	}
 }
--- /dev/null
+++ b/node/crossregion.go
@@ -0,0 +1,231 @@
+package node
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/havenrudder/havenrudder/common/absence"
+	"github.com/havenrudder/havenrudder/common/rendezvous"
+	"github.com/havenrudder/havenrudder/ingress"
+	"github.com/havenrudder/havenrudder/placement"
+	"github.com/havenrudder/havenrudder/roster"
+	"github.com/havenrudder/havenrudder/wire"
+)
+
+// Costs and limits of sending requests to another region. Expected losses are in thousandths
+// of a request's value.
+const (
+	crossRegionTime   = 175 * time.Millisecond // added by the way to another region and back
+	crossRegionCost   = 30.0                   // cost of the bytes between regions
+	fullShareGain     = 250.0                  // gain from which all requests are sent to another region; below it a share of them
+	cacheMissCost     = 40.0                   // cost of 1,000 shared tokens that are cached in another region
+	minSharedTokens   = 1000                   // shared tokens from which a prompt has a home region
+	noCapacityWait    = 60 * time.Second       // sent as the wait where no replica can take a request
+	capacityTTL       = 3 * time.Second        // TTL of a received capacity
+	unknownRegionWait = 2 * time.Second        // wait assumed for a region that has sent no capacity
+	probeWindow       = 600 * time.Millisecond // in which one request probes an unreachable box
+	failureLoss       = 1000.0                 // expected loss where every request to a region fails
+)
+
+// remoteRegion is another region with capacity for a request.
+type remoteRegion struct {
+	region    string
+	boxes     []*roster.Member  // targets; owned by the roster
+	reporters []*roster.Member  // serving boxes, which send the region's capacity; owned by the roster
+	estimate  placement.Outlook // by the latest capacity sent
+	loss      float64           // expected loss
+}
+
+func (s *state) recordRegionResult(region string, ok bool, now time.Duration) {
+	failures := s.regionFailures[region]
+	failures.Add(!ok, now)
+	s.regionFailures[region] = failures
+}
+
+// sendsToRegion reports whether a request is sent to another region. The probability grows with
+// the gain, since all boxes see the same difference. Any gain suffices for the home region of
+// its shared segments: the homes of different segments distribute the requests.
+func sendsToRegion(here, there float64, toHome bool, draw func(n int) int) bool {
+	gain := here - there - crossRegionCost
+	return gain > 0 && (toHome || float64(draw(drawRange))*fullShareGain/drawRange < gain)
+}
+
+// drawRange is the number of values of one random draw.
+const drawRange = 1000
+
+// remoteRegions returns the other regions with capacity for a request, sorted by name.
+func (s *state) remoteRegions(ask ingress.Ask, now time.Duration) []remoteRegion {
+	if ask.Relayed {
+		return nil
+	}
+	byRegion := make(map[string]*remoteRegion)
+	for m := range s.roster.AllServing("", now) {
+		region := m.Status.Region
+		if slices.Contains(ask.NoRegions, region) || region == s.settings.Region || !ask.Route.Allows(region) {
+			continue
+		}
+		f, ok := byRegion[region]
+		if !ok {
+			f = &remoteRegion{
+				region: region,
+			}
+			byRegion[region] = f
+		}
+		f.reporters = append(f.reporters, m)
+		if s.mayForward(ask, m, now) {
+			f.boxes = append(f.boxes, m)
+		}
+	}
+	var out []remoteRegion
+	for _, region := range slices.Sorted(maps.Keys(byRegion)) {
+		f := byRegion[region]
+		if len(f.boxes) == 0 {
+			continue
+		}
+		if room, ok := s.capacityOf(f.reporters, ask.Request.Service, now); ok {
+			f.estimate = room
+			out = append(out, *f)
+		}
+	}
+	return out
+}
+
+// mayForward reports whether a request may be forwarded to a box of another region.
+func (s *state) mayForward(ask ingress.Ask, m *roster.Member, now time.Duration) bool {
+	return s.active[m.Status.Region].has(m.Status.Box) && m.Status.Forward != "" &&
+		!slices.Contains(ask.TriedBoxes, m.Status.Box) && !s.isUnreachable(m, now)
+}
+
+// homeRegion returns the region that caches the shared segments of a prompt. Weighted rendezvous
+// hashing gives each region prompts in proportion to its replicas, and all boxes agree. It is
+// empty for a prompt with few shared tokens.
+func (s *state) homeRegion(ask ingress.Ask, here placement.Outlook, others []remoteRegion) string {
+	if ask.Request.Shared() < minSharedTokens {
+		return ""
+	}
+	best := ""
+	top := 0.0
+	consider := func(region string, usable int) {
+		if w := rendezvous.Weighted(ask.Request.Subject(), region, float64(usable)); w > top {
+			top = w
+			best = region
+		}
+	}
+	if ask.Route.Allows(s.settings.Region) {
+		consider(s.settings.Region, here.Usable)
+	}
+	for _, f := range others {
+		consider(f.region, f.estimate.Usable)
+	}
+	return best
+}
+
+// lowestLoss computes the expected loss in other regions and returns the region with the lowest;
+// false when there is none.
+func (s *state) lowestLoss(others []remoteRegion, ask ingress.Ask, home string, goals placement.Goals, now time.Duration) (remoteRegion, bool) {
+	var best remoteRegion
+	for i, f := range others {
+		unread := ask.Request.Prompt
+		if f.region == home {
+			unread -= ask.Request.Shared()
+		}
+		f.estimate.Expect += crossRegionTime + placement.ReadTime(unread)
+		f.loss = f.estimate.Risk(goals) + ask.Request.Harm(unread-ask.Request.Own(), f.estimate.Fewest) + failureLoss*s.regionFailures[f.region].Share(now)
+		if home != "" && f.region != home {
+			f.loss += cacheMissCost * float64(ask.Request.Shared()) / 1000
+		}
+		if i == 0 || f.loss < best.loss || (f.loss == best.loss && f.estimate.Expect < best.estimate.Expect) {
+			best = f
+		}
+	}
+	return best, len(others) > 0
+}
+
+func (s *state) localLoss(here placement.Outlook, ask ingress.Ask, goals placement.Goals, home string) float64 {
+	loss := here.Risk(goals) + ask.Request.Harm(here.Missing, here.Fewest)
+	if home != "" && home != s.settings.Region {
+		loss += cacheMissCost * float64(here.Unsent) / 1000
+	}
+	return loss
+}
+
+type unreachableBox struct {
+	failedAt time.Duration   // time of the failure
+	backOff  absence.Absence // no requests are sent while it is on
+	probedAt time.Duration   // time of the last request that probed it
+}
+
+// markUnreachable starts a back-off for a box that could not be reached. The back-off doubles
+// until a request reaches the box. Heartbeats don't end it: they pass one-way partitions.
+func (s *state) markUnreachable(box string, now time.Duration) {
+	u, recorded := s.unreachable[box]
+	if recorded && u.backOff.On(now) {
+		return // concurrent requests count once
+	}
+	u.failedAt = now
+	u.backOff.Begin(now)
+	s.unreachable[box] = u
+}
+
+// markProbed records that a request probes an unreachable box. No other request is sent there
+// until its result is known.
+func (s *state) markProbed(box string, now time.Duration) {
+	if u, ok := s.unreachable[box]; ok {
+		u.probedAt = now
+		s.unreachable[box] = u
+	}
+}
+
+func (s *state) markReached(box string) { delete(s.unreachable, box) }
+
+// isUnreachable reports whether a box is in back-off, is being probed, or has sent no
+// heartbeat since the last failure.
+func (s *state) isUnreachable(m *roster.Member, now time.Duration) bool {
+	u, ok := s.unreachable[m.Status.Box]
+	return ok && (u.backOff.On(now) || m.Heard <= u.failedAt || (u.probedAt > 0 && now-u.probedAt < probeWindow))
+}
+
+// capacityOf returns the latest capacity of a region that any of its boxes sent for a service;
+// false when no replica can take a request.
+func (s *state) capacityOf(boxes []*roster.Member, service string, now time.Duration) (out placement.Outlook, ok bool) {
+	newest := time.Duration(-1)
+	for _, m := range boxes {
+		if m.Told <= newest || now-m.Told > max(capacityTTL, s.roster.RoomsAge()) {
+			continue
+		}
+		at := slices.IndexFunc(m.Status.Rooms, func(r wire.ServiceRoom) bool { return r.Service == service })
+		if at < 0 {
+			continue
+		}
+		reported := m.Status.Rooms[at]
+		newest = m.Told
+		out = placement.Outlook{
+			Expect: time.Duration(reported.WaitMs) * time.Millisecond,
+			Busy:   float64(reported.Busy) / percent,
+			Usable: reported.Usable,
+			Fewest: reported.Fewest,
+			AgeMs:  (now - m.Told).Milliseconds(),
+		}
+		ok = reported.Usable > 0 && out.Expect < noCapacityWait
+	}
+	if newest < 0 {
+		out.Expect = unknownRegionWait
+		return out, true // without a report a request may be tried
+	}
+	return out, ok
+}
+
+// remoteTarget returns a random box of a region as the target.
+func remoteTarget(f remoteRegion, draw func(n int) int) ingress.Target {
+	box := f.boxes[draw(len(f.boxes))].Status
+	return ingress.Target{
+		Box:     box.Box,
+		BoxAddr: box.Forward,
+		Region:  f.region,
+		AgeMs:   f.estimate.AgeMs,
+		Choice: placement.Choice{
+			Expect: f.estimate.Expect,
+		},
+	}
+}
--- a/node/home_test.go
+++ b/node/home_test.go
@@ -14,28 +14,27 @@
 
 const subjects = 400
 
-// fleet returns a box of each region that has heard all others, with so many
-// replicas in each.
+// fleet returns a box of each region, with records of all others and with a number of
+// replicas by region.
 func fleet(usable map[string]int, now time.Duration) []*testBox {
 	boxes := make([]*testBox, 0, len(regions))
 	for _, region := range regions {
 		boxes = append(boxes, newBox("box-"+region, region, usable[region]))
 	}
 	for _, from := range boxes {
-		g := from.says(now)
+		g := from.message(now)
 		for _, to := range boxes {
 			if to != from {
-				to.hear(g, now)
+				to.receive(g, now)
 			}
 		}
 	}
 	return boxes
 }
 
-// homeOf returns the home region of a request as the box sees it.
 func (b *testBox) homeOf(q ingress.Ask, now time.Duration) string {
 	here := b.view.Outlook(q.Request, b.sharers(now), now)
-	return b.home(q, here, b.others(q, now))
+	return b.homeRegion(q, here, b.remoteRegions(q, now))
 }
 
 func TestAllBoxesAgreeOnTheHomeRegionOfAPrompt(t *testing.T) {
@@ -87,13 +86,13 @@
 	}
 }
 
-func TestAPromptWithLittleInCommonHasNoHome(t *testing.T) {
+func TestAPromptWithFewSharedTokensHasNoHome(t *testing.T) {
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 1, "b": 1}, start)[0]
 	q := askShared(route(), "part")
-	q.Request.Parts[0].Tokens = sharedMin - 1
+	q.Request.Parts[0].Tokens = minSharedTokens - 1
 	is.Equal(b.homeOf(q, start), "")
-	q.Request.Parts[0].Tokens = sharedMin
+	q.Request.Parts[0].Tokens = minSharedTokens
 	is.True(b.homeOf(q, start) != "")
 }
 
@@ -106,9 +105,9 @@
 	}
 }
 
-// That a replica of this region is the first in the rank of the parts doesn't mean
-// that it keeps them: where another region is their home, nobody sends them there.
-func TestAPromptGoesToTheHomeOfItsPartsAlsoWhereThisRegionHasReplicas(t *testing.T) {
+// Guards against a request that stays because a local replica is preferred for its segments,
+// though another region caches them.
+func TestAPromptGoesToTheHomeOfItsSegmentsAlsoWhereThisRegionHasReplicas(t *testing.T) {
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 2, "b": 2, "c": 2}, start)[0]
 	away := 0
@@ -128,20 +127,20 @@
 	is.True(away > subjects/2)
 }
 
-// regionOf places a request of which region a keeps no replica.
+// regionOf returns where a box without local replicas places a request.
 func (b *testBox) regionOf(now time.Duration, waitB, waitC time.Duration) string {
-	b.tells(status("box-b", "b"), now, room(3, waitB))
-	b.tells(status("box-c", "c"), now, room(3, waitC))
+	b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, waitB))
+	b.receiveStatus(status("box-c", "c"), now, serviceCapacity(3, waitC))
 	return b.place(ask(route()), now, lowest).Region
 }
 
 func TestARegionThatFailsRequestsIsAvoidedAndUsedAgainLater(t *testing.T) {
 	is := is.New(t)
-	const far = 20 * time.Millisecond // that c is slower by, which is no risk
+	const far = 20 * time.Millisecond // by which c is slower, without expected loss
 	b := newBox("self", "a", 0)
 	is.Equal(b.regionOf(start, 0, far), "b")
 	for n := range 5 {
-		b.crossed("b", false, start+time.Duration(n)*time.Millisecond)
+		b.recordRegionResult("b", false, start+time.Duration(n)*time.Millisecond)
 	}
 	now := start + 100*time.Millisecond
 	is.Equal(b.regionOf(now, 0, far), "c")
@@ -149,37 +148,37 @@
 	is.Equal(b.regionOf(now, 0, far), "b")
 }
 
-func TestAnAnswerMakesUpForAFailureOfARegion(t *testing.T) {
+func TestAnswersOutweighEarlierFailuresOfARegion(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for range 10 {
-		b.crossed("b", false, start)
+		b.recordRegionResult("b", false, start)
 	}
-	failing := b.paths["b"].Share(start)
+	failing := b.regionFailures["b"].Share(start)
 	is.True(failing > 0.8 && failing < 1)
 	for range 10 {
-		b.crossed("b", true, start)
+		b.recordRegionResult("b", true, start)
 	}
-	is.True(b.paths["b"].Share(start) < 0.2)
-	is.Equal(b.paths["c"].Share(start), 0.0) // the others are as before
+	is.True(b.regionFailures["b"].Share(start) < 0.2)
+	is.Equal(b.regionFailures["c"].Share(start), 0.0) // the others are as before
 }
 
 func TestWhereAllRegionsFailTheOneThatFailsLessIsUsed(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	for range 5 {
-		b.crossed("b", false, start)
+		b.recordRegionResult("b", false, start)
 	}
-	b.crossed("c", false, start)
+	b.recordRegionResult("c", false, start)
 	is.Equal(b.regionOf(start+time.Millisecond, 0, 0), "c")
 }
 
 func TestALocalServiceInTimeIsNotLeftForARegionThatFails(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	b.tells(status("box-b", "b"), start, room(3, 0))
+	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
 	for range 20 {
-		b.crossed("b", false, start)
+		b.recordRegionResult("b", false, start)
 	}
 	got := b.place(ask(route()), start, lowest)
 	is.Equal(got.Region, "b") // there is no other
--- /dev/null
+++ b/node/loadreports.go
@@ -0,0 +1,68 @@
+package node
+
+import (
+	"time"
+
+	"github.com/havenrudder/havenrudder/placement"
+	"github.com/havenrudder/havenrudder/roster"
+)
+
+// loadReportPackets returns the datagrams with the replicas' load reports for other active boxes,
+// where boxes are too many to send each other their own loads.
+func (s *state) loadReportPackets(now time.Duration, draw func(n int) int) []roster.Packet {
+	here := s.active[s.settings.Region]
+	if s.roster.TellsLoads() || !here.has(s.settings.Box) {
+		return nil
+	}
+	var addrs []string
+	for m := range s.roster.AllServing(s.settings.Region, now) {
+		if here.has(m.Status.Box) && m.Status.Peers != "" {
+			addrs = append(addrs, m.Status.Peers)
+		}
+	}
+	return s.roster.TellWords(s.compactLoadReports(now), addrs, draw)
+}
+
+// compactLoadReports returns the replicas' load reports in wire form, the latest first.
+func (s *state) compactLoadReports(now time.Duration) []roster.CompactWord {
+	var out []roster.CompactWord
+	for _, w := range s.view.Words(now) {
+		out = append(out, roster.CompactWord{
+			Replica:  roster.ReplicaIDOf(w.Replica),
+			Age:      now - w.At,
+			Requests: w.Requests,
+			Waiting:  w.Waiting,
+			Tokens:   w.Tokens,
+			Silent:   w.Silent,
+		})
+	}
+	return out
+}
+
+// receiveLoadReports records the load reports that another box forwards.
+func (s *state) receiveLoadReports(list []roster.CompactWord, now time.Duration) {
+	for _, w := range list {
+		id, ok := s.replicaIDs[w.Replica]
+		if !ok {
+			continue
+		}
+		s.view.Says(id, placement.Word{
+			Requests: w.Requests,
+			Waiting:  min(w.Waiting, w.Requests),
+			Tokens:   w.Tokens,
+			Silent:   w.Silent,
+			At:       now - w.Age,
+		})
+	}
+}
+
+// replicaIDs maps the short ids on the wire to the incarnations of the region's replicas.
+type replicaIDs map[roster.ReplicaID]string
+
+func (n replicaIDs) add(start string) { n[roster.ReplicaIDOf(start)] = start }
+
+func (n replicaIDs) drop(start string) {
+	if id := roster.ReplicaIDOf(start); n[id] == start {
+		delete(n, id)
+	}
+}
