--- a/catalog/change_test.go
+++ b/catalog/change_test.go
@@ -14,26 +14,26 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// teller is a copy that learns from a publisher, in changes or whole.
-type teller struct {
+// sourceCopy is a copy that is updated from a publisher by changes or snapshots.
+type sourceCopy struct {
 	*publisher
-	copy  *catalog.Content
-	known int64 // revision up to which changes were taken in
+	copy     *catalog.Content
+	revision int64 // revision up to which changes were taken in
 }
 
-// learn brings the copy up to date.
-func (l *teller) learn(t *rapid.T) {
-	if l.known == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
+// update brings the copy up to date.
+func (l *sourceCopy) update(t *rapid.T) {
+	if l.revision == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
 		s := l.snapshot()
 		l.copy.Take(catalog.Update{
 			Snapshot: &s,
 			Revision: s.Revision,
 			Settled:  true,
 		})
-		l.known = s.Revision
+		l.revision = s.Revision
 		return
 	}
-	changes, rev, _, err := l.since(l.known)
+	changes, rev, _, err := l.since(l.revision)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,11 +42,11 @@
 		Revision: rev,
 		Settled:  true,
 	})
-	l.known = rev
+	l.revision = rev
 }
 
-// publishSomething makes one change of what is published.
-func publishSomething(t *rapid.T, p *publisher, version *int) {
+// publishAny publishes one random change.
+func publishAny(t *rapid.T, p *publisher, version *int) {
 	id := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id")
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0, 1:
@@ -66,12 +66,12 @@
 	}
 }
 
-// A box that asks another now and then for what is new, over the wire, ends up
-// with the same copy, however the other one learns and however much it missed.
-func TestNewsMakeTheSameCopy(t *testing.T) {
+// Guards against updates between boxes that lead to a different copy, whichever updates the
+// sender got and the receiver missed.
+func TestUpdatesBetweenBoxesGiveTheSameCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		version := 0
-		l := &teller{
+		l := &sourceCopy{
 			publisher: newPublisher(),
 			copy:      catalog.NewContent(),
 		}
@@ -79,9 +79,9 @@
 		told := catalog.NewDeltas()
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
-				publishSomething(t, l.publisher, &version)
+				publishAny(t, l.publisher, &version)
 			}
-			l.learn(t)
+			l.update(t)
 			if rapid.IntRange(0, 2).Draw(t, "asked") > 0 {
 				continue
 			}
@@ -94,7 +94,7 @@
 				t.Fatal(err)
 			}
 			asks.Take(news.Update())
-			askForPolicy(t, asks, l.copy, told)
+			requestPolicy(t, asks, l.copy, told)
 			got, want := asks.Snapshot(), l.copy.Snapshot()
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("got %+v, want %+v", got, want)
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestNewsAfterManyRemovalsAreTheWhole(t *testing.T) {
+func TestManyRemovalsCauseASnapshot(t *testing.T) {
 	is := is.New(t)
 	p := newPublisher()
 	c := catalog.NewContent()
@@ -121,13 +121,12 @@
 	c.Take(catalog.Update{Changes: changes, Revision: rev, Settled: true})
 	is.True(c.Since(start).Snapshot != nil)
 	is.True(c.Since(rev).Snapshot == nil)
-	is.Equal(len(c.Since(rev).Changes), 1) // what changed at the revision itself
-	is.True(c.Since(0).Snapshot != nil)    // a box that knows nothing
+	is.Equal(len(c.Since(rev).Changes), 1) // changes at the revision itself
+	is.True(c.Since(0).Snapshot != nil)    // for a box without a copy
 }
 
-// A failure domain that is lost takes its part of the replicas at once, and who asked
-// before is told of each of them, not of all that is left.
-func TestWhatAFailureDomainTookIsToldAsRemovalsHoweverManyReplicasThereAre(t *testing.T) {
+// Guards against sending a snapshot of a large catalog when a failure domain is lost.
+func TestALostFailureDomainIsSentAsRemovals(t *testing.T) {
 	for _, all := range []int{600, 6000, 12_000} {
 		for _, settled := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
@@ -141,13 +140,13 @@
 						after = append(after, r)
 					}
 				}
-				takeAll(knows, before, int64(all), true)
+				takeSnapshot(knows, before, int64(all), true)
 				asks.Take(knows.Since(0).Update())
 				asked := asks.Revision()
-				takeAll(knows, after, int64(all+1), settled)
-				time.Sleep(3 * time.Second) // longer than any doubt
+				takeSnapshot(knows, after, int64(all+1), settled)
+				time.Sleep(3 * time.Second) // longer than any removal stays unconfirmed
 				knows.Settle()
-				for _, revision := range []int64{asked, int64(all + 1)} { // it may have heard of the reading before its doubts were over
+				for _, revision := range []int64{asked, int64(all + 1)} { // it may have received the later revision before the removals were confirmed
 					news := knows.Since(revision)
 					is.True(news.Snapshot == nil)
 					if revision == asked || !settled {
@@ -161,7 +160,7 @@
 	}
 }
 
-// removals returns the replicas that news tell are gone.
+// removals returns the removed replicas of an update.
 func removals(news catalog.News) []string {
 	var out []string
 	for _, ch := range news.Changes {
@@ -172,7 +171,7 @@
 	return out
 }
 
-// numbered is one of many replicas, changed at a revision of its own.
+// numbered returns one of many replicas, each with its own revision.
 func numbered(i int) catalog.Replica {
 	return catalog.Replica{
 		ID:       fmt.Sprintf("replica-%06d", i),
@@ -183,8 +182,8 @@
 	}
 }
 
-// takeAll has a copy take a reading in.
-func takeAll(c *catalog.Content, list []catalog.Replica, revision int64, settled bool) {
+// takeSnapshot applies a snapshot.
+func takeSnapshot(c *catalog.Content, list []catalog.Replica, revision int64, settled bool) {
 	c.Take(catalog.Update{
 		Snapshot: &catalog.Snapshot{
 			Revision: revision,
--- a/catalog/compress_test.go
+++ b/catalog/compress_test.go
@@ -10,8 +10,8 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// parcel returns news that went to another box, and their bytes on the way.
-func parcel(t testing.TB, news catalog.News) (got catalog.News, bytes int) {
+// transfer encodes and decodes an update, and returns its encoded size.
+func transfer(t testing.TB, news catalog.News) (got catalog.News, bytes int) {
 	t.Helper()
 	is := is.New(t)
 	p, err := news.Encode()
@@ -25,7 +25,7 @@
 	return got, len(data)
 }
 
-func TestLongNewsArePressed(t *testing.T) {
+func TestLargeUpdatesAreCompressed(t *testing.T) {
 	is := is.New(t)
 	for _, replicas := range []int{0, 10, 4000} {
 		news := catalog.News{
@@ -42,7 +42,7 @@
 			r.Addr = fmt.Sprintf("10.%d.64.%d:8308", n%28, n/28)
 			news.Snapshot.Replicas = append(news.Snapshot.Replicas, r)
 		}
-		got, bytes := parcel(t, news)
+		got, bytes := transfer(t, news)
 		is.Equal(got, news)
 		is.True(bytes < 400+30*replicas || replicas < 100)
 	}
--- a/catalog/delta_test.go
+++ b/catalog/delta_test.go
@@ -12,7 +12,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// somePolicy returns a policy of a few routes, in any order.
+// somePolicy returns a policy with a few routes in random order.
 func somePolicy(t *rapid.T, version int) *catalog.Policy {
 	p := plainPolicy(version)
 	for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 0, 9).Draw(t, "routes") {
@@ -24,9 +24,8 @@
 	return p
 }
 
-// askForPolicy has a copy ask another one for the policy that it has heard of, over the
-// wire.
-func askForPolicy(t *rapid.T, asks, from *catalog.Content, told *catalog.Deltas) {
+// requestPolicy requests the newest reported policy from another copy, in encoded form.
+func requestPolicy(t *rapid.T, asks, from *catalog.Content, told *catalog.Deltas) {
 	if asks.PolicyDue() == 0 {
 		return
 	}
@@ -64,7 +63,7 @@
 	})
 }
 
-func TestAnAmendedPolicyIsTheLaterOne(t *testing.T) {
+func TestADeltaGivesTheLaterPolicy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		earlier, later := somePolicy(t, 1), somePolicy(t, 2)
 		if rapid.Bool().Draw(t, "none") {
@@ -84,7 +83,7 @@
 	})
 }
 
-func TestAnAmendmentOfAnotherPolicyIsRefused(t *testing.T) {
+func TestADeltaOfAnotherPolicyFails(t *testing.T) {
 	is := is.New(t)
 	first := plainPolicy(1, plainRoute("a", "h", "/a/"), plainRoute("b", "h", "/b/"))
 	a, err := catalog.DeltaOf(first, plainPolicy(2, plainRoute("a", "h", "/a/"), plainRoute("b", "h", "/b/")))
@@ -105,7 +104,7 @@
 	is.True(err != nil)
 }
 
-func TestAnAmendmentThatChangesLittleIsSmall(t *testing.T) {
+func TestADeltaOfFewChangesIsSmall(t *testing.T) {
 	is := is.New(t)
 	var routes []catalog.Route
 	for n := range 4200 {
@@ -123,7 +122,7 @@
 	is.True(size(2, list...) < 200)
 	is.True(size(1, list...) < len(whole)/20)
 	is.True(size(0, list...) < len(whole)/8)
-	is.Equal(size(7, list...), size(0, list...)) // a version that isn't known
+	is.Equal(size(7, list...), size(0, list...)) // a version that is not recorded
 }
 
 func TestACopyKeepsAFewEarlierPolicies(t *testing.T) {
@@ -142,8 +141,8 @@
 	for version := range 20 {
 		take(21+version, 5000)
 	}
-	is.Equal(len(c.Policies()), 3) // some megabytes each
-	take(3, 1)                     // an older one
+	is.Equal(len(c.Policies()), 3) // limited by their routes
+	take(3, 1)                     // an older version
 	is.Equal(c.Policy().Version, 40)
 }
 
@@ -153,7 +152,7 @@
 	is.Equal(c.PolicyDue(), 0)
 	c.Take(catalog.Update{Policy: 3, Revision: 5})
 	is.Equal(c.PolicyDue(), 3)
-	is.Equal(c.Since(5).Policy, 3) // who learns the revision from it learns that, too
+	is.Equal(c.Since(5).Policy, 3) // sent together with the revision
 	c.Take(catalog.Update{Changes: []catalog.Change{{Policy: plainPolicy(2)}}})
 	is.Equal(c.PolicyDue(), 3)
 	is.Equal(c.Policy().Version, 2)
--- a/catalog/doubt_test.go
+++ b/catalog/doubt_test.go
@@ -12,7 +12,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// doubtAfter returns an update that has a removal in doubt for so long.
+// doubtAfter returns an update with a removal that stays unconfirmed for a time.
 func doubtAfter(revision int64, gone string, settles time.Duration) catalog.Update {
 	return catalog.Update{
 		Revision: revision,
@@ -38,7 +38,7 @@
 		c := catalog.NewContent()
 		c.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
 		c.Take(doubtAfter(11, "a", time.Second))
-		c.Take(doubtAfter(11, "a", time.Minute)) // it is told once more, and the earlier end stays
+		c.Take(doubtAfter(11, "a", time.Minute)) // sent again; the earlier deadline stays
 		time.Sleep(time.Second - time.Millisecond)
 		is.True(!c.Settle())
 		is.Equal(replicaIDs(c), []string{"a", "b"})
@@ -67,8 +67,8 @@
 	})
 }
 
-// A box that asks another learns its revision, and with it what that one doesn't
-// believe yet, for no longer than it does.
+// Guards against a receiver that records a revision without its unconfirmed removals, or
+// confirms them later than the sender.
 func TestWhatIsInDoubtIsToldWithTheRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,13 +104,12 @@
 	}))
 	knows.Take(doubts.Since(11).Update())
 	is.Equal(replicaIDs(knows), []string{"b"})
-	knows.Take(doubts.Since(0).Update()) // all that it holds
+	knows.Take(doubts.Since(0).Update()) // the full state
 	is.Equal(replicaIDs(knows), []string{"b"})
 	is.Equal(knows.Newest(), int64(13))
 }
 
-// The last good entry was kept, and a replica whose entry somebody else had written over
-// got requests for as long as that stood.
+// Guards against sending requests to a replica whose entry another writer overwrote.
 func TestAnEntryThatNamesNoReplicaAnyMoreIsOneLessAndHoldsNoRevisionBack(t *testing.T) {
 	for _, settled := range []bool{true, false} {
 		is := is.New(t)
@@ -119,10 +118,10 @@
 		u := snapshot(12, settled, plainReplica("a", 1))
 		u.Snapshot.Unusable = []string{"b", "never-known"}
 		c.Take(u)
-		is.Equal(replicaIDs(c), []string{"a"}) // it is there, so it is none that lapsed
+		is.Equal(replicaIDs(c), []string{"a"}) // the entry exists, so it has not expired
 		is.True(!c.Doubtful())
 		is.Equal(c.Revision(), int64(12))
-		c.Take(changed(13, settled, listed(plainReplica("b", 13))))
+		c.Take(changed(13, settled, entryChange(plainReplica("b", 13))))
 		is.Equal(replicaIDs(c), []string{"a", "b"})
 	}
 }
@@ -140,9 +139,9 @@
 			}
 		}
 		c.Take(changed(11, settled, foreign("a", 11), foreign("never-known", 11), foreign("b", 7)))
-		is.Equal(replicaIDs(c), []string{"b"}) // what is newer holds
+		is.Equal(replicaIDs(c), []string{"b"}) // the newer entry stays
 		is.True(!c.Doubtful())
-		news := overTheWire(t, c.Since(10)) // others are told that it is gone, and nothing of what never named a replica
+		news := overTheWire(t, c.Since(10)) // includes the removal, but not the entry that never described a replica
 		is.Equal(len(news.Changes), 1)
 		is.Equal(news.Changes[0].Gone, "a")
 		is.Equal(news.Changes[0].Revision, int64(11))
@@ -158,7 +157,7 @@
 	is.True(json.Unmarshal([]byte(`{"replica":"a","left_ms":-1}`), &d) != nil)
 }
 
-// overTheWire returns news as another box gets them.
+// overTheWire encodes and decodes an update.
 func overTheWire(t *testing.T, n catalog.News) catalog.News {
 	t.Helper()
 	data, err := json.Marshal(n)
@@ -173,17 +172,17 @@
 }
 
 func TestAFollowerThatFailedOnceBelievesItsNextReadingWhenOthersHaveReadSince(t *testing.T) {
-	w := newWord()
-	largeTestRun(t, large, func(f largeTest) {
+	w := newPeers()
+	largeTestRun(t, largeCount, func(f largeTest) {
 		f.set(failing)
 		before, _ := f.calls()
-		time.Sleep(10 * time.Second) // nobody says anything, so it calls, and fails
+		time.Sleep(10 * time.Second) // no peer reports a read, so it calls, and fails
 		after, _ := f.calls()
 		f.True(after > before)
 		f.set(healthy)
-		w.sayFor(15 * time.Second)
+		w.reportReadsFor(15 * time.Second)
 		f.drop("r-1")
-		time.Sleep(3400 * time.Millisecond) // nobody says anything again
+		time.Sleep(3400 * time.Millisecond) // no peer reports a read
 		f.True(!f.has("r-1"))
 	}, append(w.options(), catalog.WithJitter(func() float64 { return 0.999 }))...)
 }
--- a/catalog/feed_test.go
+++ b/catalog/feed_test.go
@@ -11,10 +11,10 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// soon is enough for a few calls and far less than the time between two reads.
+// soon is enough for a few calls and far less than the interval of full reads.
 const soon = 10 * callTakes
 
-// feedTest is a publisher and a copy that follows it, in a bubble of time.
+// feedTest is a publisher and a copy that follows it, in virtual time.
 type feedTest struct {
 	*is.I
 	*publisher
@@ -37,7 +37,7 @@
 	})
 }
 
-// has says whether the copy holds a replica.
+// has reports whether the copy has a replica.
 func (f feedTest) has(id string) bool {
 	_, ok := f.get(id)
 	return ok
@@ -56,7 +56,7 @@
 		time.Sleep(soon)
 		f.True(!f.has("c"))
 		reads, _ := f.calls()
-		f.Equal(reads, 1) // nothing was read again for it
+		f.Equal(reads, 1) // no further full read
 		f.NoErr(f.lastHealth())
 	}, catalog.WithReread(time.Hour))
 }
@@ -64,7 +64,7 @@
 func TestASilentWatchIsCoveredByReadingAgain(t *testing.T) {
 	feedTestRun(t, func(f feedTest) {
 		f.set(silent)
-		time.Sleep(time.Minute) // the watch that waited has ended
+		time.Sleep(time.Minute) // ends the current watch
 		f.put(plainReplica("c", 0))
 		time.Sleep(3 * time.Second)
 		f.True(f.has("c"))
@@ -83,19 +83,19 @@
 			time.Sleep(soon)
 			f.True(f.has(id))
 			after, _ := f.calls()
-			f.True(after-before <= 2) // at once, and not over and over
+			f.True(after-before <= 2) // at once, but not repeatedly
 			f.put(plainReplica("later "+id, 0))
 			time.Sleep(soon)
-			f.True(f.has("later " + id)) // the watch goes on
+			f.True(f.has("later " + id)) // the watch resumes
 			time.Sleep(time.Minute)
 		}
 		for _, err := range f.results() {
-			f.NoErr(err) // it is no failure of the publisher
+			f.NoErr(err) // not a failure of the publisher
 		}
 	}, catalog.WithReread(time.Hour))
 }
 
-// publishUnseen publishes a replica and forgets the history in one step.
+// publishUnseen publishes a replica and drops the history in one step.
 func (f feedTest) publishUnseen(id string) {
 	p := f.publisher
 	p.mu.Lock()
@@ -103,7 +103,7 @@
 	p.rev++
 	p.replicas[id] = plainReplica(id, p.rev)
 	p.history = nil
-	p.forgot = p.rev
+	p.compactedAt = p.rev
 	p.changed.Tell()
 }
 
@@ -116,23 +116,23 @@
 		const away = 30
 		time.Sleep(away * time.Second)
 		after, _ := f.calls()
-		f.True(after-before >= away)   // it asks about once a second or more often
-		f.True(after-before <= 4*away) // and not all the time
+		f.True(after-before >= away)   // about once a second or more often
+		f.True(after-before <= 4*away) // but not continuously
 		f.True(f.has("a"))
 		f.set(healthy)
 		f.put(plainReplica("c", 0))
 		time.Sleep(time.Second)
 		f.True(f.has("c"))
 		f.NoErr(f.lastHealth())
-		f.put(plainReplica("d", 0)) // and it watches again
+		f.put(plainReplica("d", 0)) // the watch resumes
 		time.Sleep(soon)
 		f.True(f.has("d"))
 	})
 }
 
-// A publisher may refuse watches alone, as with too many of them.
+// Guards against frequent calls when a publisher refuses watches alone.
 func TestAWatchThatKeepsFailingBacksOff(t *testing.T) {
-	for _, err := range []error{errAway, catalog.ErrHistoryGone} {
+	for _, err := range []error{errUnavailable, catalog.ErrHistoryGone} {
 		t.Run(err.Error(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -150,18 +150,18 @@
 				f.stop()
 				reads, _ := p.calls()
 				t.Logf("%d watches, %d reads in 10 s", waits, reads)
-				is.True(waits <= 200) // 20 a second
+				is.True(waits <= 200) // 20 per second
 				is.True(reads <= 200)
 			})
 		})
 	}
 }
 
-func TestEntriesThatLapsedStayForAWhileAfterTheReturn(t *testing.T) {
+func TestExpiredEntriesStayForAWhileAfterAnOutage(t *testing.T) {
 	feedTestRun(t, func(f feedTest) {
 		f.set(failing)
 		time.Sleep(time.Second)
-		f.drop("a") // its lease ran out while nothing could renew it
+		f.drop("a") // its lease expired as nothing could renew it
 		time.Sleep(5 * time.Second)
 		f.True(f.has("a"))
 		f.set(healthy)
@@ -170,13 +170,13 @@
 			f.True(f.has("a"))
 			f.True(f.has("b"))
 		}
-		time.Sleep(1600 * time.Millisecond) // 2 s after a return that is noticed within a second, and a call
+		time.Sleep(1600 * time.Millisecond) // the recovery window of 2 s, after up to 1 s until the recovery is noticed
 		f.True(!f.has("a"))
 		f.True(f.has("b"))
 	})
 }
 
-func TestEntriesThatAreBackInTimeWereNeverAway(t *testing.T) {
+func TestEntriesThatReappearInTimeStay(t *testing.T) {
 	feedTestRun(t, func(f feedTest) {
 		f.set(failing)
 		time.Sleep(time.Second)
@@ -214,9 +214,9 @@
 			time.Sleep(1500 * time.Millisecond)
 			began := time.Now()
 			failures := len(f.results())
-			f.stop() // it would hang otherwise
+			f.stop() // would hang if the feed didn't stop
 			is.True(time.Since(began) <= callTakes)
-			is.Equal(len(f.results()), failures) // to be stopped is no failure
+			is.Equal(len(f.results()), failures) // stopping is not a failure
 		})
 	}
 }
--- a/catalog/following_test.go
+++ b/catalog/following_test.go
@@ -8,39 +8,39 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// word is what other boxes say to one that follows them.
-type word struct {
+// peers are the boxes that a follower receives updates from.
+type peers struct {
 	follows atomic.Bool
-	at      atomic.Pointer[time.Time] // when they last said that they had read
+	at      atomic.Pointer[time.Time] // time of their last reported read
 }
 
-// say tells that others have just read.
-func (w *word) say() {
+// reportRead reports a read at this time.
+func (w *peers) reportRead() {
 	now := time.Now()
 	w.at.Store(&now)
 }
 
-// sayFor lets others read every second for so long.
-func (w *word) sayFor(d time.Duration) {
+// reportReadsFor reports a read every second for a time.
+func (w *peers) reportReadsFor(d time.Duration) {
 	for range d / time.Second {
-		w.say()
+		w.reportRead()
 		time.Sleep(time.Second)
 	}
 }
 
-// newWord returns the word of boxes that have just read.
-func newWord() *word {
-	w := &word{}
+// newPeers returns peers that have just reported a read.
+func newPeers() *peers {
+	w := &peers{}
 	w.follows.Store(true)
-	w.say()
+	w.reportRead()
 	return w
 }
 
-// options returns what makes a feed follow.
-func (w *word) options() []catalog.FeedOption {
+// options returns options for a feed that follows the peers.
+func (w *peers) options() []catalog.FeedOption {
 	own := func(err error) {
 		if err == nil {
-			w.say() // a box knows of its own readings
+			w.reportRead() // a box's own reads count too
 		}
 	}
 	age := func() time.Duration { return time.Since(*w.at.Load()) }
@@ -50,45 +50,45 @@
 	}
 }
 
-// followerRun is feedTestRun for a box that follows others.
-func followerRun(t *testing.T, f func(f feedTest, w *word)) {
-	w := newWord()
+// followerRun is feedTestRun for a follower.
+func followerRun(t *testing.T, f func(f feedTest, w *peers)) {
+	w := newPeers()
 	feedTestRun(t, func(run feedTest) { f(run, w) }, w.options()...)
 }
 
 func TestAFollowerCallsRarelyWhileOthersKeepItCurrent(t *testing.T) {
-	followerRun(t, func(f feedTest, w *word) {
+	followerRun(t, func(f feedTest, w *peers) {
 		f.True(f.has("a"))
-		w.sayFor(time.Minute)
+		w.reportReadsFor(time.Minute)
 		reads, waits := f.calls()
-		f.True(reads <= 4) // at first, and then every 20 s
+		f.True(reads <= 4) // an initial one, then one every 20 s
 		f.Equal(waits, 0)
 	})
 }
 
-func TestAFollowerReadsWhenNobodySaysThatItIsCurrent(t *testing.T) {
-	followerRun(t, func(f feedTest, w *word) {
-		w.sayFor(10 * time.Second)
+func TestAFollowerReadsWhenNoPeerReportsReads(t *testing.T) {
+	followerRun(t, func(f feedTest, w *peers) {
+		w.reportReadsFor(10 * time.Second)
 		f.put(plainReplica("c", 0))
-		time.Sleep(2700 * time.Millisecond) // as old as it lets its knowledge get, and the call
+		time.Sleep(2700 * time.Millisecond) // staleTimeout and the calls
 		f.True(f.has("c"))
 	})
 }
 
 func TestAFollowerThatWaitsLongestStillReadsWellBeforeAnyBound(t *testing.T) {
-	w := newWord()
+	w := newPeers()
 	longest := append(w.options(), catalog.WithJitter(func() float64 { return 0.999 }))
 	feedTestRun(t, func(f feedTest) {
-		w.sayFor(10 * time.Second)
+		w.reportReadsFor(10 * time.Second)
 		f.put(plainReplica("c", 0))
-		time.Sleep(3400 * time.Millisecond) // the shortest bound is 4 s, and the reading takes time
+		time.Sleep(3400 * time.Millisecond) // the shortest bound is 4 s including the read
 		f.True(f.has("c"))
 	}, longest...)
 }
 
-func TestAFollowerWhoseQuestionFailedReadsAtOnce(t *testing.T) {
-	followerRun(t, func(f feedTest, w *word) {
-		w.sayFor(2 * time.Second)
+func TestAFollowerWhoseRequestFailedReadsAtOnce(t *testing.T) {
+	followerRun(t, func(f feedTest, w *peers) {
+		w.reportReadsFor(2 * time.Second)
 		rev := f.put(plainReplica("c", 0))
 		f.feed.Behind(rev)
 		time.Sleep(soon)
@@ -97,10 +97,10 @@
 }
 
 func TestAFollowerOfManyReplicasAsksForTheRevisionInPlaceOfReading(t *testing.T) {
-	w := newWord()
+	w := newPeers()
 	largeTestRun(t, 100, func(f largeTest) {
 		before, _ := f.calls()
-		time.Sleep(40 * time.Second) // nobody says anything
+		time.Sleep(40 * time.Second) // no peer reports a read
 		after, waits := f.calls()
 		f.Equal(after, before)
 		f.Equal(waits, 0)
@@ -112,8 +112,8 @@
 }
 
 func TestABoxThatNoLongerFollowsWatchesFromWhereItWas(t *testing.T) {
-	followerRun(t, func(f feedTest, w *word) {
-		w.sayFor(5 * time.Second)
+	followerRun(t, func(f feedTest, w *peers) {
+		w.reportReadsFor(5 * time.Second)
 		f.put(plainReplica("c", 0))
 		w.follows.Store(false)
 		time.Sleep(time.Second)
@@ -124,14 +124,14 @@
 	})
 }
 
-func TestAFollowerTriesSeldomWhileThePublisherIsAwayAndIsBackByTheWordOfOthers(t *testing.T) {
-	followerRun(t, func(f feedTest, w *word) {
+func TestAFollowerRetriesRarelyDuringAnOutageAndRecoversThroughPeers(t *testing.T) {
+	followerRun(t, func(f feedTest, w *peers) {
 		before, _ := f.calls()
 		f.set(failing)
 		time.Sleep(20 * time.Second)
 		after, _ := f.calls()
 		f.True(after-before <= 12)
-		w.sayFor(10 * time.Second)
+		w.reportReadsFor(10 * time.Second)
 		quiet, _ := f.calls()
 		f.True(quiet-after <= 1)
 	})
--- a/catalog/fuzz_test.go
+++ b/catalog/fuzz_test.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	agreeWithin   = 5 * time.Second // of health and quiet, until the copy is what is published
-	leavingWithin = 4 * time.Second // of health, until a leaving replica is known
-	actions       = 40              // in one run
+	agreeWithin   = 5 * time.Second // after recovery and the last change, until the copy agrees
+	leavingWithin = 4 * time.Second // after recovery, until a leaving replica is recorded
+	actions       = 40              // per run
 	step          = 100 * time.Millisecond
-	othersLag     = 2700 * time.Millisecond // until another box has read all again and said so
+	peerLag       = 2700 * time.Millisecond // until a peer has reread and reported its revision
 )
 
-// failure ends a run that found a mistake.
+// failure ends a run with a violation.
 type failure string
 
-// world is a publisher, a copy, and what the copy has to be.
+// world is a publisher, a copy, and the state that the copy has to reach.
 type world struct {
 	*rapid.T
 	*publisher
 	*follower
-	well       time.Time            // since when the publisher is healthy
-	quiet      time.Time            // since when nothing is published
-	leaving    map[string]time.Time // since when a replica is published as leaving
-	highest    int                  // version of a policy
-	lapsed     []string             // entries that come back with the publisher
-	othersRead bool                 // other boxes read again, and say what they know
-	published  []int64              // revision after each step
+	healthySince   time.Time            // when the publisher recovered
+	unchangedSince time.Time            // time of the last change
+	leaving        map[string]time.Time // when a replica was published as leaving
+	highest        int                  // published version of the policy
+	expired        []string             // entries that reappear with the publisher
+	peersRead      bool                 // peers reread and report their revisions
+	published      []int64              // revision after each step
 }
 
 func (w *world) fail(format string, args ...any) {
@@ -48,7 +48,7 @@
 
 func (w *world) ready() {
 	id := w.id()
-	if w.leaving[id].IsZero() { // a replica that leaves never comes back under its id
+	if w.leaving[id].IsZero() { // a leaving replica never returns under its id
 		w.put(plainReplica(id, 0))
 	}
 }
@@ -78,55 +78,55 @@
 	})
 }
 
-func (w *world) reopen() {
+func (w *world) unevacuate() {
 	w.change(catalog.Change{
 		Unevacuated: w.id(),
 	})
 }
 
-func (w *world) become() {
+func (w *world) changeMode() {
 	m := rapid.SampledFrom([]mode{healthy, healthy, silent, failing, slow}).Draw(w.T, "mode")
 	if m == healthy && w.mode != healthy {
-		w.well = time.Now()
+		w.healthySince = time.Now()
 	}
 	if m == healthy {
-		for _, id := range w.lapsed {
+		for _, id := range w.expired {
 			if w.leaving[id].IsZero() {
 				w.put(plainReplica(id, 0))
 			}
 		}
-		w.lapsed = nil
+		w.expired = nil
 	}
 	w.set(m)
 }
 
-// lapse removes an entry because its lease can't be renewed.
-func (w *world) lapse() {
+// expire removes an entry whose lease can't be renewed.
+func (w *world) expire() {
 	if w.mode == failing {
 		id := w.id()
 		w.drop(id)
-		w.lapsed = append(w.lapsed, id)
+		w.expired = append(w.expired, id)
 	}
 }
 
-// pass lets time go on, and looks at the copy now and then.
-func (w *world) pass() {
-	w.passSteps(rapid.SampledFrom([]int{0, 1, 2, 10, 60, 130}).Draw(w.T, "steps"))
+// advance lets time pass and checks the copy at each step.
+func (w *world) advance() {
+	w.advanceSteps(rapid.SampledFrom([]int{0, 1, 2, 10, 60, 130}).Draw(w.T, "steps"))
 }
 
-func (w *world) passSteps(steps int) {
+func (w *world) advanceSteps(steps int) {
 	for range steps {
 		time.Sleep(step)
-		w.tell()
+		w.reportRevision()
 		w.check()
 	}
 }
 
-// tell lets another box say what it knows: what was published some time ago.
-func (w *world) tell() {
+// reportRevision notifies the feed of the revision that a peer has read with a delay.
+func (w *world) reportRevision() {
 	w.published = append(w.published, w.rev)
-	old := len(w.published) - 1 - int(othersLag/step)
-	if w.othersRead && old >= 0 {
+	old := len(w.published) - 1 - int(peerLag/step)
+	if w.peersRead && old >= 0 {
 		w.feed.Behind(w.published[old])
 	}
 }
@@ -143,14 +143,14 @@
 	want, got := w.snapshot(), w.now()
 	for _, r := range want.Replicas {
 		since := w.leaving[r.ID]
-		if since.IsZero() || now.Sub(since) < leavingWithin || now.Sub(w.well) < leavingWithin {
+		if since.IsZero() || now.Sub(since) < leavingWithin || now.Sub(w.healthySince) < leavingWithin {
 			continue
 		}
 		if held, _ := w.get(r.ID); !held.Leaving {
 			w.fail("%s is not known to leave: published %v, held %v", r.ID, r, held)
 		}
 	}
-	if now.Sub(w.well) < agreeWithin || now.Sub(w.quiet) < agreeWithin {
+	if now.Sub(w.healthySince) < agreeWithin || now.Sub(w.unchangedSince) < agreeWithin {
 		return
 	}
 	if !reflect.DeepEqual(got.Replicas, want.Replicas) {
@@ -162,8 +162,8 @@
 	w.checkPolicy(got.Policy, want.Policy)
 }
 
-// checkPolicy allows the copy to be ahead of an older version that was published
-// after a newer one.
+// checkPolicy allows the copy to be ahead when an older version is published after a newer
+// one.
 func (w *world) checkPolicy(got, want *catalog.Policy) {
 	switch {
 	case want == nil:
@@ -172,11 +172,11 @@
 	}
 }
 
-func TestTheCopyAgreesWithAPublisherThatIsWell(t *testing.T) {
+func TestTheCopyAgreesWithAHealthyPublisher(t *testing.T) {
 	checkWorlds(t, false)
 }
 
-// A box that doesn't read again for others hears from them what there is.
+// Guards against a stale copy on a box that leaves rereads to its peers.
 func TestTheCopyAgreesWhenOtherBoxesReadAgain(t *testing.T) {
 	checkWorlds(t, true)
 }
@@ -187,8 +187,7 @@
 	})
 }
 
-// inBubble does a run in virtual time. What ends it has to reach the library in its own
-// goroutine.
+// inBubble runs in virtual time. It passes failures on to rapid in rapid's own goroutine.
 func inBubble(t *testing.T, rt *rapid.T, run func(ctx context.Context)) {
 	t.Helper()
 	var ended any
@@ -207,29 +206,29 @@
 func runWorld(ctx context.Context, t *rapid.T, othersRead bool) {
 	p := newPublisher()
 	w := &world{
-		T:          t,
-		publisher:  p,
-		follower:   follow(ctx, p.source(), catalog.WithReader(func() bool { return !othersRead })),
-		well:       time.Now(),
-		quiet:      time.Now(),
-		leaving:    make(map[string]time.Time),
-		othersRead: othersRead,
+		T:              t,
+		publisher:      p,
+		follower:       follow(ctx, p.source(), catalog.WithReader(func() bool { return !othersRead })),
+		healthySince:   time.Now(),
+		unchangedSince: time.Now(),
+		leaving:        make(map[string]time.Time),
+		peersRead:      othersRead,
 	}
 	defer w.stop()
 	acts := []func(){
-		w.ready, w.ready, w.leave, w.remove, w.publish, w.evacuate, w.reopen,
-		w.compact, w.become, w.become, w.lapse, w.pass, w.pass, w.pass,
+		w.ready, w.ready, w.leave, w.remove, w.publish, w.evacuate, w.unevacuate,
+		w.compact, w.changeMode, w.changeMode, w.expire, w.advance, w.advance, w.advance,
 	}
 	for range actions {
 		before := w.rev
 		rapid.SampledFrom(acts).Draw(t, "action")()
 		if w.rev != before {
-			w.quiet = time.Now()
+			w.unchangedSince = time.Now()
 		}
 	}
 	if w.mode != healthy {
-		w.well = time.Now()
+		w.healthySince = time.Now()
 		w.set(healthy)
 	}
-	w.passSteps(int(agreeWithin / step))
+	w.advanceSteps(int(agreeWithin / step))
 }
--- a/catalog/incarnations_fuzz_test.go
+++ b/catalog/incarnations_fuzz_test.go
@@ -14,113 +14,113 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-const askEvery = 3 // steps between two questions of a box that follows
+const requestSteps = 3 // between two requests of the follower
 
-// starting is a publisher whose replicas start again under their ids, beside another
-// writer, the copy of a box that reads it, and that of a box which asks this one.
-type starting struct {
+// incarnationRun is a publisher whose replicas restart under their ids beside another writer,
+// the copy of a box that reads it, and that of a follower of this box.
+type incarnationRun struct {
 	*rapid.T
 	*publisher
 	*follower
-	asking *catalog.Content
-	well   time.Time                  // since when the publisher is healthy
-	quiet  time.Time                  // since when nothing is published
-	born   int64                      // the latest start of any replica
-	runs   map[string]int64           // the start that runs, by id
-	before map[string]int64           // the one before it
-	gone   map[string][]int64         // by id, the revisions at which its entry went or named no replica any more
-	held   map[string]catalog.Replica // by copy and id, what was held last
-	steps  int
+	asking         *catalog.Content
+	healthySince   time.Time                  // when the publisher recovered
+	unchangedSince time.Time                  // time of the last change
+	latestStart    int64                      // of any replica
+	current        map[string]int64           // running incarnation by id
+	previous       map[string]int64           // the incarnation before it
+	removed        map[string][]int64         // by id, the revisions at which its entry was removed or became unusable
+	held           map[string]catalog.Replica // last entry by copy and id
+	steps          int
 
-	silenced bool // a watch has left out what was published
+	silenced bool // a watch has missed changes
 }
 
-func (w *starting) fail(format string, args ...any) {
+func (w *incarnationRun) fail(format string, args ...any) {
 	panic(failure(fmt.Sprintf(format, args...)))
 }
 
-func (w *starting) id() string {
+func (w *incarnationRun) id() string {
 	return rapid.SampledFrom([]string{"a", "b", "c"}).Draw(w.T, "id")
 }
 
-// write publishes an entry of a start, unless nothing can be written.
-func (w *starting) write(id string, born int64, leaving bool) {
+// write publishes an entry of an incarnation, unless the publisher is unavailable.
+func (w *incarnationRun) write(id string, born int64, leaving bool) {
 	if born == 0 || w.mode == failing {
 		return
 	}
-	r := started(id, born, 0)
+	r := startedReplica(id, born, 0)
 	r.Leaving = leaving
 	w.put(r)
 }
 
-// restart lets a replica start again. Its entry may take a heartbeat.
-func (w *starting) restart() {
+// restart restarts a replica. Its entry may take until the next heartbeat.
+func (w *incarnationRun) restart() {
 	id := w.id()
-	w.born++
-	w.before[id] = w.runs[id]
-	w.runs[id] = w.born
+	w.latestStart++
+	w.previous[id] = w.current[id]
+	w.current[id] = w.latestStart
 	if rapid.Bool().Draw(w.T, "written at once") {
-		w.write(id, w.born, false)
+		w.write(id, w.latestStart, false)
 	}
 }
 
-func (w *starting) beat() {
+func (w *incarnationRun) heartbeat() {
 	id := w.id()
-	w.write(id, w.runs[id], false)
+	w.write(id, w.current[id], false)
 }
 
-func (w *starting) leave() {
+func (w *incarnationRun) leave() {
 	id := w.id()
-	w.write(id, w.runs[id], true)
+	w.write(id, w.current[id], true)
 }
 
-// late lets the start before write once more.
-func (w *starting) late() {
+// writeLate lets the previous incarnation write once more.
+func (w *incarnationRun) writeLate() {
 	id := w.id()
-	w.write(id, w.before[id], rapid.Bool().Draw(w.T, "leaving"))
+	w.write(id, w.previous[id], rapid.Bool().Draw(w.T, "leaving"))
 }
 
-// remove lets an entry lapse or go.
-func (w *starting) remove() {
+// remove removes an entry.
+func (w *incarnationRun) remove() {
 	id := w.id()
-	w.gone[id] = append(w.gone[id], w.drop(id))
+	w.removed[id] = append(w.removed[id], w.drop(id))
 }
 
-// foreign lets another writer write over an entry, or beside all.
-func (w *starting) foreign() {
+// writeForeign lets another writer overwrite an entry or add one of its own.
+func (w *incarnationRun) writeForeign() {
 	key := rapid.SampledFrom([]string{"a", "b", "other"}).Draw(w.T, "key")
-	w.gone[key] = append(w.gone[key], w.change(catalog.Change{
+	w.removed[key] = append(w.removed[key], w.change(catalog.Change{
 		Gone:     key,
 		Unusable: true,
 	}))
 }
 
-func (w *starting) become() {
+func (w *incarnationRun) changeMode() {
 	m := rapid.SampledFrom([]mode{healthy, healthy, silent, failing, slow}).Draw(w.T, "mode")
 	if m == healthy && w.mode != healthy {
-		w.well = time.Now()
+		w.healthySince = time.Now()
 	}
 	w.silenced = w.silenced || m == silent
 	w.set(m)
 }
 
-func (w *starting) pass() {
-	w.passSteps(rapid.SampledFrom([]int{0, 1, 3, 12, 60}).Draw(w.T, "steps"))
+func (w *incarnationRun) advance() {
+	w.advanceSteps(rapid.SampledFrom([]int{0, 1, 3, 12, 60}).Draw(w.T, "steps"))
 }
 
-func (w *starting) passSteps(steps int) {
+func (w *incarnationRun) advanceSteps(steps int) {
 	for range steps {
 		time.Sleep(step)
 		w.steps++
-		if w.steps%askEvery == 0 {
-			w.ask()
+		if w.steps%requestSteps == 0 {
+			w.requestChanges()
 		}
 		w.check()
 	}
 }
 
-// ask lets the box that follows ask the other one what changed.
-func (w *starting) ask() {
+// requestChanges lets the follower request the changes from the other box.
+func (w *incarnationRun) requestChanges() {
 	w.follower.mu.Lock()
 	data, err := json.Marshal(w.content.Since(w.asking.Revision()))
 	w.follower.mu.Unlock()
@@ -140,7 +140,7 @@
 	w.asking.Settle()
 }
 
-func (w *starting) check() {
+func (w *incarnationRun) check() {
 	synctest.Wait()
 	if wrong := w.mistake(); wrong != "" {
 		w.fail("%s", wrong)
@@ -148,27 +148,27 @@
 	read, asked := w.now(), w.asking.Snapshot()
 	w.checkForward("reading", read)
 	w.checkForward("asking", asked)
-	since := min(time.Since(w.well), time.Since(w.quiet))
+	since := min(time.Since(w.healthySince), time.Since(w.unchangedSince))
 	if w.mode != healthy || since < agreeWithin {
 		return
 	}
 	want := w.snapshot()
 	w.checkAgrees("reading", read, want)
-	if !w.silenced { // a box that was told a revision without its changes finds them when it reads all, within 20 s
+	if !w.silenced { // a follower with a revision but not its changes agrees only after its next full read, within 20 s
 		w.checkAgrees("asking", asked, want)
 	}
 }
 
-// checkForward looks for an earlier start that replaced a later one whose entry had not
-// gone between.
-func (w *starting) checkForward(name string, s catalog.Snapshot) {
+// checkForward fails if an earlier incarnation replaced a later one whose entry was not
+// removed in between.
+func (w *incarnationRun) checkForward(name string, s catalog.Snapshot) {
 	there := make(map[string]bool)
 	for _, r := range s.Replicas {
 		key := name + " " + r.ID
 		there[key] = true
 		held := w.held[key]
 		between := func(at int64) bool { return held.Revision < at && at < r.Revision }
-		if r.Born < held.Born && !slices.ContainsFunc(w.gone[r.ID], between) {
+		if r.Born < held.Born && !slices.ContainsFunc(w.removed[r.ID], between) {
 			w.fail("%s: %v replaced by %v", key, held, r)
 		}
 		w.held[key] = r
@@ -180,58 +180,58 @@
 	}
 }
 
-// checkAgrees looks for a copy that isn't what is published, but for an earlier start
-// that wrote last.
-func (w *starting) checkAgrees(name string, got, want catalog.Snapshot) {
+// checkAgrees fails if a copy differs from the published state, except for an earlier
+// incarnation that wrote last.
+func (w *incarnationRun) checkAgrees(name string, got, want catalog.Snapshot) {
 	if len(got.Replicas) != len(want.Replicas) {
 		w.fail("%s: held %v, published %v", name, got.Replicas, want.Replicas)
 	}
 	for i, r := range want.Replicas {
 		held := got.Replicas[i]
 		same := held.Born == r.Born && held.Leaving == r.Leaving
-		if held.ID != r.ID || held.Born < r.Born || r.Born == w.runs[r.ID] && !same {
+		if held.ID != r.ID || held.Born < r.Born || r.Born == w.current[r.ID] && !same {
 			w.fail("%s: held %v, published %v", name, held, r)
 		}
 	}
 }
 
-// Replicas started again under their ids, within a heartbeat and in outages, while late
-// words of the starts before and another writer's entries came between.
-func TestTheCopiesHoldTheLatestStartWhateverComesBetween(t *testing.T) {
+// Guards against copies that hold an earlier incarnation after restarts, outages, late writes
+// and foreign entries.
+func TestCopiesHoldTheLatestIncarnation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		inBubble(t, rt, func(ctx context.Context) { runStarting(ctx, rt) })
+		inBubble(t, rt, func(ctx context.Context) { runIncarnations(ctx, rt) })
 	})
 }
 
-func runStarting(ctx context.Context, t *rapid.T) {
+func runIncarnations(ctx context.Context, t *rapid.T) {
 	p := newPublisher()
-	w := &starting{
-		T:         t,
-		publisher: p,
-		follower:  follow(ctx, p.source()),
-		asking:    catalog.NewContent(),
-		well:      time.Now(),
-		quiet:     time.Now(),
-		runs:      make(map[string]int64),
-		before:    make(map[string]int64),
-		gone:      make(map[string][]int64),
-		held:      make(map[string]catalog.Replica),
+	w := &incarnationRun{
+		T:              t,
+		publisher:      p,
+		follower:       follow(ctx, p.source()),
+		asking:         catalog.NewContent(),
+		healthySince:   time.Now(),
+		unchangedSince: time.Now(),
+		current:        make(map[string]int64),
+		previous:       make(map[string]int64),
+		removed:        make(map[string][]int64),
+		held:           make(map[string]catalog.Replica),
 	}
 	defer w.stop()
 	acts := []func(){
-		w.restart, w.restart, w.beat, w.beat, w.leave, w.late, w.remove, w.foreign, w.foreign,
-		w.compact, w.become, w.become, w.pass, w.pass, w.pass,
+		w.restart, w.restart, w.heartbeat, w.heartbeat, w.leave, w.writeLate, w.remove, w.writeForeign, w.writeForeign,
+		w.compact, w.changeMode, w.changeMode, w.advance, w.advance, w.advance,
 	}
 	for range actions {
 		before := w.rev
 		rapid.SampledFrom(acts).Draw(t, "action")()
 		if w.rev != before {
-			w.quiet = time.Now()
+			w.unchangedSince = time.Now()
 		}
 	}
 	if w.mode != healthy {
-		w.well = time.Now()
+		w.healthySince = time.Now()
 		w.set(healthy)
 	}
-	w.passSteps(int(agreeWithin/step) + 2*askEvery)
+	w.advanceSteps(int(agreeWithin/step) + 2*requestSteps)
 }
--- a/catalog/keep_test.go
+++ b/catalog/keep_test.go
@@ -11,8 +11,8 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// keeps returns how often a feed of so many replicas calls Keep in a minute.
-func keeps(t *testing.T, replicas int, follows bool) (n int) {
+// countKeeps returns how often a feed of so many replicas calls Keep in a minute.
+func countKeeps(t *testing.T, replicas int, follows bool) (n int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute-time.Second)
 		defer cancel()
@@ -42,21 +42,20 @@
 	return n
 }
 
-// A source with 20 s of history can then tell a box that reads each 20 s, or more rarely,
-// whether something large has changed.
-func TestWhatIsLargeIsKeptByBoxesThatReadRarely(t *testing.T) {
+// Guards against a source whose history of 20 s ends between two reads.
+func TestBoxesThatReadRarelyCallKeep(t *testing.T) {
 	is := is.New(t)
-	is.Equal(keeps(t, 6, true), 9)
-	is.Equal(keeps(t, 300, true), 9)
-	is.Equal(keeps(t, 300, false), 9)
+	is.Equal(countKeeps(t, 6, true), 9)
+	is.Equal(countKeeps(t, 300, true), 9)
+	is.Equal(countKeeps(t, 300, false), 9)
 }
 
-func TestWhatIsLargeIsNotKeptByBoxesThatReadOften(t *testing.T) {
+func TestBoxesThatReadOftenDontCallKeep(t *testing.T) {
 	is := is.New(t)
-	is.Equal(keeps(t, 6, false), 0)
+	is.Equal(countKeeps(t, 6, false), 0)
 }
 
-func TestWhatIsLargeIsNotKeptWhereItIsReadVeryRarely(t *testing.T) {
+func TestBoxesThatReadVeryRarelyDontCallKeep(t *testing.T) {
 	is := is.New(t)
-	is.Equal(keeps(t, 600, true), 0)
+	is.Equal(countKeeps(t, 600, true), 0)
 }
--- a/catalog/large_test.go
+++ b/catalog/large_test.go
@@ -13,10 +13,10 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// large is a catalog of the next deployments.
-const large = 148
+// largeCount is a number of replicas above largeThreshold.
+const largeCount = 148
 
-// largeTest is a large catalog that tells its newest revision, and a copy of it.
+// largeTest is a large catalog with a Newest function, and a copy of it.
 type largeTest struct {
 	feedTest
 	asked *atomic.Int64
@@ -33,8 +33,8 @@
 		source.Newest = func(ctx context.Context) (int64, error) {
 			asked.Add(1)
 			var none int
-			if p.begin(ctx, &none) == failing {
-				return 0, errAway
+			if p.startCall(ctx, &none) == failing {
+				return 0, errUnavailable
 			}
 			return p.snapshot().Revision, ctx.Err()
 		}
@@ -53,7 +53,7 @@
 }
 
 func TestALargeCatalogIsNotReadAgainWhileTheWatchBringsAll(t *testing.T) {
-	largeTestRun(t, large, func(f largeTest) {
+	largeTestRun(t, largeCount, func(f largeTest) {
 		for n := range 60 {
 			f.put(plainReplica(fmt.Sprint("new-", n), 0))
 			time.Sleep(time.Second)
@@ -61,18 +61,18 @@
 		reads, _ := f.calls()
 		f.Equal(reads, 1)
 		f.True(f.asked.Load() >= 20) // about every two seconds
-		time.Sleep(2 * large * time.Second)
+		time.Sleep(2 * largeCount * time.Second)
 		reads, _ = f.calls()
-		f.True(reads >= 2) // but now and then, whatever the revisions say
+		f.True(reads >= 2) // full reads still happen occasionally
 		f.True(reads <= 4)
 		f.NoErr(f.lastHealth())
 	})
 }
 
 func TestASilentWatchOfALargeCatalogIsCoveredByItsRevision(t *testing.T) {
-	largeTestRun(t, large, func(f largeTest) {
+	largeTestRun(t, largeCount, func(f largeTest) {
 		f.set(silent)
-		time.Sleep(11 * time.Second) // the watch that waited has ended
+		time.Sleep(11 * time.Second) // ends the current watch
 		f.put(plainReplica("c", 0))
 		time.Sleep(3 * time.Second)
 		f.True(f.has("c"))
@@ -82,8 +82,8 @@
 	})
 }
 
-func TestALargeCatalogIsReadWholeOnceThePublisherIsBack(t *testing.T) {
-	largeTestRun(t, large, func(f largeTest) {
+func TestALargeCatalogIsReadInFullAfterAnOutage(t *testing.T) {
+	largeTestRun(t, largeCount, func(f largeTest) {
 		f.set(failing)
 		time.Sleep(5 * time.Second)
 		f.True(f.lastHealth() != nil)
@@ -107,15 +107,15 @@
 	})
 }
 
-// Who was behind read all, page by page, however little had changed.
+// Guards against full reads of a large catalog when little has changed.
 func TestAFollowerOfManyReplicasCatchesUpByWhatChanged(t *testing.T) {
-	for _, replicas := range []int{large, 600} {
-		w := newWord()
+	for _, replicas := range []int{largeCount, 600} {
+		w := newPeers()
 		largeTestRun(t, replicas, func(f largeTest) {
-			w.sayFor(3 * time.Second)
+			w.reportReadsFor(3 * time.Second)
 			f.put(plainReplica("c", 0))
 			f.drop("r-1")
-			time.Sleep(3 * time.Second) // nobody says that it is current
+			time.Sleep(3 * time.Second) // no peer reports a read
 			f.True(f.has("c"))
 			f.True(!f.has("r-1"))
 			reads, waits := f.calls()
@@ -126,11 +126,11 @@
 }
 
 func TestAFollowerOfManyReplicasAsksOthersBeforeItReads(t *testing.T) {
-	w := newWord()
+	w := newPeers()
 	asked := 0
 	refresh := catalog.WithRefresh(func(context.Context) {
 		asked++
-		w.say()
+		w.reportRead()
 	})
 	largeTestRun(t, 600, func(f largeTest) {
 		time.Sleep(time.Minute)
@@ -145,7 +145,7 @@
 func TestAWatchOfManyReplicasThatFailsGoesOnWithoutReadingAll(t *testing.T) {
 	largeTestRun(t, 600, func(f largeTest) {
 		f.set(silent)
-		time.Sleep(15 * time.Second) // the watch that waited has ended
+		time.Sleep(15 * time.Second) // ends the current watch
 		f.set(healthy)
 		time.Sleep(5 * time.Second)
 		f.put(plainReplica("c", 0))
--- a/catalog/news_fuzz_test.go
+++ b/catalog/news_fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// FuzzNews looks for news of another box that end this one, or make its copy hold a
-// replica that can't be told on.
+// FuzzNews looks for updates that crash the receiving box, or make its copy hold a replica
+// that can't be sent on.
 func FuzzNews(f *testing.F) {
 	for _, data := range []string{
 		`{"changes":[{"revision":3,"replica":{"id":"a","born":100,"service":"s","addr":"x:1"}}],"revision":3}`,
@@ -24,7 +24,7 @@
 			return
 		}
 		c := catalog.NewContent()
-		c.Take(snapshot(5, true, started("a", 50, 2), plainReplica("b", 1)))
+		c.Take(snapshot(5, true, startedReplica("a", 50, 2), plainReplica("b", 1)))
 		c.Take(news.Update())
 		c.Settle()
 		for _, r := range c.Replicas() {
--- a/catalog/organisation_test.go
+++ b/catalog/organisation_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// manyOrganisations returns so many of them with four keys each.
+// manyOrganisations returns n organisations with four keys each.
 func manyOrganisations(n int) (out []Organisation) {
 	for o := range n {
 		org := Organisation{
@@ -50,7 +50,7 @@
 	is.Equal(p.Check().Error(), `policy: organisation "org-700": has a key of organisation "org-003"`)
 }
 
-// homes draws the homes of a route or an organisation; none stands for all regions.
+// homes draws the home regions of a route or an organisation; none stands for all regions.
 var homes = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID[string])
 
 func TestARequestsDataEntersARegionThatIsAHomeOfBoth(t *testing.T) {
@@ -129,13 +129,13 @@
 	is.NoErr(err)
 	data, err := json.Marshal(d)
 	is.NoErr(err)
-	is.True(len(data) < 600) // of some 130 KB
+	is.True(len(data) < 600) // the policy has some 130 KB
 	got, err := d.Apply(&earlier)
 	is.NoErr(err)
 	is.Equal(*got, later)
 }
 
-// The bound is 1 microsecond without an allocation.
+// The bound is 1 µs without an allocation.
 func BenchmarkAKeyIsLookedUp(b *testing.B) {
 	table := NewTable(Policy{
 		Version:       1,
--- a/catalog/policy_test.go
+++ b/catalog/policy_test.go
@@ -14,7 +14,7 @@
 	_ "github.com/havenrudder/havenrudder/internal/fixed"
 )
 
-// plainRoute returns a route that passes all checks.
+// plainRoute returns a valid route.
 func plainRoute(name, host, prefix string) catalog.Route {
 	return catalog.Route{
 		Name:     name,
@@ -30,7 +30,7 @@
 	}
 }
 
-// plainPolicy returns a policy of one version.
+// plainPolicy returns a policy with a version.
 func plainPolicy(version int, routes ...catalog.Route) *catalog.Policy {
 	return &catalog.Policy{
 		Version: version,
@@ -128,7 +128,7 @@
 		}
 		for _, s := range r.Shares {
 			if total == 0 || len(r.Shares) == 1 {
-				continue // there is nothing to split
+				continue // nothing to split
 			}
 			share := float64(s.Weight) / float64(total)
 			if diff := float64(got[s.Service])/requests - share; diff > 0.05 || diff < -0.05 {
@@ -184,7 +184,7 @@
 func TestADecodedPolicyIsChecked(t *testing.T) {
 	cases := []struct {
 		name, old, new string
-		want           string // in the error; empty for none
+		want           string // part of the error; empty for none
 	}{
 		{"sound", "", "", ""},
 		{"version missing", `"version":1,`, ``, "version"},
@@ -219,9 +219,9 @@
 				return
 			}
 			is.True(err != nil)
-			is.True(strings.Contains(err.Error(), c.want)) // the error names what is wrong
+			is.True(strings.Contains(err.Error(), c.want)) // names the mistake
 			if !strings.HasPrefix(c.name, "version") {
-				is.True(strings.Contains(err.Error(), "orders")) // and the route
+				is.True(strings.Contains(err.Error(), "orders")) // names the route
 			}
 		})
 	}
--- a/catalog/publisher_test.go
+++ b/catalog/publisher_test.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	callTakes = 5 * time.Millisecond // of each call of a publisher; above 0, so that time goes on in loops
-	slowTakes = time.Second          // of a slow publisher's call
+	callTakes = 5 * time.Millisecond // per call of a publisher; above 0, so that virtual time advances in loops
+	slowTakes = time.Second          // per call of a slow publisher
 )
 
-// mode is how a publisher answers calls that begin meanwhile.
+// mode is how a publisher answers new calls.
 type mode int
 
 const (
 	healthy mode = iota
-	silent       // a watch hears nothing, and says that it has heard all
-	failing      // all calls fail, and watches that wait are cut
-	slow         // answers come late
+	silent       // a watch misses all changes but reports the newest revision
+	failing      // all calls fail, and running watches are cut
+	slow         // answers are delayed
 )
 
-var errAway = errors.New("the publisher is away")
+var errUnavailable = errors.New("the publisher is away")
 
-// publisher is a stand-in for what publishes the catalog.
+// publisher is a fake publisher of the catalog.
 type publisher struct {
-	mu        sync.Mutex
-	mode      mode
-	rev       int64
-	policy    *catalog.Policy
-	replicas  map[string]catalog.Replica
-	evacuated map[string]bool
-	unusable  map[string]bool // ids under which an entry names no replica
-	history   []catalog.Change
-	forgot    int64 // newest revision that history lacks
-	changed   change.Signal
-	reads     int
-	waits     int
+	mu          sync.Mutex
+	mode        mode
+	rev         int64
+	policy      *catalog.Policy
+	replicas    map[string]catalog.Replica
+	evacuated   map[string]bool
+	unusable    map[string]bool // ids of entries that describe no replica
+	history     []catalog.Change
+	compactedAt int64 // newest revision that history lacks
+	changed     change.Signal
+	reads       int
+	waits       int
 }
 
 func newPublisher() *publisher {
@@ -54,7 +54,7 @@
 	}
 }
 
-// source returns the publisher as a feed meets it.
+// source returns the publisher as the source of a feed.
 func (p *publisher) source() catalog.Source {
 	return catalog.Source{
 		Read: p.read,
@@ -105,12 +105,12 @@
 	})
 }
 
-// compact forgets the history.
+// compact drops the history.
 func (p *publisher) compact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.history = nil
-	p.forgot = p.rev
+	p.compactedAt = p.rev
 	p.changed.Tell()
 }
 
@@ -121,7 +121,7 @@
 	p.changed.Tell()
 }
 
-// snapshot returns all that is published.
+// snapshot returns the full published state.
 func (p *publisher) snapshot() catalog.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,15 +138,15 @@
 	return out
 }
 
-// calls returns how often all was read and how many watches began.
+// calls returns the number of full reads and watches.
 func (p *publisher) calls() (reads, waits int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads, p.waits
 }
 
-// begin counts a call and returns the mode that it meets.
-func (p *publisher) begin(ctx context.Context, count *int) mode {
+// startCall counts a call and returns the current mode.
+func (p *publisher) startCall(ctx context.Context, count *int) mode {
 	p.mu.Lock()
 	*count++
 	m := p.mode
@@ -156,9 +156,9 @@
 }
 
 func (p *publisher) read(ctx context.Context) (catalog.Snapshot, error) {
-	m := p.begin(ctx, &p.reads)
+	m := p.startCall(ctx, &p.reads)
 	if m == failing {
-		return catalog.Snapshot{}, errAway
+		return catalog.Snapshot{}, errUnavailable
 	}
 	out := p.snapshot()
 	if m == slow {
@@ -168,7 +168,7 @@
 }
 
 func (p *publisher) wait(ctx context.Context, after int64, wait time.Duration) ([]catalog.Change, int64, error) {
-	m := p.begin(ctx, &p.waits)
+	m := p.startCall(ctx, &p.waits)
 	if m == silent {
 		sleep.For(ctx, wait)
 		return nil, p.snapshot().Revision, ctx.Err()
@@ -192,14 +192,14 @@
 	}
 }
 
-// since returns what changed after a revision, and what tells of more.
+// since returns the changes after a revision, and a channel that signals more.
 func (p *publisher) since(after int64) (changes []catalog.Change, rev int64, changed <-chan struct{}, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == failing {
-		return nil, 0, nil, errAway
+		return nil, 0, nil, errUnavailable
 	}
-	if after < p.forgot {
+	if after < p.compactedAt {
 		return nil, 0, nil, catalog.ErrHistoryGone
 	}
 	for _, ch := range p.history {
@@ -210,26 +210,26 @@
 	return changes, p.rev, p.changed.Next(), nil
 }
 
-// follower is a copy that a feed keeps.
+// follower is a copy that a feed keeps up to date.
 type follower struct {
 	mu      sync.Mutex
 	content *catalog.Content
 	health  []error
-	wrong   string // what an update made wrong first
+	wrong   string // first violation by an update
 	feed    *catalog.Feed
 	stop    func()
 }
 
-// follow starts a feed of a publisher; stop ends it and waits for that.
+// follow starts a feed of a source; stop ends it and waits.
 func follow(ctx context.Context, source catalog.Source, opts ...catalog.FeedOption) *follower {
 	f := &follower{
 		content: catalog.NewContent(),
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	opts = append([]catalog.FeedOption{
-		catalog.WithHealth(f.told),
+		catalog.WithHealth(f.recordHealth),
 		catalog.WithJitter(func() float64 {
-			return []float64{0, 0.999, 0.5}[time.Now().UnixMilli()/10%3] // of all kinds, and the same in each run
+			return []float64{0, 0.999, 0.5}[time.Now().UnixMilli()/10%3] // low, high and middle, and deterministic
 		}),
 	}, opts...)
 	var running sync.WaitGroup
@@ -242,7 +242,7 @@
 	return f
 }
 
-func (f *follower) told(err error) {
+func (f *follower) recordHealth(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.health = append(f.health, err)
@@ -261,7 +261,7 @@
 	}
 }
 
-// now returns the copy as it is.
+// now returns the current copy.
 func (f *follower) now() catalog.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -278,14 +278,14 @@
 	return catalog.Replica{}, false
 }
 
-// results returns the results of all calls that were told.
+// results returns the results of all calls.
 func (f *follower) results() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.health)
 }
 
-// lastHealth returns the result of the last call that was told.
+// lastHealth returns the result of the last call.
 func (f *follower) lastHealth() error {
 	all := f.results()
 	if len(all) == 0 {
@@ -294,7 +294,7 @@
 	return all[len(all)-1]
 }
 
-// mistake returns what an update made wrong first; empty for nothing.
+// mistake returns the first violation by an update; empty for none.
 func (f *follower) mistake() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/catalog/rank_test.go
+++ b/catalog/rank_test.go
@@ -34,9 +34,9 @@
 	is.Equal(table.Rank("engine", 1, nil), 0.0)
 	is.Equal(table.Rank("engine", 3, nil), 0.5)
 	is.Equal(table.Rank("engine", 5, nil), 1.0)
-	is.Equal(table.Rank("engine", 9, nil), 1.0) // of an older policy
+	is.Equal(table.Rank("engine", 9, nil), 1.0) // a priority of an older policy
 	is.Equal(table.Rank("engine", 0, nil), 0.0)
-	is.Equal(table.Rank("plain", 5, nil), 0.0) // all are alike
+	is.Equal(table.Rank("plain", 5, nil), 0.0) // all have the same priority
 	is.Equal(table.Rank("spare", 3, nil), 0.0)
 	is.Equal(table.Rank("unknown", 3, nil), 0.0)
 }
--- a/catalog/snapshot_test.go
+++ b/catalog/snapshot_test.go
@@ -12,7 +12,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// plainReplica returns an entry of a revision.
+// plainReplica returns an entry with a revision.
 func plainReplica(id string, rev int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       id,
@@ -24,7 +24,7 @@
 	}
 }
 
-// snapshot returns an update of all that is published.
+// snapshot returns an update with a snapshot.
 func snapshot(rev int64, settled bool, replicas ...catalog.Replica) catalog.Update {
 	return catalog.Update{
 		Snapshot: &catalog.Snapshot{
@@ -36,7 +36,7 @@
 	}
 }
 
-// changed returns an update of changes up to a revision.
+// changed returns an update with changes up to a revision.
 func changed(rev int64, settled bool, changes ...catalog.Change) catalog.Update {
 	return catalog.Update{
 		Changes:  changes,
@@ -45,7 +45,7 @@
 	}
 }
 
-// replicaIDs returns the ids of all replicas held.
+// replicaIDs returns the ids of a copy's replicas.
 func replicaIDs(c *catalog.Content) []string {
 	out := []string{}
 	for _, r := range c.Replicas() {
@@ -80,7 +80,7 @@
 	is.True(!c.Take(snapshot(4, true, plainReplica("b", 4))))
 	is.Equal(replicaIDs(c), []string{"a"})
 	is.Equal(c.Revision(), int64(5))
-	is.True(c.Take(snapshot(5, true, plainReplica("a", 5), plainReplica("b", 4)))) // of the same revision
+	is.True(c.Take(snapshot(5, true, plainReplica("a", 5), plainReplica("b", 4)))) // at the same revision
 	is.Equal(replicaIDs(c), []string{"a", "b"})
 }
 
@@ -97,8 +97,7 @@
 	is.Equal(replicaIDs(c), []string{"a"})
 }
 
-// A read and a watch run side by side, so the watch's answer may be older than
-// what was read meanwhile.
+// Guards against a watch whose answer is older than a concurrent read.
 func TestAnOlderChangeDoesntReplaceANewerEntry(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
@@ -158,7 +157,7 @@
 		Revision: 4,
 		Replica:  &b,
 	}))
-	is.True(c.Replicas()[1].Leaving) // what is published is taken all the same
+	is.True(c.Replicas()[1].Leaving) // published changes are applied all the same
 	c.Take(snapshot(5, true, b))
 	is.Equal(replicaIDs(c), []string{"b"})
 	c.Take(changed(6, true, catalog.Change{
@@ -214,7 +213,7 @@
 	})
 }
 
-// anyUpdate returns an update with whatever revision.
+// anyUpdate returns an update with a random revision.
 func anyUpdate(t *rapid.T) catalog.Update {
 	rev := rapid.Int64Range(1, 40).Draw(t, "revision")
 	settled := rapid.Bool().Draw(t, "settled")
