--- a/catalog/change_test.go
+++ b/catalog/change_test.go
@@ -22,27 +22,27 @@
 }
 
 // update brings the copy up to date.
-func (l *sourceCopy) update(t *rapid.T) {
-	if l.revision == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
-		s := l.snapshot()
-		l.copy.Take(catalog.Update{
+func (c *sourceCopy) update(t *rapid.T) {
+	if c.revision == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
+		s := c.snapshot()
+		c.copy.Take(catalog.Update{
 			Snapshot: &s,
 			Revision: s.Revision,
 			Settled:  true,
 		})
-		l.revision = s.Revision
+		c.revision = s.Revision
 		return
 	}
-	changes, rev, _, err := l.since(l.revision)
+	changes, rev, _, err := c.since(c.revision)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.copy.Take(catalog.Update{
+	c.copy.Take(catalog.Update{
 		Changes:  changes,
 		Revision: rev,
 		Settled:  true,
 	})
-	l.revision = rev
+	c.revision = rev
 }
 
 // publishAny publishes one random change.
@@ -71,21 +71,21 @@
 func TestUpdatesBetweenBoxesGiveTheSameCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		version := 0
-		l := &sourceCopy{
+		c := &sourceCopy{
 			publisher: newPublisher(),
 			copy:      catalog.NewContent(),
 		}
-		asks := catalog.NewContent()
-		told := catalog.NewDeltas()
+		receiver := catalog.NewContent()
+		deltas := catalog.NewDeltas()
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
-				publishAny(t, l.publisher, &version)
+				publishAny(t, c.publisher, &version)
 			}
-			l.update(t)
+			c.update(t)
 			if rapid.IntRange(0, 2).Draw(t, "asked") > 0 {
 				continue
 			}
-			data, err := json.Marshal(l.copy.Since(asks.Revision()))
+			data, err := json.Marshal(c.copy.Since(receiver.Revision()))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -93,9 +93,9 @@
 			if err := json.Unmarshal(data, &news); err != nil {
 				t.Fatal(err)
 			}
-			asks.Take(news.Update())
-			requestPolicy(t, asks, l.copy, told)
-			got, want := asks.Snapshot(), l.copy.Snapshot()
+			receiver.Take(news.Update())
+			requestPolicy(t, receiver, c.copy, deltas)
+			got, want := receiver.Snapshot(), c.copy.Snapshot()
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("got %+v, want %+v", got, want)
 			}
@@ -131,7 +131,7 @@
 		for _, settled := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				knows, asks := catalog.NewContent(), catalog.NewContent()
+				sender, receiver := catalog.NewContent(), catalog.NewContent()
 				var before, after []catalog.Replica
 				for i := range all {
 					r := numbered(i)
@@ -140,21 +140,21 @@
 						after = append(after, r)
 					}
 				}
-				takeSnapshot(knows, before, int64(all), true)
-				asks.Take(knows.Since(0).Update())
-				asked := asks.Revision()
-				takeSnapshot(knows, after, int64(all+1), settled)
+				takeSnapshot(sender, before, int64(all), true)
+				receiver.Take(sender.Since(0).Update())
+				asked := receiver.Revision()
+				takeSnapshot(sender, after, int64(all+1), settled)
 				time.Sleep(3 * time.Second) // longer than any removal stays unconfirmed
-				knows.Settle()
+				sender.Settle()
 				for _, revision := range []int64{asked, int64(all + 1)} { // it may have received the later revision before the removals were confirmed
-					news := knows.Since(revision)
+					news := sender.Since(revision)
 					is.True(news.Snapshot == nil)
 					if revision == asked || !settled {
 						is.Equal(len(removals(news)), all/4)
 					}
 				}
-				asks.Take(knows.Since(asked).Update())
-				is.Equal(len(asks.Replicas()), len(after))
+				receiver.Take(sender.Since(asked).Update())
+				is.Equal(len(receiver.Replicas()), len(after))
 			})
 		}
 	}
--- a/catalog/delta_test.go
+++ b/catalog/delta_test.go
@@ -25,15 +25,15 @@
 }
 
 // requestPolicy requests the newest reported policy from another copy, in encoded form.
-func requestPolicy(t *rapid.T, asks, from *catalog.Content, told *catalog.Deltas) {
-	if asks.PolicyDue() == 0 {
+func requestPolicy(t *rapid.T, receiver, from *catalog.Content, deltas *catalog.Deltas) {
+	if receiver.PolicyDue() == 0 {
 		return
 	}
 	have := 0
-	if p := asks.Policy(); p != nil {
+	if p := receiver.Policy(); p != nil {
 		have = p.Version
 	}
-	compressed, err := told.Compressed(from.Policies(), have)
+	compressed, err := deltas.Compressed(from.Policies(), have)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,11 +51,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := a.Apply(asks.Policy())
+	p, err := a.Apply(receiver.Policy())
 	if err != nil {
 		t.Fatal(err)
 	}
-	asks.Take(catalog.Update{
+	receiver.Take(catalog.Update{
 		Changes: []catalog.Change{{
 			Policy: p,
 		}},
@@ -110,10 +110,10 @@
 	for n := range 4200 {
 		routes = append(routes, plainRoute(fmt.Sprintf("r-%07x", n*7919), fmt.Sprintf("h%d", n*104729%10007), "/"))
 	}
-	told := catalog.NewDeltas()
+	deltas := catalog.NewDeltas()
 	list := []*catalog.Policy{plainPolicy(1, routes[:2800]...), plainPolicy(2, routes...), plainPolicy(3, routes...)}
 	size := func(from int, list ...*catalog.Policy) int {
-		out, err := told.Compressed(list, from)
+		out, err := deltas.Compressed(list, from)
 		is.NoErr(err)
 		return len(out)
 	}
@@ -146,7 +146,7 @@
 	is.Equal(c.Policy().Version, 40)
 }
 
-func TestACopyKnowsWhichPolicyItLacks(t *testing.T) {
+func TestACopyRecordsWhichPolicyIsMissing(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
 	is.Equal(c.PolicyDue(), 0)
--- a/catalog/doubt_test.go
+++ b/catalog/doubt_test.go
@@ -12,8 +12,8 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// doubtAfter returns an update with a removal that stays unconfirmed for a time.
-func doubtAfter(revision int64, gone string, settles time.Duration) catalog.Update {
+// unconfirmedAfter returns an update with a removal that stays unconfirmed for a time.
+func unconfirmedAfter(revision int64, gone string, settles time.Duration) catalog.Update {
 	return catalog.Update{
 		Revision: revision,
 		Settles:  settles,
@@ -32,13 +32,13 @@
 	// Output: 12 10 [a b] true
 }
 
-func TestARemovalInDoubtIsBelievedWhenItsTimeIsOver(t *testing.T) {
+func TestAnUnconfirmedRemovalIsConfirmedWhenItsTimeIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := catalog.NewContent()
 		c.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
-		c.Take(doubtAfter(11, "a", time.Second))
-		c.Take(doubtAfter(11, "a", time.Minute)) // sent again; the earlier deadline stays
+		c.Take(unconfirmedAfter(11, "a", time.Second))
+		c.Take(unconfirmedAfter(11, "a", time.Minute)) // sent again; the earlier deadline stays
 		time.Sleep(time.Second - time.Millisecond)
 		is.True(!c.Settle())
 		is.Equal(replicaIDs(c), []string{"a", "b"})
@@ -50,12 +50,12 @@
 	})
 }
 
-func TestAnEntryThatIsBackIsNoLongerInDoubt(t *testing.T) {
+func TestAnEntryThatReappearsIsNoLongerUnconfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := catalog.NewContent()
 		c.Take(snapshot(10, true, plainReplica("a", 1)))
-		c.Take(doubtAfter(11, "a", time.Second))
+		c.Take(unconfirmedAfter(11, "a", time.Second))
 		back := plainReplica("a", 12)
 		c.Take(changed(12, true, catalog.Change{
 			Revision: 12,
@@ -69,48 +69,48 @@
 
 // Guards against a receiver that records a revision without its unconfirmed removals, or
 // confirms them later than the sender.
-func TestWhatIsInDoubtIsToldWithTheRevision(t *testing.T) {
+func TestUnconfirmedRemovalsAreSentWithTheRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		teller, asks, starts := catalog.NewContent(), catalog.NewContent(), catalog.NewContent()
-		teller.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
-		asks.Take(teller.Since(0).Update())
-		teller.Take(doubtAfter(11, "a", 2*time.Second))
+		sender, receiver, newcomer := catalog.NewContent(), catalog.NewContent(), catalog.NewContent()
+		sender.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
+		receiver.Take(sender.Since(0).Update())
+		sender.Take(unconfirmedAfter(11, "a", 2*time.Second))
 		time.Sleep(1500 * time.Millisecond)
-		for _, c := range []*catalog.Content{asks, starts} {
-			c.Take(overTheWire(t, teller.Since(c.Revision())).Update())
+		for _, c := range []*catalog.Content{receiver, newcomer} {
+			c.Take(overTheWire(t, sender.Since(c.Revision())).Update())
 			is.Equal(c.Newest(), int64(11))
 			is.True(c.InDoubt("a"))
 		}
 		time.Sleep(500 * time.Millisecond)
-		for _, c := range []*catalog.Content{teller, asks, starts} {
+		for _, c := range []*catalog.Content{sender, receiver, newcomer} {
 			is.True(c.Settle())
 			is.Equal(replicaIDs(c), []string{"b"})
 		}
 	})
 }
 
-func TestABoxThatStillDoubtsBringsNoReplicaBack(t *testing.T) {
+func TestAnUnconfirmedRemovalBringsNoReplicaBack(t *testing.T) {
 	is := is.New(t)
-	doubts, knows := catalog.NewContent(), catalog.NewContent()
+	unsure, informed := catalog.NewContent(), catalog.NewContent()
 	first := snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1))
-	doubts.Take(first)
-	knows.Take(first)
-	doubts.Take(doubtAfter(11, "a", time.Minute))
-	doubts.Take(changed(13, true))
-	knows.Take(changed(11, true, catalog.Change{
+	unsure.Take(first)
+	informed.Take(first)
+	unsure.Take(unconfirmedAfter(11, "a", time.Minute))
+	unsure.Take(changed(13, true))
+	informed.Take(changed(11, true, catalog.Change{
 		Revision: 11,
 		Gone:     "a",
 	}))
-	knows.Take(doubts.Since(11).Update())
-	is.Equal(replicaIDs(knows), []string{"b"})
-	knows.Take(doubts.Since(0).Update()) // the full state
-	is.Equal(replicaIDs(knows), []string{"b"})
-	is.Equal(knows.Newest(), int64(13))
+	informed.Take(unsure.Since(11).Update())
+	is.Equal(replicaIDs(informed), []string{"b"})
+	informed.Take(unsure.Since(0).Update()) // the full state
+	is.Equal(replicaIDs(informed), []string{"b"})
+	is.Equal(informed.Newest(), int64(13))
 }
 
 // Guards against sending requests to a replica whose entry another writer overwrote.
-func TestAnEntryThatNamesNoReplicaAnyMoreIsOneLessAndHoldsNoRevisionBack(t *testing.T) {
+func TestAnUnusableEntryInASnapshotIsARemovalAtOnce(t *testing.T) {
 	for _, settled := range []bool{true, false} {
 		is := is.New(t)
 		c := catalog.NewContent()
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestAnEntryThatTurnsForeignIsARemovalAtItsRevision(t *testing.T) {
+func TestAnEntryThatBecomesUnusableIsARemovalAtItsRevision(t *testing.T) {
 	for _, settled := range []bool{true, false} {
 		is := is.New(t)
 		c := catalog.NewContent()
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestADoubtIsCheckedWhenDecoded(t *testing.T) {
+func TestAnUnconfirmedRemovalIsCheckedWhenDecoded(t *testing.T) {
 	is := is.New(t)
 	var d catalog.Doubt
 	is.NoErr(json.Unmarshal([]byte(`{"replica":"a","revision":3,"left_ms":20}`), &d))
@@ -171,7 +171,7 @@
 	return out
 }
 
-func TestAFollowerThatFailedOnceBelievesItsNextReadingWhenOthersHaveReadSince(t *testing.T) {
+func TestAFollowerConfirmsRemovalsAfterAnOutageThatPeersSawEnd(t *testing.T) {
 	w := newPeers()
 	largeTestRun(t, largeCount, func(f largeTest) {
 		f.set(failing)
--- a/catalog/incarnation_test.go
+++ b/catalog/incarnation_test.go
@@ -86,17 +86,17 @@
 
 func TestAnUnconfirmedRemovalDoesntApplyToTheNextIncarnation(t *testing.T) {
 	is := is.New(t)
-	knows, doubts := catalog.NewContent(), catalog.NewContent()
-	for _, c := range []*catalog.Content{knows, doubts} {
+	informed, unsure := catalog.NewContent(), catalog.NewContent()
+	for _, c := range []*catalog.Content{informed, unsure} {
 		c.Take(snapshot(10, true, startedReplica("a", 100, 5), plainReplica("b", 1)))
 	}
-	doubts.Take(snapshot(12, false, plainReplica("b", 1))) // an outage may have let its entry expire
-	is.True(doubts.InDoubt("a"))
+	unsure.Take(snapshot(12, false, plainReplica("b", 1))) // an outage may have let its entry expire
+	is.True(unsure.InDoubt("a"))
 	next := startedReplica("a", 200, 5) // as reported by the replica itself
-	knows.Take(changed(12, true, entryChange(next)))
-	knows.Take(overTheWire(t, doubts.Since(12)).Update())
-	is.True(!knows.InDoubt("a"))
-	is.Equal(incarnations(knows), []string{next.Start(), "b"})
-	doubts.Take(changed(13, true, entryChange(startedReplica("a", 200, 13))))
-	is.True(!doubts.InDoubt("a")) // it is back as another incarnation
+	informed.Take(changed(12, true, entryChange(next)))
+	informed.Take(overTheWire(t, unsure.Since(12)).Update())
+	is.True(!informed.InDoubt("a"))
+	is.Equal(incarnations(informed), []string{next.Start(), "b"})
+	unsure.Take(changed(13, true, entryChange(startedReplica("a", 200, 13))))
+	is.True(!unsure.InDoubt("a")) // it is back as another incarnation
 }
--- a/catalog/incarnations_fuzz_test.go
+++ b/catalog/incarnations_fuzz_test.go
@@ -133,7 +133,7 @@
 	}
 	for _, ch := range news.Changes {
 		if ch.Gone == "other" {
-			w.fail("told of an entry that never named a replica")
+			w.fail("received an entry that never described a replica")
 		}
 	}
 	w.asking.Take(news.Update())
--- a/catalog/publisher_test.go
+++ b/catalog/publisher_test.go
@@ -28,7 +28,7 @@
 	slow         // answers are delayed
 )
 
-var errUnavailable = errors.New("the publisher is away")
+var errUnavailable = errors.New("the publisher is unavailable")
 
 // publisher is a fake publisher of the catalog.
 type publisher struct {
@@ -254,10 +254,10 @@
 	rev, policy := f.content.Revision(), f.content.Policy()
 	f.content.Take(u)
 	if f.wrong == "" && f.content.Revision() < rev {
-		f.wrong = "the revision went back"
+		f.wrong = "the revision decreased"
 	}
 	if f.wrong == "" && policy != nil && f.content.Policy().Version < policy.Version {
-		f.wrong = "the policy went back"
+		f.wrong = "the policy version decreased"
 	}
 }
 
--- a/catalog/snapshot_test.go
+++ b/catalog/snapshot_test.go
@@ -167,7 +167,7 @@
 	is.Equal(replicaIDs(c), []string{})
 }
 
-func TestEvacuationsAreTakenInAndTakenBack(t *testing.T) {
+func TestEvacuationsBeginAndEnd(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
 	c.Take(changed(2, true, catalog.Change{
