--- a/catalog/delta.go
+++ b/catalog/delta.go
@@ -62,13 +62,13 @@
 	if out.Sum, err = later.checksum(); err != nil {
 		return out, err
 	}
-	known := &Policy{}
+	base := &Policy{}
 	if earlier != nil {
 		out.From = earlier.Version
-		known = earlier
+		base = earlier
 	}
-	out.Routes = spans(known.Routes, later.Routes, (*Route).key)
-	out.Organisations = spans(known.Organisations, later.Organisations, func(o *Organisation) string { return o.Name })
+	out.Routes = spans(base.Routes, later.Routes, (*Route).key)
+	out.Organisations = spans(base.Organisations, later.Organisations, func(o *Organisation) string { return o.Name })
 	return out, nil
 }
 
@@ -113,12 +113,12 @@
 
 // Apply returns the later policy. It fails if the earlier one is not the base of the delta.
 func (a Delta) Apply(earlier *Policy) (*Policy, error) {
-	known := &Policy{}
+	base := &Policy{}
 	if a.From > 0 {
 		if earlier == nil || earlier.Version != a.From {
 			return nil, errors.Newf("delta from policy %d: that version is not recorded", a.From)
 		}
-		known = earlier
+		base = earlier
 	}
 	out := &Policy{
 		Version:  a.Version,
@@ -127,10 +127,10 @@
 		Keyed:    a.Keyed,
 	}
 	var err error
-	if out.Routes, err = applySpans(known.Routes, a.Routes); err != nil {
+	if out.Routes, err = applySpans(base.Routes, a.Routes); err != nil {
 		return nil, errors.Wrapf(err, "delta from policy %d: routes", a.From)
 	}
-	if out.Organisations, err = applySpans(known.Organisations, a.Organisations); err != nil {
+	if out.Organisations, err = applySpans(base.Organisations, a.Organisations); err != nil {
 		return nil, errors.Wrapf(err, "delta from policy %d: organisations", a.From)
 	}
 	checksum, err := out.checksum()
--- a/catalog/fuzz_test.go
+++ b/catalog/fuzz_test.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		if held, _ := w.get(r.ID); !held.Leaving {
-			w.fail("%s is not known to leave: published %v, held %v", r.ID, r, held)
+			w.fail("%s is not recorded as leaving: published %v, held %v", r.ID, r, held)
 		}
 	}
 	if now.Sub(w.healthySince) < agreeWithin || now.Sub(w.unchangedSince) < agreeWithin {
@@ -181,9 +181,9 @@
 	checkWorlds(t, true)
 }
 
-func checkWorlds(t *testing.T, othersRead bool) {
+func checkWorlds(t *testing.T, peersRead bool) {
 	rapid.Check(t, func(rt *rapid.T) {
-		inBubble(t, rt, func(ctx context.Context) { runWorld(ctx, rt, othersRead) })
+		inBubble(t, rt, func(ctx context.Context) { runWorld(ctx, rt, peersRead) })
 	})
 }
 
@@ -203,16 +203,16 @@
 	}
 }
 
-func runWorld(ctx context.Context, t *rapid.T, othersRead bool) {
+func runWorld(ctx context.Context, t *rapid.T, peersRead bool) {
 	p := newPublisher()
 	w := &world{
 		T:              t,
 		publisher:      p,
-		follower:       follow(ctx, p.source(), catalog.WithReader(func() bool { return !othersRead })),
+		follower:       follow(ctx, p.source(), catalog.WithReader(func() bool { return !peersRead })),
 		healthySince:   time.Now(),
 		unchangedSince: time.Now(),
 		leaving:        make(map[string]time.Time),
-		peersRead:      othersRead,
+		peersRead:      peersRead,
 	}
 	defer w.stop()
 	acts := []func(){
--- a/catalog/incarnation.go
+++ b/catalog/incarnation.go
@@ -25,14 +25,14 @@
 // incarnation never does, at whatever revision, as a suspended process may write once more
 // after its successor has started. An incarnation that only the replica itself reported yields
 // to any later published entry.
-func (r Replica) replaces(known Replica) bool {
-	if known.Told && r.Revision > known.Revision {
+func (r Replica) replaces(recorded Replica) bool {
+	if recorded.Told && r.Revision > recorded.Revision {
 		return true
 	}
-	if r.Born > 0 && known.Born > 0 && r.Born != known.Born {
-		return r.Born > known.Born
+	if r.Born > 0 && recorded.Born > 0 && r.Born != recorded.Born {
+		return r.Born > recorded.Born
 	}
-	return r.Revision >= known.Revision
+	return r.Revision >= recorded.Revision
 }
 
 // isSameIncarnation reports whether two start times may belong to the same incarnation; 0 is
--- a/catalog/incarnations_fuzz_test.go
+++ b/catalog/incarnations_fuzz_test.go
@@ -223,9 +223,9 @@
 		w.compact, w.changeMode, w.changeMode, w.advance, w.advance, w.advance,
 	}
 	for range actions {
-		before := w.rev
+		previous := w.rev
 		rapid.SampledFrom(acts).Draw(t, "action")()
-		if w.rev != before {
+		if w.rev != previous {
 			w.unchangedSince = time.Now()
 		}
 	}
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -148,7 +148,7 @@
 
 // replace applies the snapshot of an update.
 func (c *Content) replace(s Snapshot, u Update) {
-	known := c.Revision() // missing entries were removed after this revision
+	since := c.Revision() // missing entries were removed after this revision
 	c.history.recordSnapshot(c.newest, s.Revision)
 	c.read = s.Revision
 	c.policies.add(s.Policy)
@@ -158,8 +158,8 @@
 			continue
 		}
 		listed[r.ID] = true
-		if known, ok := c.replicas[r.ID]; ok && !r.replaces(known) {
-			r = known
+		if recorded, ok := c.replicas[r.ID]; ok && !r.replaces(recorded) {
+			r = recorded
 		}
 		c.put(r)
 	}
@@ -170,7 +170,7 @@
 		case u.Settled, slices.Contains(s.Unusable, id): // an unusable entry exists, so it has not expired
 			c.removeMissing(id, s.Revision)
 		default:
-			c.markUnconfirmed(id, known, u.unconfirmedTimeout())
+			c.markUnconfirmed(id, since, u.unconfirmedTimeout())
 		}
 	}
 	c.replaceEvacuated(s)
