--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -148,7 +148,7 @@
 
 // replace applies the snapshot of an update.
 func (c *Content) replace(s Snapshot, u Update) {
-	since := c.Revision() // missing entries were removed after this revision
+	recorded := c.Revision() // missing entries were removed after this revision
 	c.history.recordSnapshot(c.newest, s.Revision)
 	c.read = s.Revision
 	c.policies.add(s.Policy)
@@ -170,7 +170,7 @@
 		case u.Settled, slices.Contains(s.Unusable, id): // an unusable entry exists, so it has not expired
 			c.removeMissing(id, s.Revision)
 		default:
-			c.markUnconfirmed(id, since, u.unconfirmedTimeout())
+			c.markUnconfirmed(id, recorded, u.unconfirmedTimeout())
 		}
 	}
 	c.replaceEvacuated(s)
