--- a/catalog/change.go
+++ b/catalog/change.go
@@ -42,12 +42,12 @@
 	}
 }
 
-// minRemovals is the least number of removals that are recorded beside one for each listed
-// replica, as the loss of a failure domain removes many at once.
+// minRemovals is how many removals can be recorded however few replicas are listed, as the
+// loss of a failure domain removes many at once.
 const minRemovals = 512
 
 const (
-	minConfirmedRemovals   = 64   // confirmed removals that are sent again, beside one for each listed replica
+	minConfirmedRemovals   = 64   // confirmed removals that are sent again however few replicas are listed
 	confirmedRemovalWindow = 1000 // in revisions
 )
 
