--- a/catalog/change_test.go
+++ b/catalog/change_test.go
@@ -14,39 +14,39 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// teller is a copy that learns from a publisher, in changes or whole.
-type teller struct {
+// sourceCopy is a copy that is updated from a publisher by changes or snapshots.
+type sourceCopy struct {
 	*publisher
-	copy  *catalog.Content
-	known int64 // revision up to which changes were taken in
+	copy     *catalog.Content
+	revision int64 // revision up to which changes were taken in
 }
 
-// learn brings the copy up to date.
-func (l *teller) learn(t *rapid.T) {
-	if l.known == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
-		s := l.snapshot()
-		l.copy.Take(catalog.Update{
+// update brings the copy up to date.
+func (c *sourceCopy) update(t *rapid.T) {
+	if c.revision == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
+		s := c.snapshot()
+		c.copy.Take(catalog.Update{
 			Snapshot: &s,
 			Revision: s.Revision,
 			Settled:  true,
 		})
-		l.known = s.Revision
+		c.revision = s.Revision
 		return
 	}
-	changes, rev, _, err := l.since(l.known)
+	changes, rev, _, err := c.since(c.revision)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.copy.Take(catalog.Update{
+	c.copy.Take(catalog.Update{
 		Changes:  changes,
 		Revision: rev,
 		Settled:  true,
 	})
-	l.known = rev
+	c.revision = rev
 }
 
-// publishSomething makes one change of what is published.
-func publishSomething(t *rapid.T, p *publisher, version *int) {
+// publishAny publishes one random change.
+func publishAny(t *rapid.T, p *publisher, version *int) {
 	id := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id")
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0, 1:
@@ -66,26 +66,26 @@
 	}
 }
 
-// A box that asks another now and then for what is new, over the wire, ends up
-// with the same copy, however the other one learns and however much it missed.
-func TestNewsMakeTheSameCopy(t *testing.T) {
+// Guards against updates between boxes that lead to a different copy, whichever updates the
+// sender got and the receiver missed.
+func TestUpdatesBetweenBoxesGiveTheSameCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		version := 0
-		l := &teller{
+		c := &sourceCopy{
 			publisher: newPublisher(),
 			copy:      catalog.NewContent(),
 		}
-		asks := catalog.NewContent()
-		told := catalog.NewDeltas()
+		receiver := catalog.NewContent()
+		deltas := catalog.NewDeltas()
 		for range rapid.IntRange(1, 30).Draw(t, "rounds") {
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
-				publishSomething(t, l.publisher, &version)
+				publishAny(t, c.publisher, &version)
 			}
-			l.learn(t)
+			c.update(t)
 			if rapid.IntRange(0, 2).Draw(t, "asked") > 0 {
 				continue
 			}
-			data, err := json.Marshal(l.copy.Since(asks.Revision()))
+			data, err := json.Marshal(c.copy.Since(receiver.Revision()))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -93,9 +93,9 @@
 			if err := json.Unmarshal(data, &news); err != nil {
 				t.Fatal(err)
 			}
-			asks.Take(news.Update())
-			askForPolicy(t, asks, l.copy, told)
-			got, want := asks.Snapshot(), l.copy.Snapshot()
+			receiver.Take(news.Update())
+			requestPolicy(t, receiver, c.copy, deltas)
+			got, want := receiver.Snapshot(), c.copy.Snapshot()
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("got %+v, want %+v", got, want)
 			}
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestNewsAfterManyRemovalsAreTheWhole(t *testing.T) {
+func TestManyRemovalsCauseASnapshot(t *testing.T) {
 	is := is.New(t)
 	p := newPublisher()
 	c := catalog.NewContent()
@@ -121,18 +121,17 @@
 	c.Take(catalog.Update{Changes: changes, Revision: rev, Settled: true})
 	is.True(c.Since(start).Snapshot != nil)
 	is.True(c.Since(rev).Snapshot == nil)
-	is.Equal(len(c.Since(rev).Changes), 1) // what changed at the revision itself
-	is.True(c.Since(0).Snapshot != nil)    // a box that knows nothing
+	is.Equal(len(c.Since(rev).Changes), 1) // changes at the revision itself
+	is.True(c.Since(0).Snapshot != nil)    // for a box without a copy
 }
 
-// A failure domain that is lost takes its part of the replicas at once, and who asked
-// before is told of each of them, not of all that is left.
-func TestWhatAFailureDomainTookIsToldAsRemovalsHoweverManyReplicasThereAre(t *testing.T) {
+// Guards against sending a snapshot of a large catalog when a failure domain is lost.
+func TestALostFailureDomainIsSentAsRemovals(t *testing.T) {
 	for _, all := range []int{600, 6000, 12_000} {
 		for _, settled := range []bool{true, false} {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				knows, asks := catalog.NewContent(), catalog.NewContent()
+				sender, receiver := catalog.NewContent(), catalog.NewContent()
 				var before, after []catalog.Replica
 				for i := range all {
 					r := numbered(i)
@@ -141,27 +140,27 @@
 						after = append(after, r)
 					}
 				}
-				takeAll(knows, before, int64(all), true)
-				asks.Take(knows.Since(0).Update())
-				asked := asks.Revision()
-				takeAll(knows, after, int64(all+1), settled)
-				time.Sleep(3 * time.Second) // longer than any doubt
-				knows.Settle()
-				for _, revision := range []int64{asked, int64(all + 1)} { // it may have heard of the reading before its doubts were over
-					news := knows.Since(revision)
+				takeSnapshot(sender, before, int64(all), true)
+				receiver.Take(sender.Since(0).Update())
+				asked := receiver.Revision()
+				takeSnapshot(sender, after, int64(all+1), settled)
+				time.Sleep(3 * time.Second) // longer than any removal stays unconfirmed
+				sender.Settle()
+				for _, revision := range []int64{asked, int64(all + 1)} { // it may have received the later revision before the removals were confirmed
+					news := sender.Since(revision)
 					is.True(news.Snapshot == nil)
 					if revision == asked || !settled {
 						is.Equal(len(removals(news)), all/4)
 					}
 				}
-				asks.Take(knows.Since(asked).Update())
-				is.Equal(len(asks.Replicas()), len(after))
+				receiver.Take(sender.Since(asked).Update())
+				is.Equal(len(receiver.Replicas()), len(after))
 			})
 		}
 	}
 }
 
-// removals returns the replicas that news tell are gone.
+// removals returns the removed replicas of an update.
 func removals(news catalog.News) []string {
 	var out []string
 	for _, ch := range news.Changes {
@@ -172,7 +171,7 @@
 	return out
 }
 
-// numbered is one of many replicas, changed at a revision of its own.
+// numbered returns one of many replicas, each with its own revision.
 func numbered(i int) catalog.Replica {
 	return catalog.Replica{
 		ID:       fmt.Sprintf("replica-%06d", i),
@@ -183,8 +182,8 @@
 	}
 }
 
-// takeAll has a copy take a reading in.
-func takeAll(c *catalog.Content, list []catalog.Replica, revision int64, settled bool) {
+// takeSnapshot applies a snapshot.
+func takeSnapshot(c *catalog.Content, list []catalog.Replica, revision int64, settled bool) {
 	c.Take(catalog.Update{
 		Snapshot: &catalog.Snapshot{
 			Revision: revision,
--- a/catalog/doubt_test.go
+++ b/catalog/doubt_test.go
@@ -12,8 +12,8 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// doubtAfter returns an update that has a removal in doubt for so long.
-func doubtAfter(revision int64, gone string, settles time.Duration) catalog.Update {
+// unconfirmedAfter returns an update with a removal that stays unconfirmed for a time.
+func unconfirmedAfter(revision int64, gone string, settles time.Duration) catalog.Update {
 	return catalog.Update{
 		Revision: revision,
 		Settles:  settles,
@@ -32,13 +32,13 @@
 	// Output: 12 10 [a b] true
 }
 
-func TestARemovalInDoubtIsBelievedWhenItsTimeIsOver(t *testing.T) {
+func TestAnUnconfirmedRemovalIsConfirmedWhenItsTimeIsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := catalog.NewContent()
 		c.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
-		c.Take(doubtAfter(11, "a", time.Second))
-		c.Take(doubtAfter(11, "a", time.Minute)) // it is told once more, and the earlier end stays
+		c.Take(unconfirmedAfter(11, "a", time.Second))
+		c.Take(unconfirmedAfter(11, "a", time.Minute)) // sent again; the earlier deadline stays
 		time.Sleep(time.Second - time.Millisecond)
 		is.True(!c.Settle())
 		is.Equal(replicaIDs(c), []string{"a", "b"})
@@ -50,12 +50,12 @@
 	})
 }
 
-func TestAnEntryThatIsBackIsNoLongerInDoubt(t *testing.T) {
+func TestAnEntryThatReappearsIsNoLongerUnconfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := catalog.NewContent()
 		c.Take(snapshot(10, true, plainReplica("a", 1)))
-		c.Take(doubtAfter(11, "a", time.Second))
+		c.Take(unconfirmedAfter(11, "a", time.Second))
 		back := plainReplica("a", 12)
 		c.Take(changed(12, true, catalog.Change{
 			Revision: 12,
@@ -67,51 +67,50 @@
 	})
 }
 
-// A box that asks another learns its revision, and with it what that one doesn't
-// believe yet, for no longer than it does.
-func TestWhatIsInDoubtIsToldWithTheRevision(t *testing.T) {
+// Guards against a receiver that records a revision without its unconfirmed removals, or
+// confirms them later than the sender.
+func TestUnconfirmedRemovalsAreSentWithTheRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		teller, asks, starts := catalog.NewContent(), catalog.NewContent(), catalog.NewContent()
-		teller.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
-		asks.Take(teller.Since(0).Update())
-		teller.Take(doubtAfter(11, "a", 2*time.Second))
+		sender, receiver, newcomer := catalog.NewContent(), catalog.NewContent(), catalog.NewContent()
+		sender.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
+		receiver.Take(sender.Since(0).Update())
+		sender.Take(unconfirmedAfter(11, "a", 2*time.Second))
 		time.Sleep(1500 * time.Millisecond)
-		for _, c := range []*catalog.Content{asks, starts} {
-			c.Take(overTheWire(t, teller.Since(c.Revision())).Update())
+		for _, c := range []*catalog.Content{receiver, newcomer} {
+			c.Take(overTheWire(t, sender.Since(c.Revision())).Update())
 			is.Equal(c.Newest(), int64(11))
 			is.True(c.InDoubt("a"))
 		}
 		time.Sleep(500 * time.Millisecond)
-		for _, c := range []*catalog.Content{teller, asks, starts} {
+		for _, c := range []*catalog.Content{sender, receiver, newcomer} {
 			is.True(c.Settle())
 			is.Equal(replicaIDs(c), []string{"b"})
 		}
 	})
 }
 
-func TestABoxThatStillDoubtsBringsNoReplicaBack(t *testing.T) {
+func TestAnUnconfirmedRemovalBringsNoReplicaBack(t *testing.T) {
 	is := is.New(t)
-	doubts, knows := catalog.NewContent(), catalog.NewContent()
+	unsure, informed := catalog.NewContent(), catalog.NewContent()
 	first := snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1))
-	doubts.Take(first)
-	knows.Take(first)
-	doubts.Take(doubtAfter(11, "a", time.Minute))
-	doubts.Take(changed(13, true))
-	knows.Take(changed(11, true, catalog.Change{
+	unsure.Take(first)
+	informed.Take(first)
+	unsure.Take(unconfirmedAfter(11, "a", time.Minute))
+	unsure.Take(changed(13, true))
+	informed.Take(changed(11, true, catalog.Change{
 		Revision: 11,
 		Gone:     "a",
 	}))
-	knows.Take(doubts.Since(11).Update())
-	is.Equal(replicaIDs(knows), []string{"b"})
-	knows.Take(doubts.Since(0).Update()) // all that it holds
-	is.Equal(replicaIDs(knows), []string{"b"})
-	is.Equal(knows.Newest(), int64(13))
+	informed.Take(unsure.Since(11).Update())
+	is.Equal(replicaIDs(informed), []string{"b"})
+	informed.Take(unsure.Since(0).Update()) // the full state
+	is.Equal(replicaIDs(informed), []string{"b"})
+	is.Equal(informed.Newest(), int64(13))
 }
 
-// The last good entry was kept, and a replica whose entry somebody else had written over
-// got requests for as long as that stood.
-func TestAnEntryThatNamesNoReplicaAnyMoreIsOneLessAndHoldsNoRevisionBack(t *testing.T) {
+// Guards against sending requests to a replica whose entry another writer overwrote.
+func TestAnUnusableEntryInASnapshotIsARemovalAtOnce(t *testing.T) {
 	for _, settled := range []bool{true, false} {
 		is := is.New(t)
 		c := catalog.NewContent()
@@ -119,15 +118,15 @@
 		u := snapshot(12, settled, plainReplica("a", 1))
 		u.Snapshot.Unusable = []string{"b", "never-known"}
 		c.Take(u)
-		is.Equal(replicaIDs(c), []string{"a"}) // it is there, so it is none that lapsed
+		is.Equal(replicaIDs(c), []string{"a"}) // the entry exists, so it has not expired
 		is.True(!c.Doubtful())
 		is.Equal(c.Revision(), int64(12))
-		c.Take(changed(13, settled, listed(plainReplica("b", 13))))
+		c.Take(changed(13, settled, entryChange(plainReplica("b", 13))))
 		is.Equal(replicaIDs(c), []string{"a", "b"})
 	}
 }
 
-func TestAnEntryThatTurnsForeignIsARemovalAtItsRevision(t *testing.T) {
+func TestAnEntryThatBecomesUnusableIsARemovalAtItsRevision(t *testing.T) {
 	for _, settled := range []bool{true, false} {
 		is := is.New(t)
 		c := catalog.NewContent()
@@ -140,16 +139,16 @@
 			}
 		}
 		c.Take(changed(11, settled, foreign("a", 11), foreign("never-known", 11), foreign("b", 7)))
-		is.Equal(replicaIDs(c), []string{"b"}) // what is newer holds
+		is.Equal(replicaIDs(c), []string{"b"}) // the newer entry stays
 		is.True(!c.Doubtful())
-		news := overTheWire(t, c.Since(10)) // others are told that it is gone, and nothing of what never named a replica
+		news := overTheWire(t, c.Since(10)) // includes the removal, but not the entry that never described a replica
 		is.Equal(len(news.Changes), 1)
 		is.Equal(news.Changes[0].Gone, "a")
 		is.Equal(news.Changes[0].Revision, int64(11))
 	}
 }
 
-func TestADoubtIsCheckedWhenDecoded(t *testing.T) {
+func TestAnUnconfirmedRemovalIsCheckedWhenDecoded(t *testing.T) {
 	is := is.New(t)
 	var d catalog.Doubt
 	is.NoErr(json.Unmarshal([]byte(`{"replica":"a","revision":3,"left_ms":20}`), &d))
@@ -158,7 +157,7 @@
 	is.True(json.Unmarshal([]byte(`{"replica":"a","left_ms":-1}`), &d) != nil)
 }
 
-// overTheWire returns news as another box gets them.
+// overTheWire encodes and decodes an update.
 func overTheWire(t *testing.T, n catalog.News) catalog.News {
 	t.Helper()
 	data, err := json.Marshal(n)
@@ -172,18 +171,18 @@
 	return out
 }
 
-func TestAFollowerThatFailedOnceBelievesItsNextReadingWhenOthersHaveReadSince(t *testing.T) {
-	w := newWord()
-	largeTestRun(t, large, func(f largeTest) {
+func TestAFollowerConfirmsRemovalsAfterAnOutageThatPeersSawEnd(t *testing.T) {
+	w := newPeers()
+	largeTestRun(t, largeCount, func(f largeTest) {
 		f.set(failing)
 		before, _ := f.calls()
-		time.Sleep(10 * time.Second) // nobody says anything, so it calls, and fails
+		time.Sleep(10 * time.Second) // no peer reports a read, so it calls, and fails
 		after, _ := f.calls()
 		f.True(after > before)
 		f.set(healthy)
-		w.sayFor(15 * time.Second)
+		w.reportReadsFor(15 * time.Second)
 		f.drop("r-1")
-		time.Sleep(3400 * time.Millisecond) // nobody says anything again
+		time.Sleep(3400 * time.Millisecond) // no peer reports a read
 		f.True(!f.has("r-1"))
 	}, append(w.options(), catalog.WithJitter(func() float64 { return 0.999 }))...)
 }
