--- a/node/account.go
+++ b/node/account.go
@@ -73,7 +73,7 @@
 	n.meter.Account(err == nil)
 	n.state.Post(func(s *state) {
 		start, news := s.startOf(a.start, got.Born, n.now())
-		n.recordBeliefs(news)
+		n.recordStateChanges(news)
 		s.account(start, got, err == nil, at, n.now())
 	})
 }
--- a/node/core.go
+++ b/node/core.go
@@ -36,10 +36,10 @@
 		Record:   n.record,
 		Poison:   n.poison(ctx),
 		Keys: ingress.Keys{
-			Hold:      n.keysHold,
+			Hold:      n.keysValid,
 			Current:   n.keysCurrent,
 			Reserve:   n.reserve,
-			Unreserve: n.quotas.purse.Return,
+			Unreserve: n.quotas.credits.Return,
 		},
 		Meter: ingress.Meter{
 			Request: func(service, outcome string, took time.Duration) {
--- a/node/dump.go
+++ b/node/dump.go
@@ -95,7 +95,7 @@
 	if age := n.leaseAge(); age != lease.Never {
 		d.LeaseS = age.Seconds()
 	}
-	held := n.quotas.purse.Held()
+	held := n.quotas.credits.Held()
 	for _, name := range slices.Sorted(maps.Keys(held)) {
 		d.Credit = append(d.Credit, CreditDump{
 			Organisation: name,
--- a/node/follow.go
+++ b/node/follow.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	readers     = 2                      // boxes of a region that read the catalog again, so that one may be lost
-	watchers    = 3                      // boxes of a larger region that watch it for the others, so that two may be lost
-	tellAge     = 10 * time.Second       // of knowledge that is of use to no follower: each has read by then
-	nearWay     = 20 * time.Millisecond  // that a datagram takes at most, as a rule, within a region; a millisecond, and what its ends take
-	farWay      = 200 * time.Millisecond // the same between regions: 80 ms, and what its ends take
-	allWatchers = 4                      // boxes of a region up to which each watches for itself: three as a rule and a spare one
+	readersPerRegion    = 2                      // catalog readers of a small region, one of them redundant
+	watchersPerRegion   = 3                      // catalog watchers of a larger region, two of them redundant
+	maxSharedReadAge    = 10 * time.Second       // of a read that is still sent to others: beyond it each follower reads itself
+	localDatagramDelay  = 20 * time.Millisecond  // upper estimate of the delay of a datagram within a region
+	remoteDatagramDelay = 200 * time.Millisecond // upper estimate between regions: 80 ms and processing
+	maxSelfWatching     = 4                      // boxes of a region that each watch for themselves
 )
 
-// readersKey is the key by which boxes of a region rank each other to read the catalog.
+// readersKey is the rendezvous key that ranks boxes of a region as catalog readers.
 const readersKey = "catalog"
 
 // role is what a box does to keep its copy of the catalog current.
 type role struct {
-	reads   bool // it reads again and again on behalf of others
-	follows bool // others watch and read on its behalf
-	tells   bool // there are others that need to know how old its knowledge is
+	reads     bool // polls the catalog on behalf of others
+	follows   bool // relies on the watchers of its region
+	sharesAge bool // sends the age of its last read to others
 }
 
-// role returns what this box does, from the boxes of the region that are alive. All
-// of them agree on it as far as they know of each other.
+// role derives the role of this box from the live boxes of its region. Boxes with the same roster agree
+// on their roles.
 func (s *state) role(now time.Duration) role {
 	names := []string{s.settings.Box}
 	for m := range s.roster.All() {
@@ -38,30 +38,29 @@
 			names = append(names, m.Status.Box)
 		}
 	}
-	if len(names) <= allWatchers {
+	if len(names) <= maxSelfWatching {
 		return role{
-			reads: slices.Contains(rendezvous.Top(readersKey, names, readers), s.settings.Box),
+			reads: slices.Contains(rendezvous.Top(readersKey, names, readersPerRegion), s.settings.Box),
 		}
 	}
-	watches := slices.Contains(rendezvous.Top(readersKey, names, watchers), s.settings.Box)
+	watches := slices.Contains(rendezvous.Top(readersKey, names, watchersPerRegion), s.settings.Box)
 	return role{
-		reads:   watches,
-		follows: !watches,
-		tells:   true,
+		reads:     watches,
+		follows:   !watches,
+		sharesAge: true,
 	}
 }
 
-// refresh asks a box that reads the catalog for others what has changed, and how old that
-// is, unless one is asked already.
+// refresh requests catalog changes and their age from a watcher, unless a request is in progress.
 func (n *Node) refresh(ctx context.Context) {
 	if !n.refreshing.CompareAndSwap(false, true) {
 		return
 	}
 	var from wire.BoxStatus
 	var has copyState
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
-		from = s.watcher(n.now())
-		has = s.holds(from)
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
+		from = s.nextWatcher(n.now())
+		has = s.copyState(from)
 	})
 	if from.Peers == "" {
 		n.refreshing.Store(false)
@@ -73,16 +72,15 @@
 	})
 }
 
-// watcher returns one of the boxes of the region that watch the catalog for the others, each
-// in turn.
-func (s *state) watcher(now time.Duration) wire.BoxStatus {
+// nextWatcher returns the catalog watchers of the region in rotation.
+func (s *state) nextWatcher(now time.Duration) wire.BoxStatus {
 	byName := make(map[string]wire.BoxStatus)
 	for m := range s.roster.All() {
 		if m.Status.Region == s.settings.Region && s.roster.Alive(m.Status.Box, now) {
 			byName[m.Status.Box] = m.Status
 		}
 	}
-	list := rendezvous.Top(readersKey, slices.Collect(maps.Keys(byName)), watchers)
+	list := rendezvous.Top(readersKey, slices.Collect(maps.Keys(byName)), watchersPerRegion)
 	if len(list) == 0 {
 		return wire.BoxStatus{}
 	}
@@ -90,48 +88,45 @@
 	return byName[list[s.refreshed%len(list)]]
 }
 
-// chooseRole works out again what this box does for the catalog.
+// chooseRole recomputes the role of this box.
 func (n *Node) chooseRole() {
 	var r role
-	_ = n.state.Do(func(s *state) { r = s.role(n.now()) }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { r = s.role(n.now()) }) // it fails only after the box has stopped
 	n.reads.Store(r.reads)
 	n.follows.Store(r.follows)
-	n.tellsAge.Store(r.tells)
+	n.tellsAge.Store(r.sharesAge)
 }
 
-// catalogAge returns how old what this box knows is, by its own last reading and by
-// the word of others.
+// catalogAge returns the time since the catalog was last confirmed, by a read of this box or of another.
 func (n *Node) catalogAge() time.Duration { return n.now() - time.Duration(n.read.Load()) }
 
-// readMs returns what this box tells others of the age of its knowledge; 0 for
-// nothing.
-func (n *Node) readMs() int {
+// sharedReadMs returns the age of the last read as sent to other boxes; 0 for none.
+func (n *Node) sharedReadMs() int {
 	if !n.tellsAge.Load() {
 		return 0
 	}
-	return int(n.readingAge(n.read.Load()))
+	return int(n.sharedReadAge(n.read.Load()))
 }
 
-// wayFrom returns how long a datagram from a region takes at most, as a rule. Without it
-// a reading that boxes of several regions told each other got no older by its ways, and
-// when all watchers were lost no follower read for 3 s.
-func (n *Node) wayFrom(region string) time.Duration {
+// datagramDelay returns an upper estimate of the delay of a datagram from a region. It is added to
+// received ages, which would otherwise stay constant while boxes exchange them.
+func (n *Node) datagramDelay(region string) time.Duration {
 	if region == n.settings.Region {
-		return nearWay
+		return localDatagramDelay
 	}
-	return farWay
+	return remoteDatagramDelay
 }
 
-// confirm takes in that another box knows of a reading of the catalog that found
-// nothing newer than what this one knows. The word of it has waited for a time.
+// confirm records the read that another box reports, if that found nothing newer than revision.
+// waited is the time since the datagram arrived.
 func (n *Node) confirm(from wire.BoxStatus, revision int64, waited time.Duration) {
 	if from.ReadMs == 0 || int64(from.Catalog) > revision {
 		return
 	}
-	n.confirmAt(n.now() - time.Duration(from.ReadMs)*time.Millisecond - n.wayFrom(from.Region) - waited)
+	n.confirmAt(n.now() - time.Duration(from.ReadMs)*time.Millisecond - n.datagramDelay(from.Region) - waited)
 }
 
-// confirmAt takes in that the publisher had nothing newer, at a time, than what this box knows.
+// confirmAt records that the copy of this box was the newest at a time.
 func (n *Node) confirmAt(at time.Duration) {
 	for {
 		was := n.read.Load()
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -16,15 +16,15 @@
 func TestBoxesOfASmallRegionAllWatch(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	for n := range allWatchers {
+	for n := range maxSelfWatching {
 		r := b.role(start)
 		is.True(!r.follows)
-		is.True(!r.tells)
+		is.True(!r.sharesAge)
 		b.tells(status(fmt.Sprint("box-", n), "a"), start)
 		b.tells(status(fmt.Sprint("far-", n), "b"), start) // of no matter
 	}
-	is.True(b.role(start).tells)
-	is.True(!b.role(start + time.Minute).tells) // the others are dead
+	is.True(b.role(start).sharesAge)
+	is.True(!b.role(start + time.Minute).sharesAge) // the others are dead
 }
 
 func TestAFewBoxesOfALargeRegionWatchForTheOthers(t *testing.T) {
@@ -45,7 +45,7 @@
 			watching++
 		}
 	}
-	is.Equal(watching, watchers)
+	is.Equal(watching, watchersPerRegion)
 }
 
 func TestTheWordOfAnotherBoxCountsWhereItKnowsNoMore(t *testing.T) {
@@ -96,7 +96,7 @@
 		for i := range 20 {
 			from, to := pair[i%2], pair[(i+1)%2]
 			s := status(from.settings.Box, from.settings.Region)
-			s.ReadMs = from.readMs()
+			s.ReadMs = from.sharedReadMs()
 			time.Sleep(farDelay)
 			to.confirm(s, 0, 0)
 			is.True(to.catalogAge() >= time.Since(read))
@@ -145,7 +145,7 @@
 	b := newBox("self", "a", 2)
 	watcher := newBox("near", "a", 2)
 	says := func() wire.BoxStatus { return watcher.says(start).From }
-	is.True(!b.untold(says()))
+	is.True(!b.hasUnreportedRemovals(says()))
 	watcher.take(catalog.Update{ // just after an outage, in which entries may have lapsed
 		Revision: 1,
 		Changes: []catalog.Change{{
@@ -153,15 +153,15 @@
 			Gone:     "a-1",
 		}},
 	}, start)
-	is.True(!b.untold(says()))
+	is.True(!b.hasUnreportedRemovals(says()))
 	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the revision that both know
 	is.Equal(says().Catalog, b.says(start).From.Catalog)
-	is.True(b.untold(says()))
+	is.True(b.hasUnreportedRemovals(says()))
 	b.take(watcher.content.Since(b.content.Revision()).Update(), start)
-	b.toldLapses(says())
+	b.recordReportedRemovals(says())
 	is.Equal(len(b.content.Replicas()), 1)
-	is.True(!b.untold(says()))
+	is.True(!b.hasUnreportedRemovals(says()))
 	again := says()
 	again.Inc++ // another process has found some of its own
-	is.True(b.untold(again))
+	is.True(b.hasUnreportedRemovals(again))
 }
--- a/node/followasks_test.go
+++ b/node/followasks_test.go
@@ -56,7 +56,7 @@
 
 // askBank asks a box as a bank.
 func (f *follows) askBank(ctx context.Context, from *followBox, addr string, asks []quota.Ask) ([]quota.Grant, error) {
-	ctx, cancel := context.WithTimeout(ctx, bankLimit)
+	ctx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
 	self := from.node.Load()
 	if self == nil {
@@ -84,12 +84,12 @@
 }
 
 // askProof asks a box how long ago its policy surely was the newest.
-func (f *follows) askProof(ctx context.Context, from *followBox, addr string) (proofAnswer, error) {
+func (f *follows) askProof(ctx context.Context, from *followBox, addr string) (proofResponse, error) {
 	n, way, err := f.visit(ctx, from, addr, "proof")
 	if err != nil {
-		return proofAnswer{}, err
+		return proofResponse{}, err
 	}
-	out := n.giveProof()
+	out := n.serveProof()
 	sleep.For(ctx, way+f.jitter(mostJitter, "proof", from.settings.Box, addr))
 	return out, ctx.Err()
 }
@@ -114,7 +114,7 @@
 	if err != nil {
 		return news, err
 	}
-	encoded, err := n.giveCatalog(after)
+	encoded, err := n.serveCatalog(after)
 	if err == nil {
 		news, err = f.decode(ctx, encoded)
 	}
--- a/node/follows_test.go
+++ b/node/follows_test.go
@@ -158,7 +158,7 @@
 		return news, err
 	}
 	n.askPolicy = f.askPolicy
-	n.askProof = func(ctx context.Context, addr string) (proofAnswer, error) { return f.askProof(ctx, b, addr) }
+	n.askProof = func(ctx context.Context, addr string) (proofResponse, error) { return f.askProof(ctx, b, addr) }
 	n.quotas = n.newQuotas()
 	n.askBank = func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) {
 		return f.askBank(ctx, b, addr, asks)
@@ -167,7 +167,7 @@
 		return f.askDemand(ctx, b, addr)
 	}
 	n.deltas = catalog.NewDeltas()
-	n.fullAnswers = newFullAnswers()
+	n.fullAnswers = newSnapshotCache()
 	n.policyBucket = newByteBucket(policyRate, policyBurst)
 	n.deliver = func(p roster.Packet) {
 		if b.node.Load() == n { // a process that was killed says nothing more
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -20,7 +20,7 @@
 		link := roster.NewLink(conn,
 			func(g wire.Gossip, _ net.Addr) { n.hear(ctx, g) },
 			roster.WithCompact(func(b roster.Compact, from net.Addr) { n.hearCompact(ctx, b, from.String()) }),
-			roster.WithOther(poison.Mark, func(buf []byte, from net.Addr) { n.hearPoison(buf, from.String()) }))
+			roster.WithOther(poison.Mark, func(buf []byte, from net.Addr) { n.receivePoison(buf, from.String()) }))
 		n.links = append(n.links, link)
 	}
 	for _, link := range n.links { // when all are there, for a message that comes is answered
@@ -46,16 +46,16 @@
 		sleep.For(ctx, roster.Tick)
 		n.noticeSuspension()
 		n.tell()
-		n.settle()
-		n.unlistedEnds()
-		n.tellPoison()
+		n.confirmRemovals()
+		n.recordUnlistedCrashes()
+		n.gossipPoison()
 		n.chooseRole()
-		n.seekCatalog(ctx)
-		n.seekPolicy(ctx)
-		n.readMissingPolicy()
-		n.seekProof(ctx)
-		n.keepQuotas(ctx)
-		n.watchLease()
+		n.requestSnapshot(ctx)
+		n.fetchMissingPolicy(ctx)
+		n.rereadMissingPolicy()
+		n.requestProofs(ctx)
+		n.maintainQuotas(ctx)
+		n.recordLeaseChange()
 		n.watchMembers()
 		n.watchRegion()
 		n.watchDomains()
@@ -127,7 +127,7 @@
 // self returns what this box says of itself now.
 func (n *Node) self(s *state) wire.BoxStatus {
 	out := s.fill(n.status(), n.now())
-	out.ReadMs = n.readMs()
+	out.ReadMs = n.sharedReadMs()
 	out.UpMs = int(n.now().Milliseconds())
 	if n.closed.Load() {
 		out.Callers = ""
@@ -170,15 +170,15 @@
 	var has copyState
 	var waited time.Duration
 	_ = n.state.Do(func(s *state) {
-		has = s.holds(from)
+		has = s.copyState(from)
 		waited = s.roster.Waited(from, n.now())
 	})
 	n.confirm(from, has.newest, waited)
 	if from.Policy > has.policy {
-		n.seekPolicy(ctx)
+		n.fetchMissingPolicy(ctx)
 	}
 	switch {
-	case from.Peers != "" && n.pulls(from, has):
+	case from.Peers != "" && n.shouldPull(from, has):
 		n.startPull(ctx, from, has)
 	case n.follows.Load(): // boxes of the own region will tell
 	default:
@@ -199,14 +199,14 @@
 	n.tasks.Go(func() {
 		defer n.pulling.Store(false)
 		if n.pull(ctx, from, has.after) {
-			sleep.For(ctx, busyPause) // another box has it by then
+			sleep.For(ctx, busyRetryInterval) // another box has it by then
 			return
 		}
 		if n.table.Load() != nil && int64(from.Catalog) <= has.newest {
-			n.doubtAsk.Store(int64(n.now() + pullPause))
+			n.doubtAsk.Store(int64(n.now() + pullInterval))
 			return
 		}
-		sleep.For(ctx, pullPause)
+		sleep.For(ctx, pullInterval)
 	})
 }
 
--- a/node/identity.go
+++ b/node/identity.go
@@ -107,7 +107,7 @@
 	if !n.provesService(svc, id) {
 		return errOtherService
 	}
-	n.takeUpdate(adopted(old, svc, id))
+	n.applyUpdate(adopted(old, svc, id))
 	return nil
 }
 
--- a/node/lease.go
+++ b/node/lease.go
@@ -1,8 +1,5 @@
 package node
 
-// This file says how a box stays sure that no key which it knows was taken away too long ago:
-// by its own questions to the publisher, or by what other boxes say of theirs.
-
 import (
 	"context"
 	"maps"
@@ -19,139 +16,139 @@
 )
 
 const (
-	leaseShare    = 80                      // percent of the bound on keys that are taken away for which a box acts on what it knows; the moments are sure, and the rest is for what lies between a request's check and its caller's clock
-	proofAfter    = time.Second             // age at which another box is asked: as old as what the boxes that read have as a rule
-	proofOwn      = 1500 * time.Millisecond // the same for a box that reads for itself, whose last reading failed; from then on one that follows others reads
-	proofTries    = 16                      // beats in a row at which others are asked, for as long as the lease lasts
-	proofRarely   = 4                       // from then on, at every so many
-	followerReads = 0.5                     // share of the readings that a box which follows others makes where it hears from nobody
-	proofNear     = 250 * time.Millisecond  // for an answer from the own region: a few ms, and what its ends take
-	proofFar      = 600 * time.Millisecond  // from another one: a connection and the question take 320 ms
-	keysFresh     = 2 * time.Second         // age up to which an unknown key is none: keys that are added come into force within some 300 ms, the bound on that is 4 s at the least
+	leasePercent       = 80                      // of the revocation bound for which a lease holds; the rest covers the time between the check of a request and the clock of its caller
+	proofRequestAge    = time.Second             // of the lease at which other boxes are asked: the usual age at catalog readers
+	ownReaderProofAge  = 1500 * time.Millisecond // the same for a box whose own reads fail; from then on a follower reads itself
+	maxProofAttempts   = 16                      // on consecutive beats, for as long as the lease lasts
+	proofBackoffBeats  = 4                       // between later attempts
+	followerReadShare  = 0.5                     // of the reads that a follower makes while the publisher does not answer
+	localProofTimeout  = 250 * time.Millisecond  // within a region
+	remoteProofTimeout = 600 * time.Millisecond  // between regions, where a connection and a request take 320 ms
+	unknownKeyMaxAge   = 2 * time.Second         // of the lease up to which an unknown key is refused
 )
 
-// proofAnswer says how long ago the policy of a box surely was the newest.
-type proofAnswer struct {
+// proofResponse is the age at which the policy of a box was last confirmed as the newest.
+type proofResponse struct {
 	Known   bool  `json:"known"`
 	Version int   `json:"version"`
 	AgeMs   int64 `json:"age_ms"`
 }
 
-// proofSeeker asks other boxes. The task that beats owns it, but for busy.
-type proofSeeker struct {
-	busy  atomic.Bool // a box is asked
-	tries int         // since the lease was last renewed
-	lost  bool        // the lease is over, as the log says last
+// proofRequests is the state of requests for freshness proofs. The task that beats owns all but busy.
+type proofRequests struct {
+	busy     atomic.Bool // a request is in progress
+	attempts int         // since the lease was last renewed
+	lost     bool        // the last logged state of the lease
 }
 
-// needsLease says whether requests here need keys that may be taken away.
+// needsLease reports whether requests need keys that may be revoked.
 func (n *Node) needsLease() bool {
 	t := n.table.Load()
 	return n.settings.Bounds.RevokeWithin > 0 && t != nil && t.Keyed()
 }
 
-// leaseAge returns how long ago the policy in force surely was the newest.
+// leaseAge returns the time since the policy in force was last confirmed as the newest.
 func (n *Node) leaseAge() time.Duration {
 	clock.Check()
 	age, _ := n.lease.Age(n.now())
 	return age
 }
 
-// keysHold says whether a request may be let in by what is known of keys.
-func (n *Node) keysHold() bool {
+// keysValid reports whether the lease on keys holds, so that requests may be admitted by them.
+func (n *Node) keysValid() bool {
 	within := n.settings.Bounds.RevokeWithin
-	return within == 0 || n.leaseAge() <= within*leaseShare/percent
+	return within == 0 || n.leaseAge() <= within*leasePercent/percent
 }
 
-// keysCurrent says whether a key that isn't known is held by no organisation.
+// keysCurrent reports whether an unknown key belongs to no organisation.
 func (n *Node) keysCurrent() bool {
 	if n.settings.Bounds.RevokeWithin == 0 {
 		return n.current()
 	}
 	due := 0
-	_ = n.state.Do(func(s *state) { due = s.content.PolicyDue() }) // it fails only when the box has ended
-	return due == 0 && n.leaseAge() <= keysFresh
+	_ = n.state.Do(func(s *state) { due = s.content.PolicyDue() }) // it fails only after the box has stopped
+	return due == 0 && n.leaseAge() <= unknownKeyMaxAge
 }
 
-// proved takes in that a version surely was the newest at a time.
-func (n *Node) proved(version int, at time.Time) {
+// recordProof records that a policy version was the newest at a time.
+func (n *Node) recordProof(version int, at time.Time) {
 	n.lease.Prove(lease.Proof{
 		Version: version,
 		At:      at.Sub(n.started),
 	})
 }
 
-// giveProof answers another box how long ago the policy here surely was the newest.
-func (n *Node) giveProof() proofAnswer {
+// serveProof answers a request of another box for a freshness proof.
+func (n *Node) serveProof() proofResponse {
 	clock.Check()
 	age, version := n.lease.Age(n.now())
 	if age == lease.Never {
-		return proofAnswer{}
+		return proofResponse{}
 	}
-	return proofAnswer{
+	return proofResponse{
 		Known:   true,
 		Version: version,
 		AgeMs:   age.Milliseconds() + 1,
 	}
 }
 
-// callForProof asks the box at an address how long ago its policy surely was the newest.
-func (n *Node) callForProof(ctx context.Context, addr string) (out proofAnswer, err error) {
+// callProof requests a freshness proof from the box at an address.
+func (n *Node) callProof(ctx context.Context, addr string) (out proofResponse, err error) {
 	err = n.peers.Call(ctx, addr, peer.Proof, struct{}{}, &out)
 	return out, err
 }
 
-// confirms says whether this box reads the policy again and again: one that reads for others,
-// and one that follows them and hears from nobody that could: each time where its last call was
-// answered, now and then where not, or all would call a publisher that is away together.
-func (n *Node) confirms() bool {
+// confirmsPolicy reports whether this box confirms the policy at the publisher. A follower does so only
+// without a recent proof of others, and less often while the publisher does not answer, so that followers
+// do not call it all at once.
+func (n *Node) confirmsPolicy() bool {
 	switch {
 	case !n.needsLease():
 		return false
 	case !n.follows.Load():
 		return true
 	}
-	return n.leaseAge() > proofOwn && (n.storeOK.Load() || n.jitter() < followerReads)
+	return n.leaseAge() > ownReaderProofAge && (n.storeOK.Load() || n.jitter() < followerReadShare)
 }
 
-// seekProof asks other boxes while the lease gets old, unless they are being asked.
-func (n *Node) seekProof(ctx context.Context) {
+// requestProofs requests freshness proofs from other boxes when the lease gets old.
+func (n *Node) requestProofs(ctx context.Context) {
 	if !n.needsLease() {
 		return
 	}
-	after := proofOwn
+	after := ownReaderProofAge
 	if n.follows.Load() || !n.storeOK.Load() {
-		after = proofAfter
+		after = proofRequestAge
 	}
 	if n.leaseAge() < after {
-		n.proofs.tries = 0
+		n.proofs.attempts = 0
 		return
 	}
-	n.proofs.tries++
-	if n.proofs.tries > proofTries && n.proofs.tries%proofRarely > 0 {
+	n.proofs.attempts++
+	if n.proofs.attempts > maxProofAttempts && n.proofs.attempts%proofBackoffBeats > 0 {
 		return
 	}
 	if !n.proofs.busy.CompareAndSwap(false, true) {
 		return
 	}
 	var list []wire.BoxStatus
-	_ = n.state.Do(func(s *state) { list = s.provers(n.draw, n.now()) }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { list = s.proofSources(n.draw, n.now()) }) // it fails only after the box has stopped
 	n.tasks.Go(func() {
 		defer n.proofs.busy.Store(false)
 		for _, box := range list {
 			if n.leaseAge() >= after && ctx.Err() == nil {
-				n.getProof(ctx, box)
+				n.requestProof(ctx, box)
 			}
 		}
 	})
 }
 
-// getProof asks a box. Its age counts from when the question left, for it can't have been less
-// by then.
-func (n *Node) getProof(ctx context.Context, from wire.BoxStatus) {
-	limit := proofFar
+// requestProof requests a proof from a box. The reported age counts from when the request was sent,
+// so that the lease is never overestimated.
+func (n *Node) requestProof(ctx context.Context, from wire.BoxStatus) {
+	limit := remoteProofTimeout
 	if from.Region == n.settings.Region {
-		limit = proofNear
+		limit = localProofTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -159,7 +156,7 @@
 	left := n.now()
 	p, err := n.askProof(ctx, from.Peers)
 	if err != nil || !p.Known || p.AgeMs < 0 {
-		return // others are asked, and the end of the lease is written down
+		return // other boxes follow, and the end of the lease is logged
 	}
 	n.lease.Prove(lease.Proof{
 		Version: p.Version,
@@ -167,10 +164,9 @@
 	})
 }
 
-// provers returns boxes to ask, one after another: of those of the region that read on behalf of
-// others, of all of the region, of those of other regions that read, of all. What one box knows
-// thus comes to all that hear it, each by the first of them that has it.
-func (s *state) provers(draw func(n int) int, now time.Duration) (out []wire.BoxStatus) {
+// proofSources returns the boxes to ask in order: a reader of the region, two boxes of the region, a
+// reader and then any box of other regions. Proofs thus spread to all boxes that can reach each other.
+func (s *state) proofSources(draw func(n int) int, now time.Duration) (out []wire.BoxStatus) {
 	byRegion := make(map[string][]wire.BoxStatus)
 	for m := range s.roster.All() {
 		if b := m.Status; b.Peers != "" && b.Policy > 0 && s.roster.Alive(b.Box, now) {
@@ -193,23 +189,23 @@
 	return out
 }
 
-// readersOf returns the boxes of a region that read the catalog on behalf of others.
+// readersOf returns the catalog readers among the boxes of a region.
 func readersOf(list []wire.BoxStatus) []wire.BoxStatus {
 	names := make([]string, 0, len(list))
 	for _, b := range list {
 		names = append(names, b.Box)
 	}
-	top := rendezvous.Top(readersKey, names, watchers)
+	top := rendezvous.Top(readersKey, names, watchersPerRegion)
 	return slices.DeleteFunc(slices.Clone(list), func(b wire.BoxStatus) bool { return !slices.Contains(top, b.Box) })
 }
 
-// watchLease writes down when requests with keys are no longer let in, and when they are again.
-func (n *Node) watchLease() {
+// recordLeaseChange logs when the lease on keys is lost or regained.
+func (n *Node) recordLeaseChange() {
 	if !n.needsLease() {
 		return
 	}
 	age := n.leaseAge()
-	lost := !n.keysHold()
+	lost := !n.keysValid()
 	if lost == n.proofs.lost {
 		return
 	}
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -138,7 +138,7 @@
 
 // lookAt notes whether a box lets a key in that was taken away too long ago.
 func (k *keyring) lookAt(b *followBox, n *Node, reaches bool) {
-	holds := n.keysHold() // before the table, as a request does
+	holds := n.keysValid() // before the table, as a request does
 	table := n.table.Load()
 	for key, at := range k.gone {
 		if holds && table != nil && table.Organisation(catalog.KeyOf(credential(key))) != nil && time.Since(at) > revokeWithin {
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -258,7 +258,7 @@
 	if err != nil {
 		return news, err
 	}
-	news, err = n.givePolicy(have)
+	news, err = n.servePolicy(have)
 	f.links.Load().answer(ctx, b, len(news.Compressed)*4/3)
 	return news, errors.CombineErrors(err, ctx.Err())
 }
--- a/node/node.go
+++ b/node/node.go
@@ -79,17 +79,17 @@
 	feed       *catalog.Feed
 
 	deltas       *catalog.Deltas
-	lease        lease.Lease                                                 // on keys, by what is known of the policy in force
-	proofs       proofSeeker                                                 // of the same
-	askProof     func(ctx context.Context, addr string) (proofAnswer, error) // seam: asks another box how long ago its policy surely was the newest
+	lease        lease.Lease                                                   // on keys, by what is known of the policy in force
+	proofs       proofRequests                                                 // of the same
+	askProof     func(ctx context.Context, addr string) (proofResponse, error) // seam: asks another box how long ago its policy surely was the newest
 	quotas       *quotas
 	askBank      func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // seam: asks another box as a bank
 	askDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // seam: asks another region's bank what its callers ask for
-	fullAnswers  *fullAnswers
-	policyBucket *byteBucket  // for the policies that this box gives to others
-	seeking      atomic.Bool  // a policy is got from another box; who has set it owns the next
-	seeker       policySeeker // where to get the policy that this box lacks
-	ownReading   ownReading   // of the same; the task that beats owns it
+	fullAnswers  *snapshotCache
+	policyBucket *byteBucket   // for the policies that this box gives to others
+	seeking      atomic.Bool   // a policy is got from another box; who has set it owns the next
+	seeker       policySources // where to get the policy that this box lacks
+	ownReading   ownReadTimer  // of the same; the task that beats owns it
 
 	tasks     sync.WaitGroup
 	told      chan struct{} // asks for the settings to be read again
@@ -124,7 +124,7 @@
 		jitter:   rand.Float64,
 
 		deltas:       catalog.NewDeltas(),
-		fullAnswers:  newFullAnswers(),
+		fullAnswers:  newSnapshotCache(),
 		policyBucket: newByteBucket(policyRate, policyBurst),
 	}
 	n.quotas = n.newQuotas()
@@ -208,30 +208,30 @@
 	n.boxes = exchange.NewPool(exchange.WithIdleTime(idleBox))
 	n.store = exchange.NewPool()
 	dialer := exchange.NewDialer()
-	dialer.Timeout = peerDial
+	dialer.Timeout = peerDialTimeout
 	n.peers = peer.NewPool(ctx, dialer.DialContext, func(peer.Method, int) {})
 	n.bulk = peer.NewPool(ctx, dialer.DialContext, func(peer.Method, int) {})
-	n.askBox = n.callBox
-	n.askPolicy = n.callForPolicy
-	n.askProof = n.callForProof
-	n.askBank = n.callBank
-	n.askDemand = n.callForDemand
+	n.askBox = n.callCatalog
+	n.askPolicy = n.callPolicy
+	n.askProof = n.callProof
+	n.askBank = n.callAllocator
+	n.askDemand = n.callDemand
 	n.deliver = func(p roster.Packet) { _ = n.links[0].Post(p) } // a datagram may be lost anyway, and the next one follows
 	n.feed = n.newFeed(n.adapter.Source(n.store, Report{
 		Call:    n.meter.StoreCall,
-		Bad:     n.badValue,
-		Foreign: n.foreignEntry,
+		Bad:     n.recordBadValue,
+		Foreign: n.recordForeignEntry,
 	}))
 }
 
 // newFeed returns what keeps the copy of the catalog current from a source.
 func (n *Node) newFeed(source catalog.Source) *catalog.Feed {
-	return catalog.NewFeed(source, n.takeUpdate,
-		catalog.WithHealth(n.storeHealth),
+	return catalog.NewFeed(source, n.applyUpdate,
+		catalog.WithHealth(n.recordStoreHealth),
 		catalog.WithReader(n.reads.Load),
 		catalog.WithFollowing(n.follows.Load, n.catalogAge),
-		catalog.WithConfirming(n.confirms, n.proved),
-		catalog.WithTurn(n.awaitTurn),
+		catalog.WithConfirming(n.confirmsPolicy, n.recordProof),
+		catalog.WithTurn(n.awaitInitialRead),
 		catalog.WithRefresh(n.refresh),
 		catalog.WithJitter(n.jitter))
 }
--- a/node/poison.go
+++ b/node/poison.go
@@ -15,10 +15,9 @@
 	"github.com/havenrudder/havenrudder/poison"
 )
 
-const cutDial = 250 * time.Millisecond // within a region a connection takes some 5 ms, a lost packet a second
+const crashDialTimeout = 250 * time.Millisecond // a connection within a region takes some 5 ms, a lost packet a second
 
-// poison returns the seams of the path of requests to what is known of requests that end
-// their replicas.
+// poison connects the ingress to the records of poison requests.
 func (n *Node) poison(ctx context.Context) ingress.Poison {
 	return ingress.Poison{
 		Quarantined: n.quarantined,
@@ -32,16 +31,15 @@
 	}
 }
 
-// onTrial says whether one run of a request at a time may be under way, over all boxes: also one
-// that is quarantined untried, and was served here before. One that was served here of late is
-// cleared instead.
+// onTrial reports whether a request may run only once at a time over all boxes. This includes a quarantined
+// request that had no trial yet and was served here before; one that was served here recently is cleared.
 func (n *Node) onTrial(content *poison.Content) (onTrial bool) {
 	if n.suspects.Load() == 0 {
 		return false
 	}
 	d := content.Digest()
 	now := n.now()
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		_, quarantined := s.poison.Quarantined(d, now)
 		onTrial = s.poison.OnTrial(d, now) || (quarantined && s.poison.Untried(d) && n.served.Before(content))
 	})
@@ -52,15 +50,15 @@
 	return onTrial
 }
 
-// takeTrial asks to run a request on trial now.
+// takeTrial tries to acquire the trial of a request.
 func (n *Node) takeTrial(content *poison.Content) (taken bool) {
 	d := content.Digest()
 	var asks []poison.Packet
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		now := n.now()
 		taken, asks = s.poison.Try(d, func() []poison.Box { return s.poisonBoxes(now) }, now)
 	})
-	n.post(packets(asks))
+	n.post(rosterPackets(asks))
 	if taken {
 		n.meter.Trial()
 		n.record(decision.Event{
@@ -72,42 +70,42 @@
 	return taken
 }
 
-// endTrial takes in that the run of a request on trial is over.
+// endTrial records the end of the trial of a request.
 func (n *Node) endTrial(c *placement.Choice, content *poison.Content) {
 	d := content.Digest()
 	n.state.Post(func(s *state) { s.poison.EndTrial(c.Replica, d) })
 }
 
-// quarantined says whether a request is turned away, and for how long. One that was served
-// here of late is cleared instead, and one that was so before may be tried.
+// quarantined reports whether a request is rejected, and for how long. One that was served here recently is
+// cleared, and one that was served earlier may be retried.
 func (n *Node) quarantined(content *poison.Content) (left time.Duration, quarantined bool) {
 	if n.suspects.Load() == 0 {
 		return 0, false
 	}
 	d := content.Digest()
 	now := n.now()
-	_ = n.state.Do(func(s *state) { left, quarantined = s.poison.Quarantined(d, now) }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { left, quarantined = s.poison.Quarantined(d, now) }) // it fails only after the box has stopped
 	switch {
 	case !quarantined:
 		return 0, false
 	case n.served.Lately(content, now):
 		n.clear(d, now)
 		return 0, false
-	case n.served.Before(content) && (n.isUntried(d) || n.triesQuarantined(d, now)):
+	case n.served.Before(content) && (n.isUntried(d) || n.retriesQuarantined(d, now)):
 		return 0, false
 	}
 	return left, true
 }
 
-// isUntried says whether a quarantined request was not on trial yet.
+// isUntried reports whether a quarantined request had no trial yet.
 func (n *Node) isUntried(d poison.Digest) (untried bool) {
-	_ = n.state.Do(func(s *state) { untried = s.poison.Untried(d) }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { untried = s.poison.Untried(d) }) // it fails only after the box has stopped
 	return untried
 }
 
-// triesQuarantined says whether this box tries a quarantined request once more.
-func (n *Node) triesQuarantined(d poison.Digest, now time.Duration) (tries bool) {
-	_ = n.state.Do(func(s *state) { tries = s.poison.Tries(d, s.poisonBoxes(now), now) }) // it fails only when the box has ended
+// retriesQuarantined reports whether this box retries a quarantined request.
+func (n *Node) retriesQuarantined(d poison.Digest, now time.Duration) (tries bool) {
+	_ = n.state.Do(func(s *state) { tries = s.poison.Tries(d, s.poisonBoxes(now), now) }) // it fails only after the box has stopped
 	if tries {
 		n.record(decision.Event{
 			Kind:   decision.Belief,
@@ -118,8 +116,7 @@
 	return tries
 }
 
-// survived takes in that a replica gave a request a whole answer, or has gone on with one for
-// long.
+// survived records that a replica completed a request, or has been running one for long.
 func (n *Node) survived(c *placement.Choice, content *poison.Content, took time.Duration) {
 	now := n.now()
 	n.served.Add(content, now)
@@ -129,19 +126,18 @@
 	}
 }
 
-// clear takes in that a request was answered whole.
+// clear records that a request was completed.
 func (n *Node) clear(d poison.Digest, now time.Duration) {
 	news := false
-	_ = n.state.Do(func(s *state) { news = s.poison.Clear(d, now) }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { news = s.poison.Clear(d, now) }) // it fails only after the box has stopped
 	if news {
 		n.meter.Cleared()
-		n.tellPoison()
+		n.gossipPoison()
 	}
 }
 
-// cut takes in that a replica got a request and gave no whole answer in a time; closed says
-// that it closed the connection. Whether it has ended is found out with a connection then. Of one
-// that fell silent, and of one that the connection doesn't tell of, the catalog does.
+// cut records that a replica received a request and gave no complete response within took. If it closed
+// the connection, a new connection shows whether it crashed; otherwise the catalog does.
 func (n *Node) cut(ctx context.Context, c *placement.Choice, content *poison.Content, took time.Duration, closed bool) {
 	now := n.now()
 	if n.served.Lately(content, now) {
@@ -149,67 +145,66 @@
 	}
 	d := content.Digest()
 	counted, dials, suspect := false, false, false
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		if s.isLeaving(c.Replica) {
-			return // it was to end
+			return // a planned stop
 		}
 		counted = s.poison.Cut(c.Replica, d, now-took, now)
 		dials = closed && !counted && s.poison.Dials(c.Replica, now)
 		suspect = s.poison.Suspects(d)
 	})
 	if counted {
-		n.tellPoison()
+		n.gossipPoison()
 	}
 	start, addr := c.Replica, c.Addr
 	switch {
 	case !dials, ctx.Err() != nil:
 	case suspect:
-		n.dialCut(ctx, start, addr) // else the request would end one replica more before it is known
+		n.probeCrash(ctx, start, addr) // otherwise the request may crash another replica first
 	default:
-		n.tasks.Go(func() { n.dialCut(ctx, start, addr) })
+		n.tasks.Go(func() { n.probeCrash(ctx, start, addr) })
 	}
 }
 
-// isLeaving says whether a start has said that it will end.
+// isLeaving reports whether an incarnation is draining.
 func (s *state) isLeaving(start string) bool {
 	r := s.view.Get(start)
 	return r != nil && r.Info().Leaving
 }
 
-// dialCut finds out whether a replica that cut a request has ended: then its address
-// refuses connections, for some seconds at least. A connection that is made is kept for the
-// next request.
-func (n *Node) dialCut(ctx context.Context, start, addr string) {
-	err := n.replicas.Reach(ctx, addr, cutDial)
+// probeCrash checks whether a replica that cut a request has crashed: its address then refuses connections
+// for some seconds. An established connection is kept for the next request.
+func (n *Node) probeCrash(ctx context.Context, start, addr string) {
+	err := n.replicas.Reach(ctx, addr, crashDialTimeout)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
 	sleep.For(ctx, poison.Settles)
-	var e replicaEnd
-	_ = n.state.Do(func(s *state) { e = s.replicaEnded(start, n.now()) }) // it fails only when the box has ended
-	n.recordEnd(e)
-	n.tellPoison()
+	var e replicaCrash
+	_ = n.state.Do(func(s *state) { e = s.countCrash(start, n.now()) }) // it fails only after the box has stopped
+	n.recordCrash(e)
+	n.gossipPoison()
 }
 
-// replicaEnd is the end of a replica under requests.
-type replicaEnd struct {
+// replicaCrash is the crash of a replica while it ran requests.
+type replicaCrash struct {
 	start    string
-	counted  int             // requests that it counts for
-	requests []poison.Digest // some of those
+	counted  int             // requests that it counts against
+	requests []poison.Digest // some of them
 }
 
-// replicaEnded counts the end of a replica for the requests that it ran.
-func (s *state) replicaEnded(start string, now time.Duration) replicaEnd {
-	return replicaEnd{
+// countCrash counts the crash of a replica against the requests that it ran.
+func (s *state) countCrash(start string, now time.Duration) replicaCrash {
+	return replicaCrash{
 		start:    start,
 		counted:  s.poison.Ended(start, now),
 		requests: s.poison.CutBy(start),
 	}
 }
 
-// recordEnd writes down that a replica ended under requests. By the start and the digests the
-// line is found from those of a request that is quarantined.
-func (n *Node) recordEnd(e replicaEnd) {
+// recordCrash logs that a replica crashed under requests. The incarnation and the digests match those in
+// the log of a quarantined request.
+func (n *Node) recordCrash(e replicaCrash) {
 	if e.counted == 0 {
 		return
 	}
@@ -222,19 +217,19 @@
 	})
 }
 
-// unlistedEnds takes in which replicas that cut requests are no longer listed, though they
-// had not said that they leave.
-func (n *Node) unlistedEnds() {
-	var ends []replicaEnd
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
+// recordUnlistedCrashes counts replicas that cut requests and are no longer listed, without having drained,
+// as crashed.
+func (n *Node) recordUnlistedCrashes() {
+	var ends []replicaCrash
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		for _, start := range s.poison.Doubtful() {
 			r := s.view.Get(start)
 			if r == nil || (!r.Listed() && !r.Info().Leaving) {
-				ends = append(ends, s.replicaEnded(start, n.now()))
+				ends = append(ends, s.countCrash(start, n.now()))
 			}
 		}
 	})
 	for _, e := range ends {
-		n.recordEnd(e)
+		n.recordCrash(e)
 	}
 }
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -9,14 +9,13 @@
 	"github.com/havenrudder/havenrudder/roster"
 )
 
-// tellPoison tells other boxes what is due of requests that end their replicas, and writes
-// down what is held of them now.
-func (n *Node) tellPoison() {
+// gossipPoison sends pending poison request records to other boxes, and logs changes of them.
+func (n *Node) gossipPoison() {
 	var out []roster.Packet
 	var changes []poison.Change
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		now := n.now()
-		out = s.tellPoison(now, n.draw)
+		out = s.poisonPackets(now, n.draw)
 		changes = s.poison.Changes(now)
 		n.suspects.Store(int32(s.poison.Known()))
 	})
@@ -26,7 +25,7 @@
 	}
 }
 
-// recordPoisonChange writes down what is held of a request now.
+// recordPoisonChange logs a change of the record of a request.
 func (n *Node) recordPoisonChange(c poison.Change) {
 	e := decision.Event{
 		Kind:   decision.Belief,
@@ -45,12 +44,12 @@
 	n.record(e)
 }
 
-// tellPoison returns what is due to be told of requests that end their replicas.
-func (s *state) tellPoison(now time.Duration, rnd func(n int) int) []roster.Packet {
-	return packets(s.poison.Due(s.poisonBoxes(now), now, rnd))
+// poisonPackets returns the pending datagrams with poison request records.
+func (s *state) poisonPackets(now time.Duration, rnd func(n int) int) []roster.Packet {
+	return rosterPackets(s.poison.Due(s.poisonBoxes(now), now, rnd))
 }
 
-// poisonBoxes returns the other boxes that are alive.
+// poisonBoxes returns the other live boxes.
 func (s *state) poisonBoxes(now time.Duration) []poison.Box {
 	var out []poison.Box
 	for m := range s.roster.All() {
@@ -64,19 +63,19 @@
 	return out
 }
 
-// hearPoison takes a datagram of another box in.
-func (n *Node) hearPoison(buf []byte, from string) {
+// receivePoison applies a datagram of another box.
+func (n *Node) receivePoison(buf []byte, from string) {
 	var answers []poison.Packet
 	news := false
-	_ = n.state.Do(func(s *state) { answers, news = s.poison.Hear(buf, from, n.now()) }) // it fails only when the box has ended
-	n.post(packets(answers))
+	_ = n.state.Do(func(s *state) { answers, news = s.poison.Hear(buf, from, n.now()) }) // it fails only after the box has stopped
+	n.post(rosterPackets(answers))
 	if news {
-		n.tellPoison()
+		n.gossipPoison()
 	}
 }
 
-// packets returns datagrams as the roster's link sends them.
-func packets(list []poison.Packet) []roster.Packet {
+// rosterPackets converts datagrams for the link of the roster.
+func rosterPackets(list []poison.Packet) []roster.Packet {
 	out := make([]roster.Packet, 0, len(list))
 	for _, p := range list {
 		out = append(out, roster.Packet{
@@ -87,10 +86,10 @@
 	return out
 }
 
-// quarantinedRequests returns how many requests are turned away; it is read after the box has
-// begun to run.
+// quarantinedRequests returns the number of requests in quarantine. It may be called only after the box has
+// started to run.
 func (n *Node) quarantinedRequests() (count int) {
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		now := n.now()
 		for _, r := range s.poison.Records() {
 			if _, quarantined := s.poison.Quarantined(r.Digest, now); quarantined {
--- a/node/policies.go
+++ b/node/policies.go
@@ -1,8 +1,5 @@
 package node
 
-// This file says how a box gets a policy that others have: apart from all other news,
-// from one box at a time, and from each box only as fast as leaves room beside it.
-
 import (
 	"context"
 	"encoding/base64"
@@ -17,20 +14,20 @@
 )
 
 const (
-	policyRate  = 400_000                // bytes of policies, in base64, that a box sends a second: a third of a link of 10 Mbit/s
-	policyBurst = 267_000                // of these at once: two policies of 4,200 routes; 0.2 s of that link
-	policyLimit = time.Second            // for a policy from another box: at that rate each comes within half of that
-	policyPause = 100 * time.Millisecond // between two questions for one
-	policyBusy  = 300 * time.Millisecond // the same at most, where it said that it is: others have the policy by then
+	policyRate            = 400_000     // bytes of encoded policies that a box sends per second: a third of a link of 10 Mbit/s
+	policyBurst           = 267_000     // bytes at once: two policies of 4,200 routes
+	policyTimeout         = time.Second // of a policy request
+	policyRequestInterval = 100 * time.Millisecond
+	maxPolicyWait         = 300 * time.Millisecond // after a source was rate-limited; others have the policy by then
 )
 
-// policyRequest asks another box for the newest policy.
+// policyRequest requests the newest policy from another box.
 type policyRequest struct {
-	Have int `json:"have"` // version that the asking box knows; 0 for none
+	Have int `json:"have"` // version of the requesting box; 0 for none
 }
 
-// givePolicy answers another box's question for the newest policy.
-func (n *Node) givePolicy(have int) (out catalog.PolicyNews, err error) {
+// servePolicy answers a request of another box for the newest policy.
+func (n *Node) servePolicy(have int) (out catalog.PolicyNews, err error) {
 	var list []*catalog.Policy
 	if err := n.state.Do(func(s *state) { list = s.content.Policies() }); err != nil || len(list) == 0 {
 		return out, err
@@ -51,23 +48,23 @@
 	return out, nil
 }
 
-// callForPolicy asks the box at an address for the newest policy, over a connection of
-// its own, so that nothing else waits behind the answer.
-func (n *Node) callForPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
+// callPolicy requests the newest policy from the box at an address. It uses the bulk connection, so that
+// other calls do not queue behind the response.
+func (n *Node) callPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
 	err = n.bulk.Call(ctx, addr, peer.Policy, policyRequest{
 		Have: have,
 	}, &news)
 	return news, err
 }
 
-// missingPolicy is a policy that exists and that a box doesn't have.
+// missingPolicy is a published policy that this box lacks.
 type missingPolicy struct {
 	have    *catalog.Policy
-	due     int // version; 0 when there is none
+	due     int // version; 0 if none is missing
 	sources []wire.BoxStatus
 }
 
-// version returns the version of the policy that the box has, 0 for none.
+// version returns the version that the box has, 0 for none.
 func (l missingPolicy) version() int { return versionOf(l.have) }
 
 // versionOf returns the version of a policy, 0 for none.
@@ -78,9 +75,9 @@
 	return p.Version
 }
 
-// missing returns what this box lacks and who has the newest of it: boxes of the region,
-// and of other regions where there is none or this box knows no policy at all.
-func (s *state) missing(avoid []string, now time.Duration) missingPolicy {
+// findMissingPolicy returns the policy that this box lacks and the boxes that have it: boxes of other
+// regions only if none of the own region does.
+func (s *state) findMissingPolicy(avoid []string, now time.Duration) missingPolicy {
 	var near, far []wire.BoxStatus
 	out := missingPolicy{
 		have: s.content.Policy(),
@@ -95,9 +92,9 @@
 		switch {
 		case slices.Contains(avoid, b.Box):
 		case b.Region == s.settings.Region:
-			near = newestOf(near, b)
+			near = keepNewest(near, b)
 		default:
-			far = newestOf(far, b)
+			far = keepNewest(far, b)
 		}
 	}
 	out.due = s.content.PolicyDue()
@@ -108,8 +105,8 @@
 	return out
 }
 
-// newestOf adds a box to those that have the newest policy, or drops the others for it.
-func newestOf(list []wire.BoxStatus, b wire.BoxStatus) []wire.BoxStatus {
+// keepNewest adds a box to those with the newest policy, or replaces them if its policy is newer.
+func keepNewest(list []wire.BoxStatus, b wire.BoxStatus) []wire.BoxStatus {
 	switch {
 	case len(list) == 0 || b.Policy == list[0].Policy:
 		return append(list, b)
@@ -119,73 +116,72 @@
 	return list
 }
 
-// seekPolicy gets a policy that others have, unless one is being got already. A box that
+// fetchMissingPolicy fetches a missing policy from another box, unless a fetch is in progress. A box that
 // watches for itself does so only while it can't read.
-func (n *Node) seekPolicy(ctx context.Context) {
+func (n *Node) fetchMissingPolicy(ctx context.Context) {
 	if !n.seeking.CompareAndSwap(false, true) {
 		return
 	}
 	var l missingPolicy
-	_ = n.state.Do(func(s *state) { l = s.missing(n.seeker.excluded(), n.now()) }) // it fails only when the box has ended
-	if l.due == 0 || len(l.sources) == 0 || !n.leansOnOthers() {
-		n.seeker.reset() // they may be the only ones
+	_ = n.state.Do(func(s *state) { l = s.findMissingPolicy(n.seeker.excluded(), n.now()) }) // it fails only after the box has stopped
+	if l.due == 0 || len(l.sources) == 0 || !n.dependsOnPeers() {
+		n.seeker.reset() // excluded boxes may be the only sources
 		n.seeking.Store(false)
 		return
 	}
 	from := l.sources[n.draw(len(l.sources))]
 	n.tasks.Go(func() {
 		defer n.seeking.Store(false)
-		sleep.For(ctx, max(n.getPolicy(ctx, from, l.have), policyPause))
+		sleep.For(ctx, max(n.fetchPolicy(ctx, from, l.have), policyRequestInterval))
 	})
 }
 
-// leansOnOthers says whether this box has to get from others what is published.
-func (n *Node) leansOnOthers() bool {
+// dependsOnPeers reports whether this box receives the catalog from other boxes.
+func (n *Node) dependsOnPeers() bool {
 	return n.follows.Load() || !n.storeOK.Load() || n.table.Load() == nil
 }
 
-// readMissingPolicy has all read when no other box has given a policy for too long, whether or
-// not one is asked: it may be lost.
-func (n *Node) readMissingPolicy() {
+// rereadMissingPolicy reads the full catalog when a policy has been missing for too long, even if a fetch
+// from another box is in progress.
+func (n *Node) rereadMissingPolicy() {
 	have, due := 0, 0
-	_ = n.state.Do(func(s *state) { have, due = versionOf(s.content.Policy()), s.content.PolicyDue() }) // it fails only when the box has ended
-	if n.ownReading.readsFor(have, due, n.now(), n.jitter) {
+	_ = n.state.Do(func(s *state) { have, due = versionOf(s.content.Policy()), s.content.PolicyDue() }) // it fails only after the box has stopped
+	if n.ownReading.shouldRead(have, due, n.now(), n.jitter) {
 		n.feed.Reread()
 	}
 }
 
-// getPolicy asks a box for its policy and takes it in. It returns how long to wait until
-// another question.
-func (n *Node) getPolicy(ctx context.Context, from wire.BoxStatus, known *catalog.Policy) (wait time.Duration) {
+// fetchPolicy fetches and applies the policy of a box. It returns the minimum wait until the next request.
+func (n *Node) fetchPolicy(ctx context.Context, from wire.BoxStatus, known *catalog.Policy) (wait time.Duration) {
 	have := versionOf(known)
-	limit, cancel := context.WithTimeout(ctx, policyLimit)
+	limit, cancel := context.WithTimeout(ctx, policyTimeout)
 	defer cancel()
 	news, err := n.askPolicy(limit, from.Peers, have)
 	if err == nil && len(news.Compressed) == 0 {
 		n.seeker.busy = from.Box
-		return min(news.Wait.Duration(), policyBusy)
+		return min(news.Wait.Duration(), maxPolicyWait)
 	}
 	var p *catalog.Policy
 	if err == nil {
-		p, err = amended(news, known)
+		p, err = applyPolicyDelta(news, known)
 	}
 	if err != nil {
 		n.seeker.failed = append(n.seeker.failed, from.Box)
 		n.record(decision.Event{
 			Kind:     decision.Belief,
 			Upstream: from.Box,
-			Reason:   "policy not got from box",
+			Reason:   "policy not received from box",
 			Detail:   err.Error(),
 		})
 		return 0
 	}
 	n.seeker.reset()
-	n.takeUpdate(catalog.PolicyUpdate(p))
+	n.applyUpdate(catalog.PolicyUpdate(p))
 	return 0
 }
 
-// amended returns the policy that news lead to.
-func amended(news catalog.PolicyNews, known *catalog.Policy) (*catalog.Policy, error) {
+// applyPolicyDelta returns the policy that results from a response.
+func applyPolicyDelta(news catalog.PolicyNews, known *catalog.Policy) (*catalog.Policy, error) {
 	a, err := news.Delta()
 	if err != nil {
 		return nil, err
--- a/node/pull.go
+++ b/node/pull.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	peerDial  = 500 * time.Millisecond // between regions a connection takes 160 ms
-	pullLimit = 2 * time.Second        // for the catalog, or what changed in it, from another box
-	pullNear  = 700 * time.Millisecond // for what changed in it, from a box of the own region: with more a follower that asked a lost box knew of a change 2.3 to 3.3 s late, with a median of 0.3 s
-	pullPause = 300 * time.Millisecond // between two of them
+	peerDialTimeout  = 500 * time.Millisecond // a connection between regions takes 160 ms
+	pullTimeout      = 2 * time.Second        // for the catalog or its changes
+	localPullTimeout = 700 * time.Millisecond // for catalog changes within a region, short enough to retry in time if the box is lost
+	pullInterval     = 300 * time.Millisecond
 )
 
-// catalogRequest asks another box for what it knows of the catalog.
+// catalogRequest requests catalog changes from another box.
 type catalogRequest struct {
-	After int64 `json:"after"` // revision that the asking box knows; 0 for none
+	After int64 `json:"after"` // revision of the requesting box; 0 for none
 }
 
-// copyState is what a box holds of the catalog, beside what another one says.
+// copyState is the state of the local catalog copy relative to another box.
 type copyState struct {
-	newest   int64 // revision that was taken in
-	after    int64 // revision after which it needs to be told what changed
-	doubtful bool  // it has removals in doubt
-	policy   int   // version
-	untold   bool  // the other found replicas gone that it was not told of
+	newest      int64 // newest revision that was applied
+	after       int64 // revision after which changes are requested
+	unconfirmed bool  // some removals are unconfirmed
+	policy      int   // version
+	unreported  bool  // the other box has confirmed removals that it has not sent to this one
 }
 
-// holds returns what this box holds beside what another one says.
-func (s *state) holds(from wire.BoxStatus) copyState {
+// copyState returns the state of the local copy relative to another box.
+func (s *state) copyState(from wire.BoxStatus) copyState {
 	out := copyState{
-		newest:   s.content.Newest(),
-		after:    s.content.Revision(),
-		doubtful: s.content.Doubtful(),
-		untold:   s.untold(from),
+		newest:      s.content.Newest(),
+		after:       s.content.Revision(),
+		unconfirmed: s.content.Doubtful(),
+		unreported:  s.hasUnreportedRemovals(from),
 	}
 	if s.table != nil {
 		out.policy = s.table.Version()
@@ -49,10 +49,9 @@
 	return out
 }
 
-// pulls says whether the catalog is asked for from another box: when this one
-// knows nothing, or doesn't read the publisher itself and the other knows more, or
-// may know more of a removal that is in doubt here.
-func (n *Node) pulls(from wire.BoxStatus, has copyState) bool {
+// shouldPull reports whether to pull the catalog from another box: this one has none, or it does not
+// read the publisher and the other one has newer changes or may confirm a removal.
+func (n *Node) shouldPull(from wire.BoxStatus, has copyState) bool {
 	if n.table.Load() == nil && from.Policy > 0 && has.newest == 0 {
 		return true
 	}
@@ -60,40 +59,38 @@
 	if (near || !n.storeOK.Load()) && int64(from.Catalog) > has.newest {
 		return true
 	}
-	return near && (has.untold || has.doubtful) && n.now() >= time.Duration(n.doubtAsk.Load())
+	return near && (has.unreported || has.unconfirmed) && n.now() >= time.Duration(n.doubtAsk.Load())
 }
 
-// lapses is of how many replicas, whose removal had been in doubt, an incarnation of a
-// box has told.
-type lapses struct {
+// confirmedRemovals is the number of confirmed removals that an incarnation of a box has sent.
+type confirmedRemovals struct {
 	inc   int
 	found int
 }
 
-// untold says whether another box has found such replicas gone that it has not told
-// this one of. Its revision doesn't show that: this one may have learned it before.
-func (s *state) untold(from wire.BoxStatus) bool {
+// hasUnreportedRemovals reports whether another box has confirmed removals that it has not sent to this
+// one. Its revision does not show that, as this box may have received that revision earlier.
+func (s *state) hasUnreportedRemovals(from wire.BoxStatus) bool {
 	told := s.lapses[from.Box]
 	return from.Lapses > 0 && (told.inc != from.Inc || told.found < from.Lapses)
 }
 
-// toldLapses takes in that a box has told what it found.
-func (s *state) toldLapses(from wire.BoxStatus) {
+// recordReportedRemovals records that a box has sent its confirmed removals.
+func (s *state) recordReportedRemovals(from wire.BoxStatus) {
 	if from.Lapses == 0 {
 		return
 	}
-	s.lapses[from.Box] = lapses{
+	s.lapses[from.Box] = confirmedRemovals{
 		inc:   from.Inc,
 		found: from.Lapses,
 	}
 }
 
-// pull asks another box for what changed after a revision. It returns whether that had no
-// room to answer.
+// pull pulls the changes after a revision from another box, and reports whether that was rate-limited.
 func (n *Node) pull(ctx context.Context, from wire.BoxStatus, after int64) (busy bool) {
-	limit := pullLimit
+	limit := pullTimeout
 	if from.Region == n.settings.Region && n.table.Load() != nil {
-		limit = pullNear
+		limit = localPullTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -112,22 +109,22 @@
 	if news.Wait > 0 {
 		return true
 	}
-	n.takeUpdate(news.Update())
-	n.seekPolicy(ctx)
+	n.applyUpdate(news.Update())
+	n.fetchMissingPolicy(ctx)
 	replicas := 0
-	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
-		s.toldLapses(from)
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
+		s.recordReportedRemovals(from)
 		replicas = s.content.Len()
 	})
 	n.feed.Learned(news.Revision, replicas)
 	if news.Read > 0 {
-		n.confirmAt(left - news.Read.Duration()) // the answer was made after that
+		n.confirmAt(left - news.Read.Duration()) // the response was made later
 	}
 	return false
 }
 
-// callBox asks the box at an address for what changed after a revision.
-func (n *Node) callBox(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
+// callCatalog requests the changes after a revision from the box at an address.
+func (n *Node) callCatalog(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
 	var out catalog.EncodedNews
 	err = n.peers.Call(ctx, addr, peer.Catalog, catalogRequest{
 		After: after,
@@ -138,7 +135,7 @@
 	return out.Decode()
 }
 
-// answerPeer answers another box's question.
+// answerPeer answers a call of another box.
 func (n *Node) answerPeer(_ context.Context, m peer.Method, params json.RawMessage) (any, error) {
 	switch m {
 	case peer.Catalog:
@@ -146,17 +143,17 @@
 		if err := json.Unmarshal(params, &req); err != nil {
 			return nil, errors.Wrap(err, "catalog")
 		}
-		return n.giveCatalog(req.After)
+		return n.serveCatalog(req.After)
 	case peer.Policy:
 		var req policyRequest
 		if err := json.Unmarshal(params, &req); err != nil {
 			return nil, errors.Wrap(err, "policy")
 		}
-		return n.givePolicy(req.Have)
+		return n.servePolicy(req.Have)
 	case peer.Proof:
-		return n.giveProof(), nil
+		return n.serveProof(), nil
 	case peer.Quota:
-		var req bankAsk
+		var req allocationRequest
 		if err := json.Unmarshal(params, &req); err != nil {
 			return nil, errors.Wrap(err, "quota")
 		}
@@ -164,32 +161,32 @@
 	case peer.Demand:
 		return n.demand(), nil
 	}
-	return nil, errors.Newf("unknown message %q", string(m))
+	return nil, errors.Newf("unknown method %q", string(m))
 }
 
-// takeUpdate takes an update of the catalog in.
-func (n *Node) takeUpdate(u catalog.Update) {
+// applyUpdate applies a catalog update.
+func (n *Node) applyUpdate(u catalog.Update) {
 	first := n.table.Load() == nil
 	_ = n.state.Do(func(s *state) {
-		n.recordBeliefs(s.take(u, n.now()))
+		n.recordStateChanges(s.take(u, n.now()))
 		n.table.Store(s.table)
 	})
 	if t := n.table.Load(); t != nil {
 		n.lease.Hold(t.Version())
 	}
 	if first && n.table.Load() != nil {
-		n.tellEveryone(false) // this box serves from now on
+		n.tellEveryone(false) // this box is ready from now on
 	}
 }
 
-// settle believes the removals whose time of doubt is over.
-func (n *Node) settle() {
-	_ = n.state.Do(func(s *state) { n.recordBeliefs(s.settle(n.now())) }) // it fails only when the box has ended
+// confirmRemovals confirms removals whose waiting time is over.
+func (n *Node) confirmRemovals() {
+	_ = n.state.Do(func(s *state) { n.recordStateChanges(s.settle(n.now())) }) // it fails only after the box has stopped
 }
 
-// recordBeliefs writes down what is believed now, and drops connections that rest at the
-// address of a replica that has started again.
-func (n *Node) recordBeliefs(list []placement.Belief) {
+// recordStateChanges logs changes of the recorded state of replicas, and closes idle connections to
+// replicas that have restarted.
+func (n *Node) recordStateChanges(list []placement.Belief) {
 	for _, b := range list {
 		if b.Addr != "" {
 			n.replicas.CloseResting(b.Addr)
@@ -203,8 +200,8 @@
 	}
 }
 
-// storeHealth takes in whether a call to the store succeeded.
-func (n *Node) storeHealth(err error) {
+// recordStoreHealth records whether a call to the store succeeded.
+func (n *Node) recordStoreHealth(err error) {
 	ok := err == nil
 	if ok {
 		n.read.Store(int64(n.now()))
@@ -223,19 +220,19 @@
 	n.record(e)
 }
 
-// badValue writes down a published value that can't be used.
-func (n *Node) badValue(name string, err error) {
+// recordBadValue logs a published value that can't be used.
+func (n *Node) recordBadValue(name string, err error) {
 	n.record(decision.Event{
 		Kind:     decision.Belief,
 		Upstream: name,
-		Reason:   "value not usable, the last good one stays",
+		Reason:   "invalid value, keeping the last valid one",
 		Detail:   err.Error(),
 	})
 }
 
-// foreignEntry writes down an entry that names no replica. It was written by somebody
-// else, or by a replica of another version.
-func (n *Node) foreignEntry(name string, err error) {
+// recordForeignEntry logs an entry that names no replica: another program, or a replica of another
+// version, wrote it.
+func (n *Node) recordForeignEntry(name string, err error) {
 	n.meter.ForeignEntry()
 	n.record(decision.Event{
 		Kind:     decision.Belief,
--- a/node/quota.go
+++ b/node/quota.go
@@ -1,8 +1,5 @@
 package node
 
-// This file takes requests' costs from quotas, and asks banks. Who is a bank, and what banks of
-// different regions tell each other, is in banks.go.
-
 import (
 	"cmp"
 	"context"
@@ -19,75 +16,75 @@
 )
 
 const (
-	bankLimit    = 120 * time.Millisecond // for an answer of a bank: a few ms, and what its ends take
-	bankAvoid    = time.Second            // that a box which didn't answer isn't asked
-	bankBeats    = 2                      // beats between two questions ahead of need
-	demandBeats  = 2                      // beats between two questions to other regions' banks
-	usualWindow  = 8 * time.Second        // of quotas, where the settings name none
-	overageShare = 0.2                    // of what quotas may be exceeded by as a factor that is let through, so that errors of the count refuse nothing within a quota
-	slackShare   = 0.25                   // of the units beside that are let through, for the same
-	startsFor    = 3 * time.Second        // of a box's start, in which requests wait until it knows its region
-	startWait    = 300 * time.Millisecond // that they wait
-	startLook    = 40 * time.Millisecond  // between two looks
+	allocatorTimeout    = 120 * time.Millisecond // for an allocation
+	allocatorBackoff    = time.Second            // for which a box that did not answer is skipped
+	allocatorBeats      = 2                      // beats between allocation requests ahead of need
+	demandBeats         = 2                      // beats between demand requests to other regions
+	defaultQuotaWindow  = 8 * time.Second        // if the settings have none
+	overageShare        = 0.2                    // of the allowed overage that is granted, so that counting errors do not reject requests within a quota
+	slackShare          = 0.25                   // of the allowed slack that is granted, for the same reason
+	startupPeriod       = 3 * time.Second        // in which requests wait until the roster is complete
+	startupWait         = 300 * time.Millisecond // maximum wait of a request
+	startupPollInterval = 40 * time.Millisecond
 )
 
-// quotas is a box's part in the quotas of organisations.
+// quotas enforces the quotas of organisations at one box.
 type quotas struct {
-	bank   *quota.Bank
-	purse  *quota.Purse
-	shares *quota.Shares
-	view   atomic.Pointer[bankView]
-	due    [bankShards]atomic.Bool // a bank is asked ahead of need
-	heard  atomic.Bool             // banks of other regions are asked
-	beats  int                     // the task that beats owns it
+	allocator  *quota.Bank
+	credits    *quota.Purse
+	shares     *quota.Shares
+	view       atomic.Pointer[allocatorView]
+	asking     [allocatorShards]atomic.Bool // a request ahead of need is in progress, by shard
+	collecting atomic.Bool                  // demand of other regions is being collected
+	beats      int                          // owned by the task that beats
 
-	mu    sync.Mutex
-	avoid map[string]time.Duration // by address: boxes that didn't answer, and until when
+	mu      sync.Mutex
+	backoff map[string]time.Duration // end of the back-off by address
 }
 
-// bankAsk is a question to a bank.
-type bankAsk struct {
+// allocationRequest requests allocations from a quota allocator.
+type allocationRequest struct {
 	From quota.Asker `json:"from"`
 	Asks []quota.Ask `json:"asks"`
 }
 
-// newQuotas returns a box's part in the quotas.
+// newQuotas returns the quotas of a box.
 func (n *Node) newQuotas() *quotas {
 	regions := slices.Sorted(maps.Values(n.settings.Regions))
 	return &quotas{
-		bank:   quota.NewBank(),
-		purse:  quota.NewPurse(n.quotaWindow(), n.askBankNow, n.now),
-		shares: quota.NewShares(n.settings.Region, slices.Compact(regions)),
-		avoid:  make(map[string]time.Duration),
+		allocator: quota.NewBank(),
+		credits:   quota.NewPurse(n.quotaWindow(), n.requestAllocation, n.now),
+		shares:    quota.NewShares(n.settings.Region, slices.Compact(regions)),
+		backoff:   make(map[string]time.Duration),
 	}
 }
 
-// reserve takes a request's cost from its organisation's quota. Where that is used up it returns
-// when the caller should come back.
+// reserve charges the cost of a request to the quota of its organisation. If the quota is exhausted it
+// returns the time after which the caller should retry.
 func (n *Node) reserve(ctx context.Context, organisation string, tokens int) (cost float64, wait time.Duration, ok bool) {
 	o := n.table.Load().OrganisationOf(organisation)
 	if o == nil || !o.Quota.Bounded() {
 		return 0, 0, true
 	}
 	cost = quota.Cost(o.Quota, tokens)
-	n.awaitBanks(ctx)
-	wait, ok = n.quotas.purse.Take(ctx, organisation, cost)
+	n.awaitAllocators(ctx)
+	wait, ok = n.quotas.credits.Take(ctx, organisation, cost)
 	n.meter.Quota(organisation, cost, ok)
 	return cost, wait, ok
 }
 
-// awaitBanks waits, at a box that has just started, until it knows its region: a part of a bank of
-// its own, which it would have, is less than a request.
-func (n *Node) awaitBanks(ctx context.Context) {
-	for began := n.now(); began < startsFor && n.now()-began < startWait && ctx.Err() == nil; {
+// awaitAllocators waits shortly after start-up until the roster is complete: the allocation that this box
+// could grant itself before is less than one request.
+func (n *Node) awaitAllocators(ctx context.Context) {
+	for began := n.now(); began < startupPeriod && n.now()-began < startupWait && ctx.Err() == nil; {
 		if v := n.quotas.view.Load(); v != nil && v.complete {
 			return
 		}
-		sleep.For(ctx, startLook)
+		sleep.For(ctx, startupPollInterval)
 	}
 }
 
-// terms returns what boxes let through of an organisation's requests, over all regions.
+// terms returns what all regions together admit of an organisation.
 func (n *Node) terms(organisation string) (quota.Terms, bool) {
 	t := n.table.Load()
 	if t == nil {
@@ -106,10 +103,12 @@
 	}, true
 }
 
-// quotaWindow returns over which time quotas are counted.
-func (n *Node) quotaWindow() time.Duration { return cmp.Or(n.settings.Bounds.QuotaWindow, usualWindow) }
+// quotaWindow returns the window in which quotas are counted.
+func (n *Node) quotaWindow() time.Duration {
+	return cmp.Or(n.settings.Bounds.QuotaWindow, defaultQuotaWindow)
+}
 
-// asker returns this box as one that asks a bank.
+// asker identifies this box to an allocator.
 func (n *Node) asker() quota.Asker {
 	return quota.Asker{
 		Box: n.settings.Box,
@@ -117,13 +116,13 @@
 	}
 }
 
-// grant answers a box that asks this one as a bank.
+// grant answers allocation requests as an allocator.
 func (n *Node) grant(from quota.Asker, asks []quota.Ask) []quota.Grant {
-	known := fewestKnown
+	known := minAllocatorUsers
 	if v := n.quotas.view.Load(); v != nil {
-		known = v.known
+		known = v.users
 	}
-	return n.quotas.bank.Grant(from, asks, quota.Round{
+	return n.quotas.allocator.Grant(from, asks, quota.Round{
 		Terms:  n.terms,
 		Shares: n.quotas.shares,
 		Known:  known,
@@ -131,11 +130,11 @@
 	}, n.now())
 }
 
-// askBankNow asks a bank on behalf of a request that waits. Where the bank knows of no quota, for
-// its policy is older, this box is its own.
-func (n *Node) askBankNow(ctx context.Context, a quota.Ask) (quota.Grant, bool) {
+// requestAllocation requests an allocation for a waiting request. If the allocator has no record of the
+// quota, as its policy is older, this box allocates for itself.
+func (n *Node) requestAllocation(ctx context.Context, a quota.Ask) (quota.Grant, bool) {
 	asks := []quota.Ask{a}
-	out := n.askBanks(ctx, shardOf(a.Organisation), asks)
+	out := n.askAllocators(ctx, shardOf(a.Organisation), asks)
 	if len(out) == 0 {
 		out = n.grant(n.asker(), asks)
 	}
@@ -145,18 +144,18 @@
 	return out[0], true
 }
 
-// askBanks asks the bank of a shard, or the next choice where it doesn't answer. Where none does,
-// this box is its own bank, for its part.
-func (n *Node) askBanks(ctx context.Context, shard int, asks []quota.Ask) []quota.Grant {
+// askAllocators requests allocations from the candidates of a shard in order of preference. If none answers,
+// this box allocates for itself.
+func (n *Node) askAllocators(ctx context.Context, shard int, asks []quota.Ask) []quota.Grant {
 	v := n.quotas.view.Load()
-	if v == nil {
+	if v == nil { // the box has stopped
 		return n.grant(n.asker(), asks)
 	}
 	for _, b := range v.near[shard] {
 		if b.Box == n.settings.Box {
 			break
 		}
-		if n.quotas.avoids(b.Peers, n.now()) {
+		if n.quotas.inBackoff(b.Peers, n.now()) {
 			continue
 		}
 		out, err := n.askBank(ctx, b.Peers, asks)
@@ -164,15 +163,15 @@
 			return out
 		}
 		if ctx.Err() == nil {
-			n.quotas.avoidFor(b.Peers, n.now()+bankAvoid)
-			n.bankLost(b.Box, err)
+			n.quotas.backOffUntil(b.Peers, n.now()+allocatorBackoff)
+			n.recordAllocatorLost(b.Box, err)
 		}
 	}
 	return n.grant(n.asker(), asks)
 }
 
-// bankLost writes down that a bank didn't answer.
-func (n *Node) bankLost(box string, err error) {
+// recordAllocatorLost logs that an allocator did not answer.
+func (n *Node) recordAllocatorLost(box string, err error) {
 	n.record(decision.Event{
 		Kind:     decision.Lost,
 		Upstream: box,
@@ -181,77 +180,77 @@
 	})
 }
 
-// callBank asks the box at an address as a bank.
-func (n *Node) callBank(ctx context.Context, addr string, asks []quota.Ask) (out []quota.Grant, err error) {
-	ctx, cancel := context.WithTimeout(ctx, bankLimit)
+// callAllocator requests allocations from the box at an address.
+func (n *Node) callAllocator(ctx context.Context, addr string, asks []quota.Ask) (out []quota.Grant, err error) {
+	ctx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
-	err = n.peers.Call(ctx, addr, peer.Quota, bankAsk{
+	err = n.peers.Call(ctx, addr, peer.Quota, allocationRequest{
 		From: n.asker(),
 		Asks: asks,
 	}, &out)
 	return out, err
 }
 
-// avoids says whether a box didn't answer of late.
-func (q *quotas) avoids(addr string, now time.Duration) bool {
+// inBackoff reports whether a box is skipped as it recently did not answer.
+func (q *quotas) inBackoff(addr string, now time.Duration) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	until, ok := q.avoid[addr]
+	until, ok := q.backoff[addr]
 	if ok && now >= until {
-		delete(q.avoid, addr)
+		delete(q.backoff, addr)
 	}
 	return ok && now < until
 }
 
-// avoidFor has a box not asked until a time.
-func (q *quotas) avoidFor(addr string, until time.Duration) {
+// backOffUntil has a box skipped until a time.
+func (q *quotas) backOffUntil(addr string, until time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.avoid[addr] = until
+	q.backoff[addr] = until
 }
 
-// hasQuotas says whether any organisation has one.
+// hasQuotas reports whether any organisation has a quota.
 func (n *Node) hasQuotas() bool {
 	t := n.table.Load()
 	return t != nil && t.Quotas()
 }
 
-// keepQuotas works out who is a bank, asks ahead of need, and has banks of other regions asked.
-func (n *Node) keepQuotas(ctx context.Context) {
+// maintainQuotas updates the allocators, and requests allocations and the demand of other regions.
+func (n *Node) maintainQuotas(ctx context.Context) {
 	if !n.hasQuotas() {
 		return
 	}
-	var v *bankView
-	_ = n.state.Do(func(s *state) { v = s.banks(n.now()) })
+	var v *allocatorView
+	_ = n.state.Do(func(s *state) { v = s.allocators(n.now()) })
 	if v == nil { // the box has ended
 		return
 	}
 	n.quotas.view.Store(v)
 	n.quotas.beats++
-	if n.quotas.beats%bankBeats == 0 {
-		n.askAhead(ctx)
+	if n.quotas.beats%allocatorBeats == 0 {
+		n.prefetchAllocations(ctx)
 	}
-	if n.quotas.beats%demandBeats == 0 && n.isBank(v) && n.quotas.heard.CompareAndSwap(false, true) {
+	if n.quotas.beats%demandBeats == 0 && n.isAllocator(v) && n.quotas.collecting.CompareAndSwap(false, true) {
 		n.tasks.Go(func() {
-			defer n.quotas.heard.Store(false)
-			n.hearRegions(ctx, v)
+			defer n.quotas.collecting.Store(false)
+			n.collectDemand(ctx, v)
 		})
 	}
 }
 
-// askAhead asks each bank of the region ahead of need. A bank counts the boxes that ask it, so each
-// is asked, whether anything is needed or not.
-func (n *Node) askAhead(ctx context.Context) {
-	for shard := range bankShards {
-		due := &n.quotas.due[shard]
+// prefetchAllocations requests allocations ahead of need. It calls each allocator even if nothing is needed,
+// since allocators count the boxes that call them.
+func (n *Node) prefetchAllocations(ctx context.Context) {
+	for shard := range allocatorShards {
+		due := &n.quotas.asking[shard]
 		if !due.CompareAndSwap(false, true) {
 			continue
 		}
-		list := n.quotas.purse.Due(func(organisation string) bool { return shardOf(organisation) == shard })
+		list := n.quotas.credits.Due(func(organisation string) bool { return shardOf(organisation) == shard })
 		n.tasks.Go(func() {
 			defer due.Store(false)
-			for _, g := range n.askBanks(ctx, shard, list) {
-				n.quotas.purse.Granted(g)
+			for _, g := range n.askAllocators(ctx, shard, list) {
+				n.quotas.credits.Granted(g)
 			}
 		})
 	}
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -363,15 +363,15 @@
 		started: time.Now(),
 	}
 	n.quotas = n.newQuotas()
-	n.quotas.purse.Granted(quota.Grant{
+	n.quotas.credits.Granted(quota.Grant{
 		Organisation: "org",
 		Units:        1e18,
 	})
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := n.quotas.purse.Take(ctx, "org", 9390); !ok {
-			n.quotas.purse.Granted(quota.Grant{
+		if _, ok := n.quotas.credits.Take(ctx, "org", 9390); !ok {
+			n.quotas.credits.Granted(quota.Grant{
 				Organisation: "org",
 				Units:        1e18,
 			})
--- a/node/state.go
+++ b/node/state.go
@@ -37,15 +37,15 @@
 	view       *placement.View
 	budget     *budget.Budget
 	content    *catalog.Content
-	table      *catalog.Table            // nil until a policy is known
-	alive      map[string]bool           // boxes, as the log says last
-	complete   bool                      // all boxes of the region are known, as the log says last
-	silent     []string                  // failure domains that fell silent as a whole, as the log says last
-	paths      map[string]decay.Failures // of requests to other regions
-	lost       map[string]unreached      // boxes
-	asks       map[string]decay.Count    // requests by the name of a bound route
-	lapses     map[string]lapses         // by box: replicas found gone that it has told of
-	taking     map[string]taking         // by region
+	table      *catalog.Table               // nil until a policy is known
+	alive      map[string]bool              // boxes, as the log says last
+	complete   bool                         // all boxes of the region are known, as the log says last
+	silent     []string                     // failure domains that fell silent as a whole, as the log says last
+	paths      map[string]decay.Failures    // of requests to other regions
+	lost       map[string]unreached         // boxes
+	asks       map[string]decay.Count       // requests by the name of a bound route
+	lapses     map[string]confirmedRemovals // by box: replicas found gone that it has told of
+	taking     map[string]taking            // by region
 	short      shortNames
 	unanswered map[string]int   // questions for an account in a row, by engine
 	told       map[string]int64 // the latest start that was taken in by an engine's word, by its id
@@ -70,7 +70,7 @@
 		paths:      make(map[string]decay.Failures),
 		lost:       make(map[string]unreached),
 		asks:       make(map[string]decay.Count),
-		lapses:     make(map[string]lapses),
+		lapses:     make(map[string]confirmedRemovals),
 		taking:     make(map[string]taking),
 		short:      short,
 		unanswered: make(map[string]int),
--- a/node/storm_test.go
+++ b/node/storm_test.go
@@ -17,45 +17,45 @@
 // A box that gets each version soon is not one that can't get a policy.
 func TestABoxThatGetsOnePolicyAfterTheOtherReadsForItselfOnlyOnceItGetsNone(t *testing.T) {
 	is := is.New(t)
-	var p ownReading
+	var p ownReadTimer
 	const versions = 60
 	now := time.Duration(0)
 	for v := 1; v <= versions; v++ { // the one before is in force by now
-		is.True(!p.readsFor(v-1, v, now, noJitter))
-		now += policyPause
+		is.True(!p.shouldRead(v-1, v, now, noJitter))
+		now += policyRequestInterval
 	}
 	reads := 0
-	for end := now + ownReadAfter; now < end; now += policyPause { // and the last never
-		if p.readsFor(versions-1, versions, now, noJitter) {
+	for end := now + ownReadTimeout; now < end; now += policyRequestInterval { // and the last never
+		if p.shouldRead(versions-1, versions, now, noJitter) {
 			reads++
 		}
 	}
 	is.Equal(reads, 1)
-	is.True(p.readsFor(versions-1, versions, now+2*ownReadAfter, noJitter)) // later each time
-	is.True(!p.readsFor(versions-1, versions, now+5*ownReadAfter, noJitter))
+	is.True(p.shouldRead(versions-1, versions, now+2*ownReadTimeout, noJitter)) // later each time
+	is.True(!p.shouldRead(versions-1, versions, now+5*ownReadTimeout, noJitter))
 }
 
 func TestABoxThatGetsNoneOfManyPoliciesReadsForItself(t *testing.T) {
 	is := is.New(t)
-	var p ownReading
-	is.True(!p.readsFor(3, 4, 0, noJitter))
-	is.True(!p.readsFor(3, 20, ownReadAfter-1, noJitter))
-	is.True(p.readsFor(3, 21, ownReadAfter, noJitter))
+	var p ownReadTimer
+	is.True(!p.shouldRead(3, 4, 0, noJitter))
+	is.True(!p.shouldRead(3, 20, ownReadTimeout-1, noJitter))
+	is.True(p.shouldRead(3, 21, ownReadTimeout, noJitter))
 }
 
 func TestBoxesReadAloneApart(t *testing.T) {
 	is := is.New(t)
-	var early, late ownReading
-	is.True(!early.readsFor(0, 1, 0, func() float64 { return 1 }))
-	is.True(!late.readsFor(0, 1, 0, noJitter))
-	is.True(early.readsFor(0, 1, ownReadAfter*3/4, noJitter))
-	is.True(!late.readsFor(0, 1, ownReadAfter-1, noJitter))
-	is.True(late.readsFor(0, 1, ownReadAfter, noJitter))
+	var early, late ownReadTimer
+	is.True(!early.shouldRead(0, 1, 0, func() float64 { return 1 }))
+	is.True(!late.shouldRead(0, 1, 0, noJitter))
+	is.True(early.shouldRead(0, 1, ownReadTimeout*3/4, noJitter))
+	is.True(!late.shouldRead(0, 1, ownReadTimeout-1, noJitter))
+	is.True(late.shouldRead(0, 1, ownReadTimeout, noJitter))
 }
 
 func TestBoxesThatFailedAreLeftOutUntilOneGivesAPolicy(t *testing.T) {
 	is := is.New(t)
-	var p policySeeker
+	var p policySources
 	p.failed = append(p.failed, "a", "b")
 	p.busy = "c"
 	is.True(slices.Equal(p.excluded(), []string{"a", "b", "c"}))
@@ -79,7 +79,7 @@
 			_ = n.state.Do(func(s *state) {
 				known := s.content
 				s.content = catalog.NewContent()
-				for _, b := range s.missing(avoid, n.now()).sources {
+				for _, b := range s.findMissingPolicy(avoid, n.now()).sources {
 					if b.Region == n.settings.Region {
 						near++
 						own = append(own, b.Box)
