--- a/node/backlog_test.go
+++ b/node/backlog_test.go
@@ -26,9 +26,9 @@
 }
 
 func behindWithDatagrams(t *testing.T, seed uint64) {
-	f := newFollows(t.Context(), seed, 60)
+	f := newSimulation(t.Context(), seed, 60)
 	defer f.end()
-	var behind *followBox
+	var behind *simBox
 	for _, b := range f.boxes {
 		n := b.node.Load()
 		deliver := n.deliver
@@ -40,7 +40,7 @@
 			f.later(backlog, func() { deliver(p) })
 		}
 	}
-	f.pass(settlesIn)
+	f.pass(settleTime)
 	for _, b := range f.boxes {
 		if b.node.Load().follows.Load() {
 			behind = b
@@ -49,6 +49,6 @@
 	}
 	f.pass(2 * backlog)
 	f.remove(12)
-	f.pass(settlesIn)
+	f.pass(settleTime)
 	f.report(t)
 }
--- a/node/coldstart_fuzz_test.go
+++ b/node/coldstart_fuzz_test.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	disruptions = 12               // in one run, with the times that pass between them
-	calm        = 16 * time.Second // after the last of them, until all boxes know their region: one that is cut off is so for 8 s at most
+	maxDisruptions   = 12               // of one run, including pauses
+	rosterSettleTime = 16 * time.Second // after the last disruption, until all boxes have a complete roster; a box is isolated for up to 8 s
 )
 
-// outage is an installation whose boxes fail, and are cut off, at random.
+// outage is an installation whose boxes fail or are isolated at random.
 type outage struct {
 	*rapid.T
-	in    *installation
-	alone map[string]bool // addresses of machines that are cut off from all others, but not from replicas
-	added int
+	in       *installation
+	isolated map[string]bool // addresses of machines without a connection to others, but with one to replicas
+	added    int
 }
 
 func newOutage(t *rapid.T) *outage {
 	regions := rapid.IntRange(1, 3).Draw(t, "regions")
 	perRegion := rapid.IntRange(1, 9).Draw(t, "boxes of a region")
 	o := &outage{
-		T:     t,
-		in:    newInstallation(rapid.Uint64().Draw(t, "seed"), regions, perRegion),
-		alone: make(map[string]bool),
+		T:        t,
+		in:       newInstallation(rapid.Uint64().Draw(t, "seed"), regions, perRegion),
+		isolated: make(map[string]bool),
 	}
 	o.in.greedy = true
 	o.in.lossy = rapid.SampledFrom([]float64{0, 0, 0.1, 0.3}).Draw(t, "lost datagrams")
-	o.in.cut = func(from, to *machine) bool { return o.alone[from.addr] || o.alone[to.addr] }
+	o.in.cut = func(from, to *machine) bool { return o.isolated[from.addr] || o.isolated[to.addr] }
 	o.in.startAll(400*time.Millisecond, rapid.SampledFrom([]time.Duration{0, 700 * time.Millisecond, 5 * time.Second}).Draw(t, "seeds later"))
 	return o
 }
@@ -74,14 +74,14 @@
 	o.in.start(m)
 }
 
-// cutOff cuts a machine off from the others, and restarts it at times.
+// cutOff isolates a machine from all others, and sometimes restarts it.
 func (o *outage) cutOff() {
 	m := o.machine()
-	o.alone[m.addr] = true
+	o.isolated[m.addr] = true
 	if rapid.Bool().Draw(o.T, "restarts") {
 		o.in.restart(m, 20*time.Millisecond)
 	}
-	o.in.after(2*o.down(), func() { delete(o.alone, m.addr) })
+	o.in.after(2*o.down(), func() { delete(o.isolated, m.addr) })
 }
 
 func TestNoOutageFloodsAColdReplicaOrBreaksTheBudgetOfRepeats(t *testing.T) {
@@ -89,30 +89,30 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOutage(t)
 		actions := []func(){o.pass, o.pass, o.restart, o.restart, o.restartRegion, o.restartAll, o.add, o.cutOff}
-		for range rapid.IntRange(1, disruptions).Draw(t, "actions") {
+		for range rapid.IntRange(1, maxDisruptions).Draw(t, "actions") {
 			rapid.SampledFrom(actions).Draw(t, "action")()
 		}
-		o.in.run(calm)
+		o.in.run(rosterSettleTime)
 		if flood := o.in.flood(); flood != nil {
 			t.Fatalf("a cold replica got %d requests in a second: %v", len(flood), flood)
 		}
 		if n := o.in.mostRepeats(); n > repeatExtra {
-			t.Fatalf("%d repeats in a window, %d are allowed", n, repeatExtra)
+			t.Fatalf("%d retries in a window, %d are allowed", n, repeatExtra)
 		}
-		if slow := slices.IndexFunc(o.in.machines, o.incomplete); slow >= 0 {
-			t.Fatalf("%s doesn't know its region", o.in.machines[slow].name)
+		if slow := slices.IndexFunc(o.in.machines, o.rosterIncomplete); slow >= 0 {
+			t.Fatalf("%s has an incomplete roster", o.in.machines[slow].name)
 		}
 		sends += len(o.in.sends)
 		complete += len(o.in.machines)
 	})
-	t.Logf("%d sends to cold replicas, %d boxes know their region at last", sends, complete)
-	if sends < complete { // cold replicas are used
+	t.Logf("%d requests to cold replicas, %d boxes with a complete roster", sends, complete)
+	if sends < complete { // otherwise cold replicas were hardly used
 		t.Fatal("hardly anything was sent")
 	}
 }
 
-// incomplete says whether a box doesn't know all of its region.
-func (o *outage) incomplete(m *machine) bool {
+// rosterIncomplete reports whether the roster of a box lacks boxes of its region.
+func (o *outage) rosterIncomplete(m *machine) bool {
 	_, ok := m.state.roster.CompleteSince(m.age(o.in))
 	return !ok
 }
--- a/node/coldstart_test.go
+++ b/node/coldstart_test.go
@@ -5,23 +5,8 @@
 	"time"
 )
 
-// All boxes of an installation were killed and started again, those that the seeds
-// name last. Soon afterwards a replica that was cold got six requests in one second,
-// one more than its bound, and crashed.
-//
-// The sequence: the boxes of one region start within half a second and know nobody,
-// as nobody is there to answer at the seeds. Each takes its share of the cold
-// replica's pace 1.1 s after its start. The seeds' boxes answer by then, so each box
-// knows some others, and not the same ones.
-//
-// The cause: a share was worked out from the boxes known, whether or not these were
-// all; a box that knew none supposed that there were four. A bound of 5 lets the five
-// boxes send that rank highest for the replica. A box that doesn't know all of them
-// takes the place of one that it doesn't know, and that one sends as well.
-//
-// What settled it: of 22 boxes of the region, 1.5 s old, alive_boxes was 12 to 61,
-// where it should be 63; and 14 calls of the store in a second by each, as made by a
-// box that knows of at most three others.
+// Guards against an overloaded cold replica when all boxes start before their seeds: each box must take
+// its share of the rate limit by the size of the region, also while its roster is incomplete.
 func TestBoxesThatAllStartBeforeTheirSeedsKeepThePaceOfAColdReplica(t *testing.T) {
 	in := newInstallation(1, 3, 21)
 	in.startAll(400*time.Millisecond, 700*time.Millisecond)
@@ -29,23 +14,21 @@
 	in.keepsPace(t)
 }
 
-// The same cause let boxes that knew nobody repeat as many requests as one of three
-// boxes may: the budget of repeats is shared among the boxes known as well.
+// Guards against too many retries while rosters are incomplete.
 func TestBoxesThatAllStartBeforeTheirSeedsKeepTheBudgetOfRepeats(t *testing.T) {
 	in := newInstallation(1, 3, 21)
 	in.greedy = true
 	in.startAll(400*time.Millisecond, 6*time.Second)
 	in.run(15 * time.Second)
 	n := in.mostRepeats()
-	t.Logf("%d repeats within %v", n, repeatWindow)
+	t.Logf("%d retries within %v", n, repeatWindow)
 	if n > repeatExtra {
-		t.Fatalf("%d repeats within %v, %d are allowed", n, repeatWindow, repeatExtra)
+		t.Fatalf("%d retries within %v, %d are allowed", n, repeatWindow, repeatExtra)
 	}
 }
 
-// Of 108 boxes 96 are told to callers, whose parts are whole repeats. Others, which may be
-// told instead at any moment, boxes that are cut off each from all, a region that is cut
-// off, and those that are killed and begin again take no more in sum.
+// Guards against a retry budget that is exceeded, or left mostly unused, while active boxes change, are
+// isolated or restart.
 func TestTheBudgetOfRepeatsIsKeptAndUsedByTheBoxesThatTakeCallers(t *testing.T) {
 	const extra = 640
 	in := newInstallation(1, 3, 36)
@@ -54,9 +37,9 @@
 	in.startAll(400*time.Millisecond, 300*time.Millisecond)
 	in.run(16 * time.Second)
 	calm := in.mostRepeats()
-	t.Logf("%d repeats within %v in the calm", calm, repeatWindow)
+	t.Logf("%d retries within %v without disruptions", calm, repeatWindow)
 	if calm < extra/4 || calm > extra {
-		t.Errorf("%d repeats within %v, %d are allowed and a quarter is of use", calm, repeatWindow, extra)
+		t.Errorf("%d retries within %v, %d are allowed and a quarter is of use", calm, repeatWindow, extra)
 	}
 	for i, m := range in.machines {
 		if i%3 == 0 {
@@ -75,11 +58,11 @@
 	}
 	in.run(12 * time.Second)
 	if n := in.mostRepeats(); n > extra {
-		t.Errorf("%d repeats within %v, %d are allowed", n, repeatWindow, extra)
+		t.Errorf("%d retries within %v, %d are allowed", n, repeatWindow, extra)
 	}
 }
 
-// startAll starts all boxes within a time, those of the seeds so much later.
+// startAll starts all boxes within a time, the seeds later than the others by seedsLater.
 func (in *installation) startAll(within, seedsLater time.Duration) {
 	seeds := make(map[string]bool)
 	for _, addr := range in.seeds {
--- a/node/domainloss_test.go
+++ b/node/domainloss_test.go
@@ -16,7 +16,7 @@
 
 // twoDomains is an installation whose regions have two failure domains each.
 func twoDomains(perRegion int) *installation {
-	in := newInstallation(1, regionsOf, perRegion)
+	in := newInstallation(1, simRegions, perRegion)
 	for i, m := range in.machines {
 		m.domain = fmt.Sprint(m.region, "-", i%2)
 	}
--- a/node/errands_test.go
+++ b/node/errands_test.go
@@ -8,12 +8,12 @@
 )
 
 // after has something done later, at an instant of its own.
-func (f *follows) after(d time.Duration, act func()) {
-	f.later(d+f.jitter(mostJitter, "after", f.rnd.Uint64())+1, act) // an even one
+func (f *simulation) after(d time.Duration, act func()) {
+	f.later(d+f.jitter(maxJitter, "after", f.rnd.Uint64())+1, act) // an even one
 }
 
 // later has something done after exactly so long.
-func (f *follows) later(d time.Duration, act func()) {
+func (f *simulation) later(d time.Duration, act func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := time.Now().Add(d)
@@ -30,7 +30,7 @@
 }
 
 // carry does what is to be done later, in the order of its times.
-func (f *follows) carry() {
+func (f *simulation) carry() {
 	for f.ctx.Err() == nil {
 		f.mu.Lock()
 		wait := time.Hour // until something is put in
--- a/node/follow.go
+++ b/node/follow.go
@@ -60,7 +60,7 @@
 	var has copyState
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		from = s.nextWatcher(n.now())
-		has = s.copyState(from)
+		has = s.compareCopy(from)
 	})
 	if from.Peers == "" {
 		n.refreshing.Store(false)
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -21,7 +21,7 @@
 		is.True(!r.follows)
 		is.True(!r.sharesAge)
 		b.tells(status(fmt.Sprint("box-", n), "a"), start)
-		b.tells(status(fmt.Sprint("far-", n), "b"), start) // of no matter
+		b.tells(status(fmt.Sprint("far-", n), "b"), start) // other regions do not count
 	}
 	is.True(b.role(start).sharesAge)
 	is.True(!b.role(start + time.Minute).sharesAge) // the others are dead
@@ -48,7 +48,7 @@
 	is.Equal(watching, watchersPerRegion)
 }
 
-func TestTheWordOfAnotherBoxCountsWhereItKnowsNoMore(t *testing.T) {
+func TestAReportedReadConfirmsAnEqualOrOlderRevision(t *testing.T) {
 	is := is.New(t)
 	n := &Node{
 		started: time.Now().Add(-time.Minute),
@@ -61,16 +61,16 @@
 		n.confirm(from, 7, 0)
 		return n.catalogAge().Round(time.Second)
 	}
-	is.Equal(says(7, 0), 50*time.Second)     // it says nothing
-	is.Equal(says(8, 1000), 50*time.Second)  // it knows something newer, which is asked for
-	is.Equal(says(7, 55000), 50*time.Second) // older than what is known
+	is.Equal(says(7, 0), 50*time.Second)     // no read reported
+	is.Equal(says(8, 1000), 50*time.Second)  // the other box has a newer revision, which is requested
+	is.Equal(says(7, 55000), 50*time.Second) // older than the recorded read
 	is.Equal(says(7, 3000), 3*time.Second)
-	is.Equal(says(6, 1000), time.Second) // it has read, and there was less
+	is.Equal(says(6, 1000), time.Second) // read at an earlier revision
 	is.Equal(says(7, 9000), time.Second)
 }
 
-// A reading that two boxes of different regions told each other stayed as old as it was,
-// for each left out the 81 ms on the way.
+// Guards against an age of a read that omits the delay of datagrams and thus stays constant while boxes
+// exchange it.
 func TestAReadingGetsNoYoungerOnItsWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,19 +104,13 @@
 	})
 }
 
-// After an outage each box of a large region tells of replicas that it found gone, and a
-// follower asked one after the other, with 300 ms between two. It passed over those that
-// told a newer revision meanwhile, and learned it 1.9 s after the first of its region:
-//
-//	25.9968 box-0-126 reads all: 63
-//	26.8768 box-0-171 asked 10.0.69.1:7001 after 39 told up to 39
-//	27.7808 box-0-171 asks for the newest: 63
+// Guards against a request for confirmed removals that delays a request for a newer revision.
 func TestAQuestionThatBringsNoRevisionHoldsUpNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFollows(t.Context(), 1, 6)
+		f := newSimulation(t.Context(), 1, 6)
 		defer f.end()
-		f.pass(settlesIn)
+		f.pass(settleTime)
 		n := f.boxes[0].node.Load()
 		n.follows.Store(true)
 		var asked []string
@@ -146,7 +140,7 @@
 	watcher := newBox("near", "a", 2)
 	says := func() wire.BoxStatus { return watcher.says(start).From }
 	is.True(!b.hasUnreportedRemovals(says()))
-	watcher.take(catalog.Update{ // just after an outage, in which entries may have lapsed
+	watcher.take(catalog.Update{ // soon after an outage, in which entries may have expired
 		Revision: 1,
 		Changes: []catalog.Change{{
 			Revision: 1,
@@ -154,7 +148,7 @@
 		}},
 	}, start)
 	is.True(!b.hasUnreportedRemovals(says()))
-	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the revision that both know
+	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the same revision
 	is.Equal(says().Catalog, b.says(start).From.Catalog)
 	is.True(b.hasUnreportedRemovals(says()))
 	b.take(watcher.content.Since(b.content.Revision()).Update(), start)
@@ -162,6 +156,6 @@
 	is.Equal(len(b.content.Replicas()), 1)
 	is.True(!b.hasUnreportedRemovals(says()))
 	again := says()
-	again.Inc++ // another process has found some of its own
+	again.Inc++ // a new incarnation has confirmed removals of its own
 	is.True(b.hasUnreportedRemovals(again))
 }
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -46,7 +46,7 @@
 		sleep.For(ctx, roster.Tick)
 		n.noticeSuspension()
 		n.tell()
-		n.confirmRemovals()
+		n.settle()
 		n.recordUnlistedCrashes()
 		n.gossipPoison()
 		n.chooseRole()
@@ -170,7 +170,7 @@
 	var has copyState
 	var waited time.Duration
 	_ = n.state.Do(func(s *state) {
-		has = s.copyState(from)
+		has = s.compareCopy(from)
 		waited = s.roster.Waited(from, n.now())
 	})
 	n.confirm(from, has.newest, waited)
--- a/node/start_again_test.go
+++ b/node/incarnation_test.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	firstBorn  = 1764720000000
-	secondBorn = firstBorn + 60_000
+	firstStartMs  = 1764720000000
+	secondStartMs = firstStartMs + 60_000
 )
 
-// startAgain publishes that a replica of a box's region has started, at a revision.
-func startAgain(b *testBox, born, revision int64) catalog.Replica {
+// publishRestart publishes a new incarnation of a replica at a revision.
+func publishRestart(b *testBox, born, revision int64) catalog.Replica {
 	r := replicas(b.settings.Region, 1)[0]
 	r.Born = born
 	r.Revision = revision
@@ -34,8 +34,8 @@
 	return r
 }
 
-// believed returns the starts of a replica that a box holds to be there.
-func believed(b *testBox, id string) []string {
+// listedIncarnations returns the listed incarnations of a replica at a box.
+func listedIncarnations(b *testBox, id string) []string {
 	var out []string
 	for _, r := range b.view.Replicas() {
 		if r.ID() == id && r.Listed() {
@@ -48,9 +48,9 @@
 func TestWhatBoxesTellOfAStartCountsForThatOneOnly(t *testing.T) {
 	is := is.New(t)
 	b := newBox("box-1", "a", 1)
-	first := startAgain(b, firstBorn, 101)
-	second := startAgain(b, secondBorn, 102)
-	is.Equal(believed(b, first.ID), []string{second.Start()})
+	first := publishRestart(b, firstStartMs, 101)
+	second := publishRestart(b, secondStartMs, 102)
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
 	now := start + time.Second
 	word := func(of string) []roster.CompactWord {
 		return []roster.CompactWord{{
@@ -81,84 +81,83 @@
 	is.Equal(load(first.ID), 0)
 }
 
-// An engine that had started again told so in its report a heartbeat before its entry
-// did. The report was taken for a word of the process before, whose prompts were gone.
+// Guards against a usage report of a new incarnation that is attributed to the previous one until the catalog
+// entry changes.
 func TestAReportTellsOfALaterStartBeforeItsEntryDoes(t *testing.T) {
 	is := is.New(t)
 	b := newBox("box-1", "a", 1)
-	first := startAgain(b, firstBorn, 101)
+	first := publishRestart(b, firstStartMs, 101)
 	account := func(born int64, requests int, at time.Duration) {
-		known := believed(b, first.ID)[0]
+		known := listedIncarnations(b, first.ID)[0]
 		of, _ := b.startOf(known, born, at)
 		b.account(of, Account{
 			Running: requests,
 		}, true, at, at)
 	}
 	at := start + time.Second
-	account(firstBorn, 3, at)
-	account(0, 4, at+time.Millisecond) // it doesn't say
-	is.Equal(believed(b, first.ID), []string{first.Start()})
+	account(firstStartMs, 3, at)
+	account(0, 4, at+time.Millisecond) // the report names no incarnation
+	is.Equal(listedIncarnations(b, first.ID), []string{first.Start()})
 	is.Equal(b.view.Words(at + time.Millisecond)[0].Requests, 4)
 
-	account(secondBorn, 1, at+time.Second)
+	account(secondStartMs, 1, at+time.Second)
 	second := first
-	second.Born = secondBorn
-	is.Equal(believed(b, first.ID), []string{second.Start()})
+	second.Born = secondStartMs
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
 	words := b.view.Words(at + time.Second)
 	is.Equal(len(words), 1)
 	is.Equal(words[0].Replica, second.Start())
 	is.Equal(words[0].Requests, 1)
 
-	account(firstBorn, 9, at+2*time.Second) // a late answer of the process before
+	account(firstStartMs, 9, at+2*time.Second) // a late report of the previous incarnation
 	is.Equal(b.view.Words(at + 2*time.Second)[0].Requests, 1)
-	startAgain(b, secondBorn, 103) // its entry
-	is.Equal(believed(b, first.ID), []string{second.Start()})
-	is.Equal(b.view.Words(at + 2*time.Second)[0].Requests, 1) // what is believed of the start stays
-	startAgain(b, firstBorn, 104)                             // written late
-	is.Equal(believed(b, first.ID), []string{second.Start()})
+	publishRestart(b, secondStartMs, 103) // the catalog entry arrives
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
+	is.Equal(b.view.Words(at + 2*time.Second)[0].Requests, 1) // its recorded load stays
+	publishRestart(b, firstStartMs, 104)                      // a late write of the previous incarnation
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
 }
 
 func TestAReplicaThatIsAskedTellsOfItsLaterStart(t *testing.T) {
 	is := is.New(t)
 	b := newBox("box-1", "a", 1)
-	first := startAgain(b, firstBorn, 101)
+	first := publishRestart(b, firstStartMs, 101)
 	leaving := first
 	leaving.Leaving = true
 	svc := b.table.Service(first.Service)
 	news := b.take(adopted(leaving, svc, Identity{
 		ID:   first.ID,
-		Born: secondBorn,
+		Born: secondStartMs,
 	}), start)
 	is.True(slices.ContainsFunc(news, func(n placement.Belief) bool {
 		return n.Reason == "replica started again" && n.Addr == first.Addr
 	}))
 	got := b.content.Replicas()
 	at := slices.IndexFunc(got, func(r catalog.Replica) bool { return r.ID == first.ID })
-	is.Equal(got[at].Born, int64(secondBorn))
+	is.Equal(got[at].Born, int64(secondStartMs))
 	is.True(!got[at].Leaving)
 	is.Equal(got[at].ColdLeft, svc.ColdFor)
-	is.Equal(len(believed(b, first.ID)), 1)
+	is.Equal(len(listedIncarnations(b, first.ID)), 1)
 }
 
-// A replica's own word of its start was held against every later entry that told another
-// one, so that its word in the store that it leaves would have been passed over for good.
+// Guards against an incarnation reported only by the replica that overrides later entries of the store.
 func TestTheStoreOverrulesAStartThatOnlyTheReplicaTold(t *testing.T) {
 	is := is.New(t)
 	b := newBox("box-1", "a", 1)
-	first := startAgain(b, firstBorn, 101)
+	first := publishRestart(b, firstStartMs, 101)
 	second := first
-	second.Born = secondBorn
-	of, _ := b.startOf(first.Start(), secondBorn, start)
+	second.Born = secondStartMs
+	of, _ := b.startOf(first.Start(), secondStartMs, start)
 	is.Equal(of, second.Start())
-	startAgain(b, firstBorn, 101) // what was published before
-	is.Equal(believed(b, first.ID), []string{second.Start()})
-	startAgain(b, firstBorn, 102) // a change of its entry
-	is.Equal(believed(b, first.ID), []string{first.Start()})
-	of, news := b.startOf(first.Start(), secondBorn, start+time.Second)
-	is.Equal(of, first.Start()) // it isn't taken in over and over, which would pace it for ever
+	publishRestart(b, firstStartMs, 101) // published earlier
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
+	publishRestart(b, firstStartMs, 102) // a newer entry
+	is.Equal(listedIncarnations(b, first.ID), []string{first.Start()})
+	of, news := b.startOf(first.Start(), secondStartMs, start+time.Second)
+	is.Equal(of, first.Start()) // it is not recorded again, which would rate-limit the replica forever
 	is.Equal(len(news), 0)
-	startAgain(b, secondBorn, 103)
-	is.Equal(believed(b, first.ID), []string{second.Start()})
+	publishRestart(b, secondStartMs, 103)
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
 	third := second
 	third.Born++
 	of, _ = b.startOf(second.Start(), third.Born, start+2*time.Second)
--- a/node/initialread.go
+++ b/node/initialread.go
@@ -82,7 +82,7 @@
 			return
 		}
 		from = s.snapshotSource(n.now(), n.draw)
-		has = s.copyState(from)
+		has = s.compareCopy(from)
 	})
 	if from.Peers != "" {
 		n.startPull(ctx, from, has)
--- a/node/fleet_test.go
+++ b/node/largefleet_test.go
@@ -12,8 +12,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// fleetBox returns one of so many boxes in three regions, before ten times as many
-// replicas, that takes callers.
+// fleetBox returns an active box of a fleet in three regions with ten times as many replicas.
 func fleetBox(boxes int) *testBox {
 	perRegion := boxes / len(fleetRegions)
 	for n := 0; ; n++ {
@@ -40,9 +39,8 @@
 
 var fleetRegions = []string{"a", "b", "c"}
 
-// BenchmarkATick is what a box that takes callers does at each tick among 584 and 1,200
-// boxes, but for its requests.
-func BenchmarkATick(b *testing.B) {
+// BenchmarkTick measures the periodic work of an active box without requests.
+func BenchmarkTick(b *testing.B) {
 	for _, boxes := range []int{300, 584, 1200} {
 		b.Run(fmt.Sprint(boxes), func(b *testing.B) {
 			box := fleetBox(boxes)
@@ -60,8 +58,8 @@
 	}
 }
 
-// BenchmarkQuestions is what it takes a box to find out which engines to ask.
-func BenchmarkQuestions(b *testing.B) {
+// BenchmarkEngineSelection measures the selection of engines to probe.
+func BenchmarkEngineSelection(b *testing.B) {
 	box := fleetBox(584)
 	box.saysAll(8)
 	now := start
@@ -72,9 +70,8 @@
 	}
 }
 
-// A look at what the region can take is a look at each of its replicas, and at each tick it
-// took more of a box's processor time the larger the region was.
-func TestLooksAtWhatARegionCanTakeGrowNoFasterThanTheRegionAndAreNoOlderThanCounts(t *testing.T) {
+// Guards against a scan of all replicas at each tick, whose cost grows with the region.
+func TestCapacityScansGrowNoFasterThanTheRegionAndStayFresh(t *testing.T) {
 	is := is.New(t)
 	looked := make(map[int]int)
 	for _, boxes := range []int{60, 600, 1200} {
@@ -91,7 +88,7 @@
 			is.True(now-b.roomsAt < roomsFor)
 		}
 	}
-	t.Logf("replicas looked at in 40 ticks, by boxes: %v", looked)
-	is.Equal(looked[60], 40*200) // few are looked at at each tick
+	t.Logf("replicas scanned in 40 ticks, by boxes: %v", looked)
+	is.Equal(looked[60], 40*200) // a small region is scanned at each tick
 	is.True(10*looked[1200] <= 12*looked[600])
 }
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -19,26 +19,26 @@
 type links struct {
 	mu      sync.Mutex
 	rate    float64 // bytes a second
-	free    map[*followBox]time.Time
-	sent    map[*followBox]int // bytes of answers
-	answers map[*followBox]int
-	open    map[*followBox]int // answers under way
-	most    int                // of these at one box at once
-	longest time.Duration      // that something waited for what was before it and for its own bytes
+	free    map[*simBox]time.Time
+	sent    map[*simBox]int // bytes of answers
+	answers map[*simBox]int
+	open    map[*simBox]int // answers under way
+	most    int             // of these at one box at once
+	longest time.Duration   // that something waited for what was before it and for its own bytes
 }
 
 func newLinks(rate float64) *links {
 	return &links{
 		rate:    rate,
-		free:    make(map[*followBox]time.Time),
-		sent:    make(map[*followBox]int),
-		answers: make(map[*followBox]int),
-		open:    make(map[*followBox]int),
+		free:    make(map[*simBox]time.Time),
+		sent:    make(map[*simBox]int),
+		answers: make(map[*simBox]int),
+		open:    make(map[*simBox]int),
 	}
 }
 
 // carry returns how long a box takes to send so many bytes after what it sends already.
-func (l *links) carry(from *followBox, bytes int) time.Duration {
+func (l *links) carry(from *simBox, bytes int) time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -57,7 +57,7 @@
 
 // answer has a box send an answer. It ends with ctx, but the bytes are sent all the
 // same: whoever asked has given up, and the box that answers doesn't know.
-func (l *links) answer(ctx context.Context, from *followBox, bytes int) {
+func (l *links) answer(ctx context.Context, from *simBox, bytes int) {
 	if l == nil {
 		return
 	}
@@ -253,7 +253,7 @@
 }
 
 // askPolicy asks a box for its policy, as over a connection.
-func (f *follows) askPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
+func (f *simulation) askPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay)
 	if err != nil {
 		return news, err
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -15,29 +15,29 @@
 	"github.com/havenrudder/havenrudder/internal/change"
 )
 
-const listingTakes = 4 * time.Millisecond // of each call
+const listingCallTime = 4 * time.Millisecond // of each call
 
-var errListingAway = errors.New("the listing is away")
+var errListingUnavailable = errors.New("listing unavailable")
 
-// listing is a stand-in for what publishes replicas: it may be down for all boxes or
-// turn some away, and forget its history.
+// listing is a stand-in for the publisher of replicas. It can be down for all boxes, reject some, and lose
+// its history.
 type listing struct {
-	mu       sync.Mutex
-	rev      int64
-	policy   *catalog.Policy
-	replicas map[string]catalog.Replica
-	history  []catalog.Change
-	forgot   int64 // newest revision that history lacks
-	down     bool
-	refuses  map[string]bool // boxes
-	changed  change.Signal
-	calls    int
-	deafTo   int64                                               // revision up to which a watch hears nothing while it is deaf
-	deaf     bool                                                // changes are made that no watch hears of
-	page     int                                                 // replicas in one answer; 0 for all
-	way      func(box string) time.Duration                      // there and back for a call of a box; nil for none
-	ways     atomic.Pointer[ways]                                // to the boxes, nil for wide ones
-	jitter   func(most time.Duration, what ...any) time.Duration // a short time by the seed
+	mu          sync.Mutex
+	rev         int64
+	policy      *catalog.Policy
+	replicas    map[string]catalog.Replica
+	history     []catalog.Change
+	compactedTo int64 // newest revision that history lacks
+	down        bool
+	rejects     map[string]bool // boxes
+	changed     change.Signal
+	calls       int
+	stalledAt   int64                                               // watches receive no changes
+	stalled     bool                                                // changes are made that no watch hears of
+	page        int                                                 // replicas per page; 0 for no limit
+	way         func(box string) time.Duration                      // round trip of a call of a box; nil for none
+	ways        atomic.Pointer[ways]                                // to the boxes, nil for unlimited ones
+	jitter      func(most time.Duration, what ...any) time.Duration // a short duration derived from the seed
 }
 
 func newListing(list []catalog.Replica, jitter func(most time.Duration, what ...any) time.Duration) *listing {
@@ -46,7 +46,7 @@
 		rev:      1,
 		policy:   policy(1),
 		replicas: make(map[string]catalog.Replica),
-		refuses:  make(map[string]bool),
+		rejects:  make(map[string]bool),
 	}
 	for _, r := range list {
 		l.replicas[r.ID] = r
@@ -61,52 +61,52 @@
 	l.rev++
 	r.Revision = l.rev
 	l.replicas[r.ID] = r
-	l.tell(catalog.Change{
+	l.addChange(catalog.Change{
 		Revision: l.rev,
 		Replica:  &r,
 	})
 }
 
-// drop removes a replica's entry.
+// drop removes the entry of a replica.
 func (l *listing) drop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rev++
 	delete(l.replicas, id)
-	l.tell(catalog.Change{
+	l.addChange(catalog.Change{
 		Revision: l.rev,
 		Gone:     id,
 	})
 }
 
-// tell adds a change to the history.
-func (l *listing) tell(c catalog.Change) {
+// addChange appends a change to the history.
+func (l *listing) addChange(c catalog.Change) {
 	l.history = append(l.history, c)
 	l.changed.Tell()
 }
 
-// forget forgets the history.
-func (l *listing) forget() {
+// dropHistory drops the history.
+func (l *listing) dropHistory() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.history = nil
-	l.forgot = l.rev
+	l.compactedTo = l.rev
 	l.changed.Tell()
 }
 
-// setDeaf lets watches hear nothing of what changes from now on, or forgets the history, as a
-// store does that loses it.
-func (l *listing) setDeaf(deaf bool) {
+// stallWatches stops changes from reaching watches. When it ends the history is dropped, as by a store that
+// loses it.
+func (l *listing) stallWatches(stalled bool) {
 	l.mu.Lock()
-	l.deaf = deaf
-	l.deafTo = l.rev
+	l.stalled = stalled
+	l.stalledAt = l.rev
 	l.mu.Unlock()
-	if !deaf {
-		l.forget()
+	if !stalled {
+		l.dropHistory()
 	}
 }
 
-// setDown takes the listing away from all boxes, or gives it back.
+// setDown makes the listing unavailable for all boxes, or available again.
 func (l *listing) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,23 +114,23 @@
 	l.changed.Tell()
 }
 
-// refuse has a box turned away, or served again.
-func (l *listing) refuse(box string, refused bool) {
+// setRejects has calls of a box rejected, or answered again.
+func (l *listing) setRejects(box string, refused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refuses[box] = refused
+	l.rejects[box] = refused
 	l.changed.Tell()
 }
 
-// isDown says whether the listing is away from all boxes.
+// isDown reports whether the listing is unavailable for all boxes.
 func (l *listing) isDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.down
 }
 
-// called returns how many calls there were.
-func (l *listing) called() int {
+// callCount returns the number of calls.
+func (l *listing) callCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls
@@ -143,14 +143,14 @@
 	return l.replicas[id]
 }
 
-// ids returns the replicas that are listed, in order.
+// ids returns the sorted ids of listed replicas.
 func (l *listing) ids() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Sorted(maps.Keys(l.replicas))
 }
 
-// source returns the listing as a box meets it.
+// source returns the listing as a source for a box.
 func (l *listing) source(box string) catalog.Source {
 	return l.narrowed(box, catalog.Source{
 		First: func(ctx context.Context, goOn func(catalog.Snapshot) error) (catalog.Snapshot, error) {
@@ -175,44 +175,44 @@
 	})
 }
 
-const listedFree = 256 // replicas that a box reads without asking whether to go on
+const unconditionalReplicas = 256 // that a box reads without asking whether to go on
 
-// readPages reads all in as many calls as it takes, and asks between them whether to go on.
+// readPages reads all pages, and asks between them whether to go on.
 func (l *listing) readPages(ctx context.Context, box string, goOn func(catalog.Snapshot) error) (catalog.Snapshot, error) {
 	out, err := l.read(ctx, box)
 	read := out
 	for n := l.page; l.page > 0 && n < len(out.Replicas) && err == nil; n += l.page {
-		if read.Replicas = out.Replicas[:n]; n > listedFree {
+		if read.Replicas = out.Replicas[:n]; n > unconditionalReplicas {
 			if err := goOn(read); err != nil {
 				return read, err
 			}
 		}
-		err = l.begin(ctx, box)
+		err = l.startCall(ctx, box)
 	}
 	return out, err
 }
 
-// begin lets a call of a box take its time, and says whether it is answered.
-func (l *listing) begin(ctx context.Context, box string) error {
-	sleep.For(ctx, listingTakes+l.jitter(mostJitter, "call", box))
+// startCall takes the time of a call and returns an error if it is not answered.
+func (l *listing) startCall(ctx context.Context, box string) error {
+	sleep.For(ctx, listingCallTime+l.jitter(maxJitter, "call", box))
 	if l.way != nil {
 		sleep.For(ctx, l.way(box))
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	return l.answers(box)
+	return l.available(box)
 }
 
-func (l *listing) answers(box string) error {
-	if l.down || l.refuses[box] {
-		return errListingAway
+func (l *listing) available(box string) error {
+	if l.down || l.rejects[box] {
+		return errListingUnavailable
 	}
 	return nil
 }
 
 func (l *listing) read(ctx context.Context, box string) (catalog.Snapshot, error) {
-	if err := l.begin(ctx, box); err != nil {
+	if err := l.startCall(ctx, box); err != nil {
 		return catalog.Snapshot{}, err
 	}
 	l.mu.Lock()
@@ -228,7 +228,7 @@
 }
 
 func (l *listing) newest(ctx context.Context, box string) (int64, error) {
-	if err := l.begin(ctx, box); err != nil {
+	if err := l.startCall(ctx, box); err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
@@ -237,32 +237,32 @@
 }
 
 func (l *listing) wait(ctx context.Context, box string, after int64, wait time.Duration) (changes []catalog.Change, rev int64, err error) {
-	if err := l.begin(ctx, box); err != nil {
+	if err := l.startCall(ctx, box); err != nil {
 		return nil, 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	_ = change.Await(ctx, func() (bool, <-chan struct{}) { // it fails when there was nothing in time
+	_ = change.Await(ctx, func() (bool, <-chan struct{}) { // it fails without a change in time
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		changes, err = l.since(box, after)
 		rev = l.rev
 		return err != nil || len(changes) > 0, l.changed.Next()
 	})
-	sleep.For(ctx, l.jitter(mostJitter, "answer", box)) // those who wait don't hear at one instant
+	sleep.For(ctx, l.jitter(maxJitter, "answer", box)) // spreads the responses to waiting calls
 	return changes, rev, err
 }
 
-// since returns what changed after a revision.
+// since returns the changes after a revision.
 func (l *listing) since(box string, after int64) (changes []catalog.Change, err error) {
-	if err := l.answers(box); err != nil {
+	if err := l.available(box); err != nil {
 		return nil, err
 	}
-	if after < l.forgot {
+	if after < l.compactedTo {
 		return nil, catalog.ErrHistoryGone
 	}
 	for _, c := range l.history {
-		if c.Revision > after && (!l.deaf || c.Revision <= l.deafTo) {
+		if c.Revision > after && (!l.stalled || c.Revision <= l.stalledAt) {
 			changes = append(changes, c)
 		}
 	}
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -15,7 +15,7 @@
 	var changes []poison.Change
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		now := n.now()
-		out = s.poisonPackets(now, n.draw)
+		out = s.gossipPoison(now, n.draw)
 		changes = s.poison.Changes(now)
 		n.suspects.Store(int32(s.poison.Known()))
 	})
@@ -44,8 +44,8 @@
 	n.record(e)
 }
 
-// poisonPackets returns the pending datagrams with poison request records.
-func (s *state) poisonPackets(now time.Duration, rnd func(n int) int) []roster.Packet {
+// gossipPoison returns the pending datagrams with poison request records.
+func (s *state) gossipPoison(now time.Duration, rnd func(n int) int) []roster.Packet {
 	return rosterPackets(s.poison.Due(s.poisonBoxes(now), now, rnd))
 }
 
--- a/node/pull.go
+++ b/node/pull.go
@@ -35,8 +35,8 @@
 	unreported  bool  // the other box has confirmed removals that it has not sent to this one
 }
 
-// copyState returns the state of the local copy relative to another box.
-func (s *state) copyState(from wire.BoxStatus) copyState {
+// compareCopy returns the state of the local copy relative to another box.
+func (s *state) compareCopy(from wire.BoxStatus) copyState {
 	out := copyState{
 		newest:      s.content.Newest(),
 		after:       s.content.Revision(),
@@ -179,8 +179,8 @@
 	}
 }
 
-// confirmRemovals confirms removals whose waiting time is over.
-func (n *Node) confirmRemovals() {
+// settle confirms removals whose waiting time is over.
+func (n *Node) settle() {
 	_ = n.state.Do(func(s *state) { n.recordStateChanges(s.settle(n.now())) }) // it fails only after the box has stopped
 }
 
--- a/node/quota.go
+++ b/node/quota.go
@@ -20,7 +20,7 @@
 	allocatorBackoff    = time.Second            // for which a box that did not answer is skipped
 	allocatorBeats      = 2                      // beats between allocation requests ahead of need
 	demandBeats         = 2                      // beats between demand requests to other regions
-	defaultQuotaWindow  = 8 * time.Second        // if the settings have none
+	defaultWindow       = 8 * time.Second        // if the settings have none
 	overageShare        = 0.2                    // of the allowed overage that is granted, so that counting errors do not reject requests within a quota
 	slackShare          = 0.25                   // of the allowed slack that is granted, for the same reason
 	startupPeriod       = 3 * time.Second        // in which requests wait until the roster is complete
@@ -105,7 +105,7 @@
 
 // quotaWindow returns the window in which quotas are counted.
 func (n *Node) quotaWindow() time.Duration {
-	return cmp.Or(n.settings.Bounds.QuotaWindow, defaultQuotaWindow)
+	return cmp.Or(n.settings.Bounds.QuotaWindow, defaultWindow)
 }
 
 // asker identifies this box to an allocator.
@@ -118,14 +118,14 @@
 
 // grant answers allocation requests as an allocator.
 func (n *Node) grant(from quota.Asker, asks []quota.Ask) []quota.Grant {
-	known := minAllocatorUsers
+	users := minAllocatorUsers
 	if v := n.quotas.view.Load(); v != nil {
-		known = v.users
+		users = v.users
 	}
 	return n.quotas.allocator.Grant(from, asks, quota.Round{
 		Terms:  n.terms,
 		Shares: n.quotas.shares,
-		Known:  known,
+		Known:  users,
 		Draw:   n.jitter,
 	}, n.now())
 }
@@ -148,7 +148,7 @@
 // this box allocates for itself.
 func (n *Node) askAllocators(ctx context.Context, shard int, asks []quota.Ask) []quota.Grant {
 	v := n.quotas.view.Load()
-	if v == nil { // the box has stopped
+	if v == nil { // no roster yet
 		return n.grant(n.asker(), asks)
 	}
 	for _, b := range v.near[shard] {
@@ -222,7 +222,7 @@
 	}
 	var v *allocatorView
 	_ = n.state.Do(func(s *state) { v = s.allocators(n.now()) })
-	if v == nil { // the box has ended
+	if v == nil { // the box has stopped
 		return
 	}
 	n.quotas.view.Store(v)
@@ -242,13 +242,13 @@
 // since allocators count the boxes that call them.
 func (n *Node) prefetchAllocations(ctx context.Context) {
 	for shard := range allocatorShards {
-		due := &n.quotas.asking[shard]
-		if !due.CompareAndSwap(false, true) {
+		asking := &n.quotas.asking[shard]
+		if !asking.CompareAndSwap(false, true) {
 			continue
 		}
 		list := n.quotas.credits.Due(func(organisation string) bool { return shardOf(organisation) == shard })
 		n.tasks.Go(func() {
-			defer due.Store(false)
+			defer asking.Store(false)
 			for _, g := range n.askAllocators(ctx, shard, list) {
 				n.quotas.credits.Granted(g)
 			}
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -13,55 +13,55 @@
 	"github.com/havenrudder/havenrudder/quota"
 )
 
-// The bound on what an organisation uses, with the figures of the users' shifted deployment.
+// The bound on the use of an organisation.
 const (
-	quotaWindow  = 8 * time.Second
-	quotaOverage = 0.25
-	quotaSlack   = 110_000.0
-	quotaSettles = 5 * time.Second // of a start, or of a change of who hears whom, until nothing owed may be refused
-	callEvery    = 20 * time.Millisecond
+	quotaWindow     = 8 * time.Second
+	quotaOverage    = 0.25
+	quotaSlack      = 110_000.0
+	quotaSettleTime = 5 * time.Second // from a start or a change of the topology until requests within a quota must be admitted
+	callEvery       = 20 * time.Millisecond
 )
 
-// organisation is one whose callers send requests of one size.
+// organisation is an organisation whose callers send requests of one size.
 type organisation struct {
 	name   string
-	rate   float64 // of its quota, tokens a second; the burst is a second of it
-	asks   float64 // tokens a second that its callers ask for over all boxes
-	tokens int     // of a request
+	rate   float64 // of its quota, in tokens per second; the burst is that of one second
+	demand float64 // tokens per second over all boxes
+	tokens int     // per request
 	where  func(box, boxes int) bool
 }
 
-// spend is a request that was let through or wasn't.
-type spend struct {
-	at      time.Duration
-	tokens  float64
-	settled bool // boxes know each other, and this one any other
-	taken   bool
-	lost    bool // it was owed and not let through
+// charge is a request that was admitted or rejected.
+type charge struct {
+	at       time.Duration
+	tokens   float64
+	settled  bool // the topology has been stable
+	admitted bool
+	refused  bool // it was within the quota and rejected
 }
 
-// bazaar is an installation whose organisations have quotas. It counts what boxes let through.
-type bazaar struct {
-	*follows
-	t       *testing.T
-	mu      sync.Mutex
-	orgs    []*organisation
-	spends  map[string][]spend
-	started time.Time
-	since   time.Time           // of the last change of who hears whom
-	alone   map[*followBox]bool // boxes that hear no other; their part of a quota may be less than one long request in a window, so nothing is owed there
+// quotaSimulation is a simulation of organisations with quotas that counts admitted requests.
+type quotaSimulation struct {
+	*simulation
+	t        *testing.T
+	mu       sync.Mutex
+	orgs     []*organisation
+	charges  map[string][]charge
+	started  time.Time
+	since    time.Time        // last change of the topology
+	isolated map[*simBox]bool // boxes without a connection to others; their allocation may be less than a long request, so they may reject any
 }
 
-func newBazaar(t *testing.T, seed uint64, boxes int, orgs ...*organisation) *bazaar {
-	f := newFollows(t.Context(), seed, 0)
-	b := &bazaar{
-		follows: f,
-		t:       t,
-		orgs:    orgs,
-		spends:  make(map[string][]spend),
-		started: time.Now(),
-		since:   time.Now(),
-		alone:   make(map[*followBox]bool),
+func newQuotaSimulation(t *testing.T, seed uint64, boxes int, orgs ...*organisation) *quotaSimulation {
+	f := newSimulation(t.Context(), seed, 0)
+	b := &quotaSimulation{
+		simulation: f,
+		t:          t,
+		orgs:       orgs,
+		charges:    make(map[string][]charge),
+		started:    time.Now(),
+		since:      time.Now(),
+		isolated:   make(map[*simBox]bool),
 	}
 	f.listing.policy = b.policy(1)
 	f.populate(boxes, func(s *Settings) {
@@ -70,12 +70,12 @@
 		s.Bounds.QuotaOverage = quotaOverage
 		s.Bounds.QuotaSlack = quotaSlack
 	})
-	time.Sleep(settlesIn)
+	time.Sleep(settleTime)
 	return b
 }
 
-// policy returns the policy with the quotas as they are now.
-func (b *bazaar) policy(version int) *catalog.Policy {
+// policy returns the policy with the current quotas.
+func (b *quotaSimulation) policy(version int) *catalog.Policy {
 	p := policy(version)
 	p.Keyed = true
 	for _, o := range b.orgs {
@@ -91,13 +91,13 @@
 	return p
 }
 
-// call lets callers send for a while.
-func (b *bazaar) call(d time.Duration) {
+// sendFor sends requests of all organisations until d is over.
+func (b *quotaSimulation) sendFor(d time.Duration) {
 	due := make(map[string]float64)
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(callEvery)
 		for _, o := range b.orgs {
-			due[o.name] += o.asks * callEvery.Seconds() / float64(o.tokens)
+			due[o.name] += o.demand * callEvery.Seconds() / float64(o.tokens)
 			for ; due[o.name] >= 1; due[o.name]-- {
 				b.request(o)
 			}
@@ -105,10 +105,10 @@
 	}
 }
 
-// request sends one request to one of the boxes that its organisation uses.
-func (b *bazaar) request(o *organisation) {
+// request sends a request to a random box that its organisation uses.
+func (b *quotaSimulation) request(o *organisation) {
 	var n *Node
-	var box *followBox
+	var box *simBox
 	for _, at := range b.rnd.Perm(len(b.boxes)) {
 		if o.where == nil || o.where(at, len(b.boxes)) {
 			box = b.boxes[at]
@@ -120,110 +120,110 @@
 	if n == nil || n.table.Load() == nil {
 		return
 	}
-	settled := time.Since(b.since) > quotaSettles && !b.alone[box]
+	settled := time.Since(b.since) > quotaSettleTime && !b.isolated[box]
 	go func() {
 		ctx, cancel := context.WithTimeout(b.ctx, time.Second)
 		defer cancel()
 		_, _, ok := n.reserve(ctx, o.name, o.tokens)
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.spends[o.name] = append(b.spends[o.name], spend{
-			at:      time.Since(b.started),
-			tokens:  float64(o.tokens),
-			settled: settled,
-			taken:   ok,
+		b.charges[o.name] = append(b.charges[o.name], charge{
+			at:       time.Since(b.started),
+			tokens:   float64(o.tokens),
+			settled:  settled,
+			admitted: ok,
 		})
 	}()
 }
 
-// figures are what an organisation's callers met.
+// figures are the results of an organisation.
 type figures struct {
-	most    float64 // tokens let through in a window, over the bound
-	limit   float64 // the same over the quota alone
-	refused float64 // share of what was owed that was turned away
+	maxOfBound   float64 // tokens admitted in a window, relative to the bound
+	limit        float64 // the same relative to the quota
+	refusedShare float64 // share of the tokens within the quota that was rejected
 }
 
-// count returns the figures of an organisation. A request is owed while what was let through in the
-// window before it, and what was owed and wasn't, leaves room for it in the quota.
-func (b *bazaar) count(o *organisation) (out figures) {
+// count returns the figures of an organisation. A request is within the quota if the charges admitted in the
+// window before it, and those rejected within the quota, leave capacity for it.
+func (b *quotaSimulation) count(o *organisation) (out figures) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limit := o.rate*quotaWindow.Seconds() + o.rate
 	bound := limit*(1+quotaOverage) + quotaSlack
-	taken, lost, sum, owed, first := 0.0, 0.0, 0.0, 0.0, 0
-	list := b.spends[o.name]
+	admitted, refused, sum, owed, first := 0.0, 0.0, 0.0, 0.0, 0
+	list := b.charges[o.name]
 	for i := range list {
 		s := &list[i]
 		for ; list[first].at < s.at-quotaWindow; first++ {
-			if list[first].taken {
+			if list[first].admitted {
 				sum -= list[first].tokens
 			}
-			if list[first].taken || list[first].lost {
+			if list[first].admitted || list[first].refused {
 				owed -= list[first].tokens
 			}
 		}
-		s.lost = !s.taken && s.settled && owed+s.tokens <= limit
-		if s.taken {
+		s.refused = !s.admitted && s.settled && owed+s.tokens <= limit
+		if s.admitted {
 			sum += s.tokens
-			taken += s.tokens
+			admitted += s.tokens
 		}
-		if s.lost {
-			lost += s.tokens
+		if s.refused {
+			refused += s.tokens
 		}
-		if s.taken || s.lost {
+		if s.admitted || s.refused {
 			owed += s.tokens
 		}
-		out.most = max(out.most, sum/bound)
+		out.maxOfBound = max(out.maxOfBound, sum/bound)
 		out.limit = max(out.limit, sum/limit)
 	}
-	if lost > 0 {
-		out.refused = lost / (lost + taken)
+	if refused > 0 {
+		out.refusedShare = refused / (refused + admitted)
 	}
 	return out
 }
 
-// verdict fails the test where a bound was broken, or too much of what was owed refused.
-func (b *bazaar) verdict(mostRefused float64) {
+// verdict fails the test if a bound was exceeded, or too much within a quota was rejected.
+func (b *quotaSimulation) verdict(mostRefused float64) {
 	b.t.Helper()
 	b.end()
 	for _, o := range b.orgs {
 		got := b.count(o)
-		b.t.Logf("%s: most in a window %.2f of the bound, %.2f of the limit; %.4f of what was owed refused", o.name, got.most, got.limit, got.refused)
-		if got.most > 1 {
-			b.t.Errorf("%s: %.2f of the bound", o.name, got.most)
+		b.t.Logf("%s: at most %.2f of the bound and %.2f of the limit in a window; %.4f of the tokens within the quota rejected", o.name, got.maxOfBound, got.limit, got.refusedShare)
+		if got.maxOfBound > 1 {
+			b.t.Errorf("%s: %.2f of the bound", o.name, got.maxOfBound)
 		}
-		if got.refused > mostRefused {
-			b.t.Errorf("%s: %.4f of what was owed refused, %.4f allowed", o.name, got.refused, mostRefused)
+		if got.refusedShare > mostRefused {
+			b.t.Errorf("%s: %.4f of the tokens within the quota rejected, %.4f allowed", o.name, got.refusedShare, mostRefused)
 		}
 	}
 }
 
-// usual are organisations of the users' shifted deployment: a large, a small and one whose callers
-// are all at one box.
-func usual() []*organisation {
+// typicalOrganisations returns a large, a small and a long-request organisation, and one that uses a single
+// box.
+func typicalOrganisations() []*organisation {
 	return []*organisation{
-		{name: "large", rate: 855_995, asks: 475_000, tokens: 9_390},
-		{name: "small", rate: 29_000, asks: 16_000, tokens: 1_100},
-		{name: "long", rate: 60_000, asks: 30_000, tokens: 9_390},
-		{name: "skewed", rate: 100_000, asks: 55_000, tokens: 1_100, where: func(box, _ int) bool { return box == 4 }},
+		{name: "large", rate: 855_995, demand: 475_000, tokens: 9_390},
+		{name: "small", rate: 29_000, demand: 16_000, tokens: 1_100},
+		{name: "long", rate: 60_000, demand: 30_000, tokens: 9_390},
+		{name: "skewed", rate: 100_000, demand: 55_000, tokens: 1_100, where: func(box, _ int) bool { return box == 4 }},
 	}
 }
 
-// hot multiplies what callers of an organisation ask for.
-func (b *bazaar) hot(name string, x float64) {
+// scaleDemand multiplies the demand of an organisation.
+func (b *quotaSimulation) scaleDemand(name string, x float64) {
 	for _, o := range b.orgs {
 		if o.name == name {
-			o.asks *= x
+			o.demand *= x
 		}
 	}
 }
 
 const (
-	calmRefused    = 0.005 // share of what is owed that may be turned away in the calm
-	troubleRefused = 0.02  // and in trouble
+	calmRefused    = 0.005 // allowed share of rejected tokens within the quota
+	troubleRefused = 0.02  // the same during disruptions
 )
 
-// Callers that ask for less than their quota are refused nothing, wherever they are.
+// Guards against rejections of callers within their quota, whichever boxes they use.
 func TestOrganisationsWithinTheirQuotasAreRefusedNothing(t *testing.T) {
 	t.Parallel()
 	for _, boxes := range []int{9, 60} {
@@ -231,8 +231,8 @@
 			t.Parallel()
 			for seed := range uint64(3) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newBazaar(t, seed, boxes, usual()...)
-					b.call(16 * time.Second)
+					b := newQuotaSimulation(t, seed, boxes, typicalOrganisations()...)
+					b.sendFor(16 * time.Second)
 					b.verdict(calmRefused)
 				})
 			}
@@ -240,85 +240,85 @@
 	}
 }
 
-// Organisations that ask for eight times as much as usual get no more than the bound.
+// Guards against organisations that exceed the bound at eight times their typical demand.
 func TestHotOrganisationsUseNoMoreThanTheBound(t *testing.T) {
-	playQuotas(t, []quotaDay{hotDay}, 1)
+	playQuotas(t, []quotaScenario{overloadScenario}, 1)
 }
 
-// hotDay is a day on which all organisations ask for eight times their usual for a while.
-var hotDay = quotaDay{"all hot", func(b *bazaar) {
+// overloadScenario multiplies the demand of all organisations by eight for a while.
+var overloadScenario = quotaScenario{"all hot", func(b *quotaSimulation) {
 	for _, o := range b.orgs {
-		b.hot(o.name, 8)
+		b.scaleDemand(o.name, 8)
 	}
-	b.call(10 * time.Second)
+	b.sendFor(10 * time.Second)
 	for _, o := range b.orgs {
-		b.hot(o.name, 1.0/8)
+		b.scaleDemand(o.name, 1.0/8)
 	}
-	b.call(6 * time.Second)
+	b.sendFor(6 * time.Second)
 }}
 
-// quotaDay is what may happen while organisations are hot.
-type quotaDay struct {
+// quotaScenario is a disruption during high demand.
+type quotaScenario struct {
 	name string
-	play func(b *bazaar)
+	play func(b *quotaSimulation)
 }
 
-// quotaTrouble leaves each region's boxes one bank.
-var quotaTrouble = []quotaDay{
+// allocatorsReachable leaves the boxes of each region one allocator.
+var allocatorsReachable = []quotaScenario{
 	{"all killed, twice", playAllKilled},
 	{"a region cut off and back", playRegionCut},
 }
 
-// partTrouble leaves a part of a region's boxes without its bank. What they may use of a quota is
-// kept from the others.
-var partTrouble = []quotaDay{
+// allocatorsUnreachable separates some boxes of a region from its allocator. The allocation that they may use
+// is withheld from the others.
+var allocatorsUnreachable = []quotaScenario{
 	{"boxes killed", playKills},
-	{"30% of the boxes cut off, each from all", playLone},
+	{"30% of the boxes cut off, each from all", playIsolated},
 }
 
-func playKills(b *bazaar) {
+func playKills(b *quotaSimulation) {
 	for range 4 {
 		b.restart(b.someBox(), time.Second)
-		b.call(2 * time.Second)
+		b.sendFor(2 * time.Second)
 	}
 }
 
-func playAllKilled(b *bazaar) {
+func playAllKilled(b *quotaSimulation) {
 	for range 2 {
 		for _, box := range b.boxes {
 			b.restart(box, 500*time.Millisecond)
 		}
 		b.since = time.Now()
-		b.call(3 * time.Second)
+		b.sendFor(3 * time.Second)
 	}
 }
 
-func playRegionCut(b *bazaar) {
-	far := func(box *followBox) bool { return box.settings.Region == "region-1" }
-	b.playCut(func(from, to *followBox) bool { return far(from) != far(to) })
+func playRegionCut(b *quotaSimulation) {
+	far := func(box *simBox) bool { return box.settings.Region == "region-1" }
+	b.playCut(func(from, to *simBox) bool { return far(from) != far(to) })
 }
 
-func playLone(b *bazaar) {
+func playIsolated(b *quotaSimulation) {
 	for _, box := range b.boxes {
-		b.alone[box] = b.rnd.Float64() < 0.3
+		b.isolated[box] = b.rnd.Float64() < 0.3
 	}
-	b.playCut(func(from, to *followBox) bool { return b.alone[from] || b.alone[to] })
+	b.playCut(func(from, to *simBox) bool { return b.isolated[from] || b.isolated[to] })
 }
 
-// playCut lets callers send while boxes are cut off, and when they are back.
-func (b *bazaar) playCut(cut func(from, to *followBox) bool) {
+// playCut sends requests during a partition and after it.
+func (b *quotaSimulation) playCut(cut func(from, to *simBox) bool) {
 	b.cut.Store(&cut)
 	b.since = time.Now()
-	b.call(10 * time.Second)
+	b.sendFor(10 * time.Second)
 	b.cut.Store(nil)
-	clear(b.alone)
+	clear(b.isolated)
 	b.since = time.Now()
-	b.call(4 * time.Second)
+	b.sendFor(4 * time.Second)
 }
 
-// playQuotas plays days at several sizes, with a large organisation that asks for four times as
-// much as usual and a small one that asks for eight times.
-func playQuotas(t *testing.T, days []quotaDay, mostRefused float64) {
+// playQuotas runs scenarios at several sizes, with a large organisation at four times its typical demand and a
+// small one at eight times.
+func playQuotas(t *testing.T, days []quotaScenario, mostRefused float64) {
 	t.Parallel()
 	for _, day := range days {
 		for _, boxes := range []int{9, 60} {
@@ -326,11 +326,11 @@
 				t.Parallel()
 				for seed := range uint64(3) {
 					synctest.Test(t, func(t *testing.T) {
-						b := newBazaar(t, seed, boxes, usual()...)
-						b.call(4 * time.Second)
-						if day.name != hotDay.name {
-							b.hot("large", 4)
-							b.hot("small", 8)
+						b := newQuotaSimulation(t, seed, boxes, typicalOrganisations()...)
+						b.sendFor(4 * time.Second)
+						if day.name != overloadScenario.name {
+							b.scaleDemand("large", 4)
+							b.scaleDemand("small", 8)
 						}
 						day.play(b)
 						b.verdict(mostRefused)
@@ -342,20 +342,20 @@
 }
 
 func TestQuotasHoldWhileRegionsAreCutOffOrAllBoxesKilled(t *testing.T) {
-	playQuotas(t, quotaTrouble, 1)
+	playQuotas(t, allocatorsReachable, 1)
 }
 
 func TestQuotasHoldWhileBoxesAreCutOffOrKilled(t *testing.T) {
-	playQuotas(t, partTrouble, 1)
+	playQuotas(t, allocatorsUnreachable, 1)
 }
 
-// Of what lies within the quotas of organisations that ask for more, little is refused.
+// Guards against rejections within the quotas of organisations that ask for more than their quota.
 func TestLittleWithinAQuotaIsRefusedWhileMoreIsAskedFor(t *testing.T) {
-	playQuotas(t, slices.Concat([]quotaDay{hotDay}, quotaTrouble, partTrouble), troubleRefused)
+	playQuotas(t, slices.Concat([]quotaScenario{overloadScenario}, allocatorsReachable, allocatorsUnreachable), troubleRefused)
 }
 
-// The bound is 2 microseconds without an allocation.
-func BenchmarkARequestTakesItsCost(b *testing.B) {
+// BenchmarkQuotaCharge has a bound of 2 microseconds without an allocation.
+func BenchmarkQuotaCharge(b *testing.B) {
 	n := &Node{
 		settings: Settings{
 			Box: "box",
--- a/node/reload_test.go
+++ b/node/reload_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	reads := 0
 	synctest.Test(t, func(t *testing.T) {
-		s, a := startable("box", "127.0.0.1")
+		s, a := runnableBox("box", "127.0.0.1")
 		a.Changed = changed
 		a.Reload = func() (Settings, error) {
 			reads++
--- a/node/removal_test.go
+++ b/node/removal_test.go
@@ -13,20 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// A follower had failed to call the publisher in an outage, and had no reason to call
-// it again for 17 s. What was missing in its next reading it took for entries that may
-// come back: it sent to a replica for seconds after its removal, and other boxes that
-// asked it learned the revision without the removal.
-//
-// In some runs all watchers were lost as a replica was removed, and no follower read for
-// 2.97 s, though each does when what it knows is 1.8 to 3 s old: boxes tell each other how
-// long ago somebody read, and the time on the way was left out, 81 ms between regions.
-// Passed on and back, a reading of before the removal stayed young:
-//
-//	25.0000 - region-2-1 removed
-//	27.9711 box-2-050 asks for the newest: 63
-//	28.2879 box-2-041 asked 10.2.38.1:7001 after 39 told up to 39
-//	box-2-041 sends to region-2-1 3.55s after its removal
+// Guards against a follower that treats entries missing from a read long after an outage as unconfirmed
+// removals, and against reads that appear more recent than they are when boxes exchange their age.
 func TestAReadingLongAfterAnOutageKeepsNoRemovedReplica(t *testing.T) {
 	t.Parallel()
 	for _, run := range []struct {
@@ -34,7 +22,7 @@
 		seed  uint64
 	}{
 		{6, 1},
-		{60, 4},  // lagged 3.55 s as all watchers were lost
+		{60, 4},  // loses all watchers at a removal
 		{300, 2}, // the same
 	} {
 		first := cmp.Or(*firstSeed, run.seed)
@@ -47,7 +35,7 @@
 	}
 }
 
-// A replica that leaves is still listed, so its entry is no doubt; a removal may be one.
+// Guards against late updates of replicas that leave or are removed.
 func TestEachBoxLearnsInTimeThatAReplicaLeavesOrIsRemoved(t *testing.T) {
 	t.Parallel()
 	for _, run := range []struct {
@@ -67,13 +55,12 @@
 	}
 }
 
-// leavingAndRemoved has replicas leave and removes others, in an outage and after it,
-// as boxes restart and as all watchers do.
+// leavingAndRemoved has replicas leave or be removed during an outage, after it, and while boxes restart.
 func leavingAndRemoved(t *testing.T, seed uint64, boxes int) {
-	f := newFollows(t.Context(), seed, boxes)
+	f := newSimulation(t.Context(), seed, boxes)
 	defer f.end()
-	f.pass(settlesIn)
-	f.newFor = 0 // from now on boxes that start know no less than others
+	f.pass(settleTime)
+	f.startGrace = 0 // the bound applies to starting boxes from now on
 	f.turnAway(0.3, 10*time.Second)
 	f.outage(3*time.Second, 4)
 	f.pass(2500 * time.Millisecond)
@@ -89,30 +76,24 @@
 	f.restartWatchers(3 * time.Second)
 	f.leave(6)
 	f.remove(6)
-	f.pass(settlesIn)
+	f.pass(settleTime)
 	f.report(t)
 }
 
-// report fails the test if a box was late.
-func (f *follows) report(t *testing.T) {
+// report fails the test if a bound was violated.
+func (f *simulation) report(t *testing.T) {
 	t.Helper()
-	t.Logf("the longest lag of a removal is %v, %d times a living replica was not listed, %d calls, trace %x", f.worst, f.dropped, f.listing.calls, f.trace.Load())
-	if f.late != "" {
-		t.Fatal(f.late)
+	t.Logf("the longest lag of a removal is %v, %d times a live replica was not listed, %d calls, trace %x", f.maxRemovalLag, f.missingLive, f.listing.calls, f.trace.Load())
+	if f.violation != "" {
+		t.Fatal(f.violation)
 	}
 }
 
-// Entries that lapsed in an outage come back within 2 s of its end. A follower that had
-// one in doubt asked a box that knew no more and then nobody for 300 ms, also none that
-// had heard of the entry, and the doubt was over before:
-//
-//	12.9174 box-1-019 asked 10.1.10.1:7001 after 9 told up to 16 in doubt since 9 for 298
-//	13.2323 box-1-019 asked 10.1.43.1:7001 after 9 told up to 15 gone at 9
-//	13.5712 box-1-019 asked 10.1.55.1:7001 after 16 told up to 17 listed at 17
+// Guards against a removal that is confirmed too early although its entry returns soon after an outage.
 func TestAnEntryThatComesBackAfterAnOutageStaysListed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFollows(t.Context(), 8, 60) // with this seed 81 times a box was seen without one
+		f := newSimulation(t.Context(), 8, 60) // this seed has many entries that expire
 		defer f.end()
 		f.pass(8 * time.Second)
 		f.turnAway(0.3, 15*time.Second)
@@ -122,20 +103,19 @@
 			f.remove(2)
 		}
 		f.report(t)
-		if f.dropped > 0 {
-			t.Fatalf("%d times a living replica was not listed", f.dropped)
+		if f.missingLive > 0 {
+			t.Fatalf("%d times a live replica was not listed", f.missingLive)
 		}
 	})
 }
 
-// A seed that fails shows its cause only if it fails again: with boxes on several threads
-// that met at one instant it did in one run of five.
+// Guards against runs that differ with one seed, so that failures could not be reproduced.
 func TestOneSeedIsOneRun(t *testing.T) {
 	t.Parallel()
 	traces := make(map[uint64]bool)
 	for range 3 {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFollows(t.Context(), 1, 24)
+			f := newSimulation(t.Context(), 1, 24)
 			defer f.end()
 			f.pass(4 * time.Second)
 			f.outage(time.Second, 2)
@@ -151,15 +131,14 @@
 	}
 }
 
-// For a hunt by hand, such as -seeds=200 -run=/300_boxes.
 var (
-	firstSeed = flag.Uint64("seed", 0, "seed of the first run of an installation; 0 for the one that CI runs")
-	seeds     = flag.Uint64("seeds", 1, "seeds that are run, one after the other")
+	firstSeed = flag.Uint64("seed", 0, "first seed of a simulation; 0 for that of CI")
+	seeds     = flag.Uint64("seeds", 1, "number of consecutive seeds")
 )
 
-// longAfterAnOutage removes replicas long after an outage, and as all watchers restart.
+// longAfterAnOutage removes replicas long after an outage, and while all watchers restart.
 func longAfterAnOutage(t *testing.T, seed uint64, boxes int) {
-	f := newFollows(t.Context(), seed, boxes)
+	f := newSimulation(t.Context(), seed, boxes)
 	defer f.end()
 	f.pass(8 * time.Second)
 	f.turnAway(0.3, 15*time.Second)
@@ -171,23 +150,22 @@
 	f.pass(time.Second)
 	f.restartWatchers(3 * time.Second)
 	f.remove(12)
-	f.pass(settlesIn)
+	f.pass(settleTime)
 	f.report(t)
 }
 
 const (
 	fuzzedBoxes   = 100
-	fuzzedActions = 8 // in one run, with the times that pass between them
+	fuzzedActions = 8 // per run, including pauses
 	fuzzedRuns    = "8"
 )
 
-// fewRuns lowers the number of runs that the library draws by default, for each of
-// these takes some seconds.
-func fewRuns(t *testing.T) {
+// limitRuns lowers the default number of runs, each of which takes some seconds.
+func limitRuns(t *testing.T) {
 	const name = "rapid.checks"
 	f := flag.Lookup(name)
 	if f.Value.String() != f.DefValue {
-		return // whoever runs the test has said how many
+		return // set on the command line
 	}
 	if err := flag.Set(name, fuzzedRuns); err != nil {
 		t.Fatal(err)
@@ -201,28 +179,28 @@
 
 func TestNoOutageMakesABoxSendToAReplicaLongAfterItsRemoval(t *testing.T) {
 	t.Parallel()
-	fewRuns(t)
-	worst := time.Duration(0)
+	limitRuns(t)
+	maxRemovalLag := time.Duration(0)
 	rapid.Check(t, func(rt *rapid.T) {
-		var late string
+		var violation string
 		synctest.Test(t, func(t *testing.T) {
-			f := newFollows(t.Context(), rapid.Uint64().Draw(rt, "seed"), fuzzedBoxes)
+			f := newSimulation(t.Context(), rapid.Uint64().Draw(rt, "seed"), fuzzedBoxes)
 			defer f.end()
-			f.pass(settlesIn)
-			f.act(rt)
-			f.pass(settlesIn)
-			worst = max(worst, f.worst)
-			late = f.late
+			f.pass(settleTime)
+			f.disrupt(rt)
+			f.pass(settleTime)
+			maxRemovalLag = max(maxRemovalLag, f.maxRemovalLag)
+			violation = f.violation
 		})
-		if late != "" {
-			rt.Fatal(late)
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
-	t.Logf("the longest lag of a removal is %v", worst)
+	t.Logf("the longest lag of a removal is %v", maxRemovalLag)
 }
 
-// act disrupts the installation at random, and removes replicas between.
-func (f *follows) act(t *rapid.T) {
+// disrupt disrupts the installation at random and removes replicas.
+func (f *simulation) disrupt(t *rapid.T) {
 	down := func() time.Duration {
 		return time.Duration(rapid.IntRange(100, 8000).Draw(t, "ms")) * time.Millisecond
 	}
@@ -231,7 +209,7 @@
 		func() { f.kill(f.someBox()) },
 		func() { f.restartWatchers(down()) },
 		func() { f.turnAway(0.4, down()) },
-		f.listing.forget,
+		f.listing.dropHistory,
 		func() {
 			if !f.listing.isDown() {
 				f.outage(down(), 3)
--- /dev/null
+++ b/node/simulation_test.go
@@ -0,0 +1,430 @@
+package node
+
+import (
+	"context"
+	"encoding/binary"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"log/slog"
+	"maps"
+	"math/rand/v2"
+	"net"
+	"runtime/debug"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/havenrudder/havenrudder/catalog"
+	"github.com/havenrudder/havenrudder/common/cell"
+	"github.com/havenrudder/havenrudder/common/sleep"
+	"github.com/havenrudder/havenrudder/decision"
+	"github.com/havenrudder/havenrudder/meter"
+	"github.com/havenrudder/havenrudder/quota"
+	"github.com/havenrudder/havenrudder/roster"
+)
+
+const (
+	removalBound   = 3500 * time.Millisecond // from publication of a removal until all live boxes apply it: the shortest bound on sending is 4 s
+	settleTime     = 6 * time.Second         // from the start of a box until the bound applies to it
+	checkInterval  = 50 * time.Millisecond
+	maxJitter      = time.Millisecond // of a datagram or call
+	simRegions     = 3
+	gcPercent      = 200 // growth of the heap between collections; 400 takes 1 GB with 300 boxes
+	listedReplicas = 90  // enough that followers poll the revision instead of reading
+)
+
+// simulation runs the boxes of an installation against a listing, with their own tasks, datagrams and
+// calls, but without sockets, in virtual time.
+//
+// A run is determined by its seed, although tasks run on several threads: virtual time advances only when
+// all tasks wait, and no two interacting events happen at the same instant. The harness acts at even
+// nanoseconds; a box starts at an odd one, and each datagram and call takes an even time that derives from
+// the seed, the instant and its endpoints (jitter), not from the order of tasks.
+type simulation struct {
+	ctx            context.Context
+	began          time.Time
+	seed           uint64
+	mu             sync.Mutex
+	waiting        errands       // pending actions
+	sooner         chan struct{} // an earlier action was added
+	trace          atomic.Uint64 // sum of the hashes of all datagrams and responses, independent of their order
+	listing        *listing
+	system         *cell.System
+	rnd            *rand.Rand
+	boxes          []*simBox
+	byAddr         map[string]*simBox
+	seeds          []string
+	listingUpSince time.Time
+	removed        map[string]time.Time // removed and leaving replicas, and since when
+	left           map[string]bool      // those of them that are listed as leaving
+	maxRemovalLag  time.Duration
+	startGrace     time.Duration         // from the start of a box until the bound applies to it
+	lapsing        map[string]bool       // replicas whose entries return after the outage
+	missingLive    int                   // checks in which a live box lacked one of these
+	replaced       int                   // replicas
+	violation      string                // the first violation of a bound
+	links          atomic.Pointer[links] // of the boxes, nil for unlimited ones
+	storied        map[string]string     // last log line about the traced replica, by box
+	cut            atomic.Pointer[func(from, to *simBox) bool]
+
+	connections sync.Map // of connection
+	decoded     sync.Map // decoded catalogs, by the first byte of their encoding
+}
+
+// simBox is a machine and the process on it, if any.
+type simBox struct {
+	settings Settings
+	node     atomic.Pointer[Node] // nil while no process runs
+	stop     context.CancelFunc
+}
+
+func newSimulation(ctx context.Context, seed uint64, boxes int) *simulation {
+	debug.SetGCPercent(gcPercent) // other tests set a lower value
+	var list []catalog.Replica
+	for r := range simRegions {
+		list = append(list, replicas(fmt.Sprint("region-", r), listedReplicas/simRegions)...)
+	}
+	f := &simulation{
+		ctx:            ctx,
+		began:          time.Now(),
+		seed:           seed,
+		startGrace:     settleTime,
+		storied:        make(map[string]string),
+		sooner:         make(chan struct{}, 1),
+		rnd:            rand.New(rand.NewPCG(seed, 2)),
+		byAddr:         make(map[string]*simBox),
+		listingUpSince: time.Now(),
+		removed:        make(map[string]time.Time),
+		left:           make(map[string]bool),
+		lapsing:        make(map[string]bool),
+	}
+	f.listing = newListing(list, f.jitter)
+	f.system = cell.NewSystem(slog.New(slog.DiscardHandler), func(reason any) { panic(reason) }, cell.InPlace())
+	go f.carry()
+	f.populate(boxes, func(*Settings) {})
+	return f
+}
+
+// populate adds machines with modified settings and starts a process on each.
+func (f *simulation) populate(boxes int, change func(*Settings)) {
+	for n := range boxes {
+		region := fmt.Sprint("region-", n%simRegions)
+		b := &simBox{
+			settings: Settings{
+				Box:    fmt.Sprintf("box-%d-%03d", n%simRegions, n),
+				Region: region,
+				Domain: region,
+				IP:     fmt.Sprintf("10.%d.%d.1", n%simRegions, n),
+				Ports:  [2]int{7000, 7001},
+			},
+		}
+		f.boxes = append(f.boxes, b)
+		f.byAddr[net.JoinHostPort(b.settings.IP, "7001")] = b
+		if n < simRegions {
+			f.seeds = append(f.seeds, net.JoinHostPort(b.settings.IP, "7001"))
+		}
+	}
+	for _, b := range f.boxes {
+		b.settings.Seeds = f.seeds
+		change(&b.settings)
+		f.start(b)
+	}
+}
+
+// start starts a process on a machine.
+func (f *simulation) start(b *simBox) {
+	ctx, cancel := context.WithCancel(f.ctx)
+	n := &Node{
+		settings: b.settings,
+		inc:      int(time.Now().UnixMilli()),
+		started:  time.Now(),
+		log:      decision.New(b.settings.Box, io.Discard),
+		meter:    meter.New(),
+		system:   f.system,
+		jitter:   func() float64 { return f.randomFloat("jitter", b.settings.Box) },
+		draw:     rand.New(rand.NewPCG(f.seed, f.hash("draw", b.settings.Box))).IntN, // only used by the task that beats
+	}
+	n.read.Store(-int64(neverRead))
+	n.reads.Store(true)
+	n.state = cell.New(context.WithoutCancel(f.ctx), f.system, "state", newState(n.settings, n.status(), n.now()))
+	n.feed = n.newFeed(f.watched(b.settings.Box, f.listing.source(b.settings.Box)))
+	n.askBox = func(ctx context.Context, addr string, after int64) (catalog.News, error) {
+		news, err := f.askBox(ctx, addr, after)
+		f.tell(b.settings.Box, "asked", addr, "after", after, "received up to", news.Revision, news.Snapshot != nil, aboutIt(news.Changes, news.Doubts), err)
+		return news, err
+	}
+	n.askPolicy = f.askPolicy
+	n.askProof = func(ctx context.Context, addr string) (proofResponse, error) { return f.askProof(ctx, b, addr) }
+	n.quotas = n.newQuotas()
+	n.askBank = func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) {
+		return f.askBank(ctx, b, addr, asks)
+	}
+	n.askDemand = func(ctx context.Context, addr string) (map[string]quota.Use, error) {
+		return f.askDemand(ctx, b, addr)
+	}
+	n.deltas = catalog.NewDeltas()
+	n.fullAnswers = newSnapshotCache()
+	n.policyBucket = newByteBucket(policyRate, policyBurst)
+	n.deliver = func(p roster.Packet) {
+		if b.node.Load() == n { // a killed process sends nothing
+			f.deliver(b, p)
+		}
+	}
+	b.stop = cancel
+	f.tell(b.settings.Box, "starts")
+	b.node.Store(n)
+	n.tasks.Go(func() {
+		sleep.For(ctx, f.jitter(roster.Tick, "start", b.settings.Box))
+		n.tasks.Go(func() { n.feed.Run(ctx) })
+		n.beat(ctx)
+	})
+}
+
+// hash returns a number derived from the seed, the instant and the arguments.
+func (f *simulation) hash(what ...any) uint64 {
+	h := fnv.New64a()
+	buf := binary.BigEndian.AppendUint64(nil, f.seed)
+	buf = binary.BigEndian.AppendUint64(buf, uint64(time.Now().UnixNano()))
+	for _, w := range what {
+		if b, ok := w.([]byte); ok {
+			buf = append(buf, b...)
+			continue
+		}
+		buf = fmt.Append(buf, w, " ")
+	}
+	_, _ = h.Write(buf) // it never fails
+	x := h.Sum64()
+	return rand.New(rand.NewPCG(x, x)).Uint64() // mixes the low bits into all others
+}
+
+// randomFloat returns a number from 0 up to 1 derived from the seed and the instant.
+func (f *simulation) randomFloat(what ...any) float64 {
+	return float64(f.hash(what...)>>11) / (1 << 53)
+}
+
+// jitter returns a duration up to most, ending at an odd nanosecond, derived from the seed and the instant.
+func (f *simulation) jitter(most time.Duration, what ...any) time.Duration {
+	even := 2 * time.Duration(f.hash(what...)%uint64(most/2))
+	return even + time.Duration(1-time.Now().UnixNano()%2)
+}
+
+// addToTrace adds an event to the trace.
+func (f *simulation) addToTrace(what ...any) { f.trace.Add(f.hash(what...)) }
+
+// kill stops the process on a machine at once.
+func (f *simulation) kill(b *simBox) {
+	n := b.node.Swap(nil)
+	if n == nil {
+		return
+	}
+	b.stop()
+	n.tasks.Wait()
+	f.tell(b.settings.Box, "killed")
+}
+
+// restart kills the process on a machine and starts one after down.
+func (f *simulation) restart(b *simBox, down time.Duration) {
+	f.kill(b)
+	f.after(down, func() {
+		if b.node.Load() == nil {
+			f.start(b)
+		}
+	})
+}
+
+// restartWatchers restarts all catalog watchers together.
+func (f *simulation) restartWatchers(down time.Duration) {
+	for _, b := range f.boxes {
+		if n := b.node.Load(); n != nil && !n.follows.Load() {
+			f.restart(b, down)
+		}
+	}
+}
+
+// deliver sends a datagram to another box.
+func (f *simulation) deliver(from *simBox, p roster.Packet) {
+	to, delay := f.byAddr[p.Addr], nearDelay
+	if to == nil || f.partitioned(from, to) {
+		return
+	}
+	if to.settings.Region != from.settings.Region {
+		delay = farDelay
+	}
+	addr := net.JoinHostPort(from.settings.IP, "7001")
+	h := f.hash(from.settings.Box, p.Addr, p.Buf)
+	f.trace.Add(h)
+	f.later(delay+f.jitter(maxJitter, h)+f.links.Load().carry(from, len(p.Buf)), func() {
+		n := to.node.Load()
+		if n == nil {
+			return
+		}
+		if !roster.IsCompact(p.Buf) {
+			if g, err := roster.Decode(p.Buf); err == nil {
+				n.hear(f.ctx, g)
+			}
+			return
+		}
+		if b, err := roster.DecodeCompact(p.Buf); err == nil {
+			n.hearCompact(f.ctx, b, addr)
+		}
+	})
+}
+
+// partitioned reports whether the network between two machines is cut.
+func (f *simulation) partitioned(from, to *simBox) bool {
+	cut := f.cut.Load()
+	return cut != nil && (*cut)(from, to)
+}
+
+// pass advances time and checks all boxes at intervals.
+func (f *simulation) pass(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end) && f.violation == ""; {
+		time.Sleep(checkInterval)
+		f.checkBoxes()
+	}
+}
+
+// checkBoxes records the lag of removals, and boxes that do not list a live replica.
+func (f *simulation) checkBoxes() {
+	f.lookAtStory(f.storied)
+	for _, b := range f.boxes {
+		n := b.node.Load()
+		for id := range f.lapsing {
+			if n != nil && n.now() >= settleTime && strings.HasPrefix(id, b.settings.Region) && !n.lists(id) {
+				f.missingLive++
+				f.tell(b.settings.Box, "lacks the live replica", id)
+			}
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(f.removed)) {
+		at := f.removed[id]
+		lag := min(time.Since(at), time.Since(f.listingUpSince))
+		if lag > settleTime {
+			delete(f.removed, id)
+			delete(f.left, id)
+			continue
+		}
+		if f.listing.isDown() {
+			continue
+		}
+		for _, b := range f.boxes {
+			n := b.node.Load()
+			if n == nil || n.now() < f.startGrace || !n.lists(id) {
+				continue
+			}
+			if lag > f.maxRemovalLag {
+				f.maxRemovalLag = lag
+				f.tell(b.settings.Box, "still lists", id, lag, "after its removal")
+			}
+			if lag > removalBound {
+				f.violation = fmt.Sprintf("%s sends to %s %v after its removal (leaving: %t)", b.settings.Box, id, lag, f.left[id])
+			}
+		}
+	}
+}
+
+// lists reports whether a box would send to a replica.
+func (n *Node) lists(id string) (out bool) {
+	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
+		r := s.view.Get(id)
+		out = r != nil && r.Listed() && !r.Info().Leaving
+	})
+	return out
+}
+
+// outage makes the listing unavailable; some replicas expire meanwhile and most of them return with it.
+func (f *simulation) outage(d time.Duration, lapses int) {
+	f.listing.setDown(true)
+	f.tell("-", "outage begins")
+	var back []catalog.Replica
+	for _, id := range f.someReplicas(lapses) {
+		r := f.listing.get(id)
+		f.listing.drop(id)
+		if f.rnd.IntN(3) > 0 {
+			back = append(back, r)
+			f.lapsing[id] = true
+		} else {
+			f.removed[id] = time.Now()
+		}
+	}
+	f.after(d, func() {
+		f.listing.setDown(false)
+		f.tell("-", "outage ends")
+		f.listingUpSince = time.Now()
+		for _, r := range back {
+			f.after(time.Duration(f.rnd.Int64N(int64(1800*time.Millisecond))), func() {
+				f.listing.put(r)
+				f.after(settleTime, func() { delete(f.lapsing, r.ID) })
+			})
+		}
+	})
+}
+
+// remove removes replicas for good and lists replacements.
+func (f *simulation) remove(count int) {
+	for _, id := range f.someReplicas(count) {
+		r := f.listing.get(id)
+		f.listing.drop(id)
+		f.tell("-", id, "removed")
+		f.removed[id] = time.Now()
+		delete(f.lapsing, id)
+		f.replaceReplica(r)
+	}
+}
+
+// replaceReplica lists a replacement of a replica.
+func (f *simulation) replaceReplica(r catalog.Replica) {
+	f.replaced++
+	r.ID = fmt.Sprint(r.ID, "+", f.replaced)
+	r.Leaving = false
+	f.listing.put(r)
+}
+
+// leave marks replicas as leaving and lists replacements.
+func (f *simulation) leave(count int) {
+	for _, id := range f.someReplicas(count) {
+		r := f.listing.get(id)
+		r.Leaving = true
+		f.listing.put(r)
+		f.tell("-", id, "leaves")
+		f.removed[id] = time.Now()
+		f.left[id] = true
+		delete(f.lapsing, id)
+		f.replaceReplica(r)
+	}
+}
+
+// turnAway has the listing reject a random share of the boxes for a while.
+func (f *simulation) turnAway(share float64, d time.Duration) {
+	for _, b := range f.boxes {
+		if f.rnd.Float64() >= share {
+			continue
+		}
+		f.listing.setRejects(b.settings.Box, true)
+		f.tell(b.settings.Box, "rejected")
+		f.after(d+time.Duration(f.rnd.Int64N(int64(time.Second))), func() {
+			f.listing.setRejects(b.settings.Box, false)
+			f.tell(b.settings.Box, "accepted again")
+		})
+	}
+}
+
+// someReplicas returns random listed replicas.
+func (f *simulation) someReplicas(count int) []string {
+	ids := f.listing.ids()
+	f.rnd.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	return slices.Clone(ids[:min(count, len(ids))])
+}
+
+// someBox returns a random machine.
+func (f *simulation) someBox() *simBox { return f.boxes[f.rnd.IntN(len(f.boxes))] }
+
+// end stops all boxes.
+func (f *simulation) end() {
+	for _, b := range f.boxes {
+		f.kill(b)
+	}
+}
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	starts   = 300              // of boxes, each a chance for tasks to come in another order
-	together = 8                // starts at the same time
-	startsIn = 60 * time.Second // bound of the test; it is never reached when all is well
+	startCount       = 300 // of boxes, to vary the order of tasks
+	concurrentStarts = 8
+	startTestTimeout = 60 * time.Second
 )
 
-// atOnce is a source that answers at once.
-func atOnce(*exchange.Pool, Report) catalog.Source {
+// immediateSource is a source that answers at once.
+func immediateSource(*exchange.Pool, Report) catalog.Source {
 	return catalog.Source{
 		Read: func(context.Context) (catalog.Snapshot, error) {
 			return catalog.Snapshot{
@@ -38,9 +38,8 @@
 	}
 }
 
-// startable returns the settings and the surroundings of a box that may run, with
-// a seed that nobody listens at.
-func startable(name, ip string) (Settings, Adapter) {
+// runnableBox returns the settings and the adapter of a box with a seed that does not answer.
+func runnableBox(name, ip string) (Settings, Adapter) {
 	s := Settings{
 		Box:     name,
 		Region:  "a",
@@ -55,7 +54,7 @@
 	}
 	a := Adapter{
 		Codec:  ingress.Codec{},
-		Source: atOnce,
+		Source: immediateSource,
 		Directory: func(func(host, region string) []string, time.Duration) http.Handler {
 			return http.NotFoundHandler()
 		},
@@ -68,14 +67,14 @@
 
 func TestABoxThatLearnsThePolicyAtOnceStarts(t *testing.T) {
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(t.Context(), startsIn)
+	ctx, cancel := context.WithTimeout(t.Context(), startTestTimeout)
 	defer cancel()
-	for range starts / together {
+	for range startCount / concurrentStarts {
 		var group sync.WaitGroup
-		for n := range together {
+		for n := range concurrentStarts {
 			group.Go(func() {
-				s, a := startable(fmt.Sprint("box-", n), fmt.Sprintf("127.0.0.%d", 2+n))
-				b, err := New(s, a) // its ports are 0, so any free ones
+				s, a := runnableBox(fmt.Sprint("box-", n), fmt.Sprintf("127.0.0.%d", 2+n))
+				b, err := New(s, a) // with ephemeral ports
 				is.NoErr(err)
 				ctx, end := context.WithCancel(ctx)
 				defer end()
--- a/node/storm_test.go
+++ b/node/storm_test.go
@@ -70,7 +70,7 @@
 func TestAPolicyIsAskedOfOtherRegionsWhereAllOfTheOwnFailed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFollows(t.Context(), 1, fewBusy)
+		f := newSimulation(t.Context(), 1, churnBoxes)
 		defer f.end()
 		f.pass(8 * time.Second)
 		n := f.boxes[0].node.Load()
--- a/node/story_test.go
+++ b/node/story_test.go
@@ -16,14 +16,14 @@
 var story = flag.String("story", "", "id of a replica whose way through the boxes is printed")
 
 // tell prints what happens to the replica whose story is asked for.
-func (f *follows) tell(box string, what ...any) {
+func (f *simulation) tell(box string, what ...any) {
 	if *story != "" {
 		fmt.Fprintf(os.Stderr, "%9.4f %s %s", time.Since(f.began).Seconds(), box, fmt.Sprintln(what...))
 	}
 }
 
 // watched returns a source whose answers are told.
-func (f *follows) watched(box string, s catalog.Source) catalog.Source {
+func (f *simulation) watched(box string, s catalog.Source) catalog.Source {
 	if *story == "" {
 		return s
 	}
@@ -67,7 +67,7 @@
 }
 
 // lookAtStory tells which boxes of the replica's region began or ceased to list it.
-func (f *follows) lookAtStory(was map[string]string) {
+func (f *simulation) lookAtStory(was map[string]string) {
 	if *story == "" {
 		return
 	}
