--- a/node/coldstart_fuzz_test.go
+++ b/node/coldstart_fuzz_test.go
@@ -106,7 +106,7 @@
 		complete += len(o.in.machines)
 	})
 	t.Logf("%d requests to cold replicas, %d boxes with a complete roster", sends, complete)
-	if sends < complete { // otherwise cold replicas were hardly used
+	if sends < complete { // cold replicas must be used
 		t.Fatal("hardly anything was sent")
 	}
 }
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -139,7 +139,7 @@
 	b := newBox("self", "a", 2)
 	watcher := newBox("near", "a", 2)
 	says := func() wire.BoxStatus { return watcher.says(start).From }
-	is.True(!b.hasUnreportedRemovals(says()))
+	is.True(!b.unreportedRemovals(says()))
 	watcher.take(catalog.Update{ // soon after an outage, in which entries may have expired
 		Revision: 1,
 		Changes: []catalog.Change{{
@@ -147,15 +147,15 @@
 			Gone:     "a-1",
 		}},
 	}, start)
-	is.True(!b.hasUnreportedRemovals(says()))
+	is.True(!b.unreportedRemovals(says()))
 	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the same revision
 	is.Equal(says().Catalog, b.says(start).From.Catalog)
-	is.True(b.hasUnreportedRemovals(says()))
+	is.True(b.unreportedRemovals(says()))
 	b.take(watcher.content.Since(b.content.Revision()).Update(), start)
 	b.recordReportedRemovals(says())
 	is.Equal(len(b.content.Replicas()), 1)
-	is.True(!b.hasUnreportedRemovals(says()))
+	is.True(!b.unreportedRemovals(says()))
 	again := says()
 	again.Inc++ // a new incarnation has confirmed removals of its own
-	is.True(b.hasUnreportedRemovals(again))
+	is.True(b.unreportedRemovals(again))
 }
--- a/node/largefleet_test.go
+++ b/node/largefleet_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkEngineSelection measures the selection of engines to probe.
+// BenchmarkEngineSelection measures the selection of engines to query for their load.
 func BenchmarkEngineSelection(b *testing.B) {
 	box := fleetBox(584)
 	box.saysAll(8)
--- a/node/largepolicy_test.go
+++ b/node/largepolicy_test.go
@@ -17,7 +17,7 @@
 	emptyUpdateDelay = 1500 * time.Millisecond // until a version without a difference follows
 	rolesSettleTime  = 12 * time.Second        // from a start until no follower waits for a watch of its own
 	replaceInterval  = 500 * time.Millisecond  // between replacements of a replica
-	leavingPerRegion = 3                       // leaving replicas, and since when
+	leavingPerRegion = 3                       // replicas of a region that leave at once
 	maxPoliciesSent  = 2                       // bytes that a box sends in total, as a multiple of the last policy
 )
 
@@ -25,7 +25,7 @@
 type policyChurn struct {
 	*simulation
 	t             *testing.T
-	leaving       map[string]time.Time // replicas that have said so
+	leaving       map[string]time.Time // leaving replicas, and since when
 	version       int                  // of the last policy
 	at            time.Time            // when it was published
 	maxPolicyLag  time.Duration        // longest time from publication until all boxes applied a policy
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestAKeyThatIsNotKnownIsNoneOnlyWhileTheKeysAreCurrent(t *testing.T) {
+func TestUnknownKeysAreRejectedOnlyWhileKeysAreCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := newKeyring(t, 1, 9)
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -32,8 +32,8 @@
 	rejects     map[string]bool // boxes
 	changed     change.Signal
 	calls       int
-	stalledAt   int64                                               // watches receive no changes
-	stalled     bool                                                // changes are made that no watch hears of
+	stalledAt   int64                                               // last revision that watches receive while they are stalled
+	stalled     bool                                                // watches receive no changes
 	page        int                                                 // replicas per page; 0 for no limit
 	way         func(box string) time.Duration                      // round trip of a call of a box; nil for none
 	ways        atomic.Pointer[ways]                                // to the boxes, nil for unlimited ones
--- a/node/pull.go
+++ b/node/pull.go
@@ -28,20 +28,20 @@
 
 // copyState is the state of the local catalog copy relative to another box.
 type copyState struct {
-	newest      int64 // newest revision that was applied
-	after       int64 // revision after which changes are requested
-	unconfirmed bool  // some removals are unconfirmed
-	policy      int   // version
-	unreported  bool  // the other box has confirmed removals that it has not sent to this one
+	newest             int64 // newest revision that was applied
+	after              int64 // revision after which changes are requested
+	unconfirmed        bool  // some removals are unconfirmed
+	policy             int   // version
+	unreportedRemovals bool  // the other box has confirmed removals that it has not sent to this one
 }
 
 // compareCopy returns the state of the local copy relative to another box.
 func (s *state) compareCopy(from wire.BoxStatus) copyState {
 	out := copyState{
-		newest:      s.content.Newest(),
-		after:       s.content.Revision(),
-		unconfirmed: s.content.Doubtful(),
-		unreported:  s.hasUnreportedRemovals(from),
+		newest:             s.content.Newest(),
+		after:              s.content.Revision(),
+		unconfirmed:        s.content.Doubtful(),
+		unreportedRemovals: s.unreportedRemovals(from),
 	}
 	if s.table != nil {
 		out.policy = s.table.Version()
@@ -59,7 +59,7 @@
 	if (near || !n.storeOK.Load()) && int64(from.Catalog) > has.newest {
 		return true
 	}
-	return near && (has.unreported || has.unconfirmed) && n.now() >= time.Duration(n.doubtAsk.Load())
+	return near && (has.unreportedRemovals || has.unconfirmed) && n.now() >= time.Duration(n.doubtAsk.Load())
 }
 
 // confirmedRemovals is the number of confirmed removals that an incarnation of a box has sent.
@@ -68,9 +68,9 @@
 	found int
 }
 
-// hasUnreportedRemovals reports whether another box has confirmed removals that it has not sent to this
+// unreportedRemovals reports whether another box has confirmed removals that it has not sent to this
 // one. Its revision does not show that, as this box may have received that revision earlier.
-func (s *state) hasUnreportedRemovals(from wire.BoxStatus) bool {
+func (s *state) unreportedRemovals(from wire.BoxStatus) bool {
 	told := s.lapses[from.Box]
 	return from.Lapses > 0 && (told.inc != from.Inc || told.found < from.Lapses)
 }
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -62,12 +62,12 @@
 	left           map[string]bool      // those of them that are listed as leaving
 	maxRemovalLag  time.Duration
 	startGrace     time.Duration         // from the start of a box until the bound applies to it
-	lapsing        map[string]bool       // replicas whose entries return after the outage
+	expiring       map[string]bool       // replicas whose entries return after the outage
 	missingLive    int                   // checks in which a live box lacked one of these
 	replaced       int                   // replicas
 	violation      string                // the first violation of a bound
 	links          atomic.Pointer[links] // of the boxes, nil for unlimited ones
-	storied        map[string]string     // last log line about the traced replica, by box
+	lastTraceLine  map[string]string     // last log line about the traced replica, by box
 	cut            atomic.Pointer[func(from, to *simBox) bool]
 
 	connections sync.Map // of connection
@@ -92,14 +92,14 @@
 		began:          time.Now(),
 		seed:           seed,
 		startGrace:     settleTime,
-		storied:        make(map[string]string),
+		lastTraceLine:  make(map[string]string),
 		sooner:         make(chan struct{}, 1),
 		rnd:            rand.New(rand.NewPCG(seed, 2)),
 		byAddr:         make(map[string]*simBox),
 		listingUpSince: time.Now(),
 		removed:        make(map[string]time.Time),
 		left:           make(map[string]bool),
-		lapsing:        make(map[string]bool),
+		expiring:       make(map[string]bool),
 	}
 	f.listing = newListing(list, f.jitter)
 	f.system = cell.NewSystem(slog.New(slog.DiscardHandler), func(reason any) { panic(reason) }, cell.InPlace())
@@ -289,10 +289,10 @@
 
 // checkBoxes records the lag of removals, and boxes that do not list a live replica.
 func (f *simulation) checkBoxes() {
-	f.lookAtStory(f.storied)
+	f.lookAtStory(f.lastTraceLine)
 	for _, b := range f.boxes {
 		n := b.node.Load()
-		for id := range f.lapsing {
+		for id := range f.expiring {
 			if n != nil && n.now() >= settleTime && strings.HasPrefix(id, b.settings.Region) && !n.lists(id) {
 				f.missingLive++
 				f.tell(b.settings.Box, "lacks the live replica", id)
@@ -345,7 +345,7 @@
 		f.listing.drop(id)
 		if f.rnd.IntN(3) > 0 {
 			back = append(back, r)
-			f.lapsing[id] = true
+			f.expiring[id] = true
 		} else {
 			f.removed[id] = time.Now()
 		}
@@ -357,7 +357,7 @@
 		for _, r := range back {
 			f.after(time.Duration(f.rnd.Int64N(int64(1800*time.Millisecond))), func() {
 				f.listing.put(r)
-				f.after(settleTime, func() { delete(f.lapsing, r.ID) })
+				f.after(settleTime, func() { delete(f.expiring, r.ID) })
 			})
 		}
 	})
@@ -370,7 +370,7 @@
 		f.listing.drop(id)
 		f.tell("-", id, "removed")
 		f.removed[id] = time.Now()
-		delete(f.lapsing, id)
+		delete(f.expiring, id)
 		f.replaceReplica(r)
 	}
 }
@@ -392,7 +392,7 @@
 		f.tell("-", id, "leaves")
 		f.removed[id] = time.Now()
 		f.left[id] = true
-		delete(f.lapsing, id)
+		delete(f.expiring, id)
 		f.replaceReplica(r)
 	}
 }
