--- a/node/lease.go
+++ b/node/lease.go
@@ -153,14 +153,14 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	clock.Check()
-	left := n.now()
+	sentAt := n.now()
 	p, err := n.askProof(ctx, from.Peers)
 	if err != nil || !p.Known || p.AgeMs < 0 {
 		return // other boxes follow, and the end of the lease is logged
 	}
 	n.lease.Prove(lease.Proof{
 		Version: p.Version,
-		At:      left - time.Duration(p.AgeMs)*time.Millisecond,
+		At:      sentAt - time.Duration(p.AgeMs)*time.Millisecond,
 	})
 }
 
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -183,7 +183,7 @@
 		k.revoke(keyCount, 100*time.Millisecond)
 		k.watch(8*time.Second, anyBox)
 	}},
-	{"some boxes turned away by the publisher", func(k *keyring) {
+	{"some boxes rejected by the publisher", func(k *keyring) {
 		k.watch(8*time.Second, anyBox)
 		k.turnAway(0.35, 9*time.Second)
 		k.listing.setRejects(k.boxes[0].settings.Box, false) // one of them reaches the publisher
@@ -193,7 +193,7 @@
 		k.revoke(4, 100*time.Millisecond)
 		k.watch(12*time.Second, anyBox)
 	}},
-	{"the publisher away", func(k *keyring) {
+	{"publisher down", func(k *keyring) {
 		k.watch(8*time.Second, anyBox)
 		k.listing.setDown(true)
 		k.revoke(4, 100*time.Millisecond)
@@ -235,7 +235,7 @@
 		k.topologyChanged()
 		k.watch(9*time.Second, anyBox)
 	}},
-	{"a publisher that loses its history while no watch hears of changes", func(k *keyring) {
+	{"publisher loses its history while watches are stalled", func(k *keyring) {
 		k.watch(8*time.Second, anyBox)
 		for range 4 {
 			k.listing.stallWatches(true)
@@ -293,7 +293,7 @@
 // Guards against a box that loses the lease although other boxes reach the publisher, at one more seed.
 func TestABoxThatIsTurnedAwayHoldsTheLeaseByOthersAtAnotherSeed(t *testing.T) {
 	for _, day := range keyScenarios {
-		if day.name != "some boxes turned away by the publisher" {
+		if day.name != "some boxes rejected by the publisher" {
 			continue
 		}
 		synctest.Test(t, func(t *testing.T) {
--- a/node/pull.go
+++ b/node/pull.go
@@ -94,7 +94,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	left := n.now()
+	sentAt := n.now()
 	news, err := n.askBox(ctx, from.Peers, after)
 	if err != nil {
 		n.record(decision.Event{
@@ -118,7 +118,7 @@
 	})
 	n.feed.Learned(news.Revision, replicas)
 	if news.Read > 0 {
-		n.confirmAt(left - news.Read.Duration()) // the response was made later
+		n.confirmAt(sentAt - news.Read.Duration()) // the response was made later
 	}
 	return false
 }
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -246,7 +246,7 @@
 }
 
 // overloadScenario multiplies the demand of all organisations by eight for a while.
-var overloadScenario = quotaScenario{"all hot", func(b *quotaSimulation) {
+var overloadScenario = quotaScenario{"all overloaded", func(b *quotaSimulation) {
 	for _, o := range b.orgs {
 		b.scaleDemand(o.name, 8)
 	}
@@ -273,7 +273,7 @@
 // is withheld from the others.
 var allocatorsUnreachable = []quotaScenario{
 	{"boxes killed", playKills},
-	{"30% of the boxes cut off, each from all", playIsolated},
+	{"30% of the boxes isolated", playIsolated},
 }
 
 func playKills(b *quotaSimulation) {
--- a/node/quotaallocators.go
+++ b/node/quotaallocators.go
@@ -65,7 +65,7 @@
 
 // collectRegionDemand collects the demand of a region, and reports whether all its allocators answered.
 func (n *Node) collectRegionDemand(ctx context.Context, region string, v *allocatorView) bool {
-	left := n.now()
+	sentAt := n.now()
 	var mu sync.Mutex
 	all := make(map[string]quota.Use)
 	var failed atomic.Bool
@@ -86,7 +86,7 @@
 	if failed.Load() {
 		return false // the share of the region stays until the next round
 	}
-	n.quotas.shares.Hear(region, all, left)
+	n.quotas.shares.Hear(region, all, sentAt)
 	return true
 }
 
