--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -16,15 +16,15 @@
 func TestBoxesOfASmallRegionAllWatch(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	for n := range allWatchers {
+	for n := range maxSelfWatching {
 		r := b.role(start)
 		is.True(!r.follows)
-		is.True(!r.tells)
+		is.True(!r.sharesAge)
 		b.receiveStatus(status(fmt.Sprint("box-", n), "a"), start)
-		b.receiveStatus(status(fmt.Sprint("far-", n), "b"), start) // of no matter
+		b.receiveStatus(status(fmt.Sprint("far-", n), "b"), start) // other regions do not count
 	}
-	is.True(b.role(start).tells)
-	is.True(!b.role(start + time.Minute).tells) // the others are dead
+	is.True(b.role(start).sharesAge)
+	is.True(!b.role(start + time.Minute).sharesAge) // the others are dead
 }
 
 func TestAFewBoxesOfALargeRegionWatchForTheOthers(t *testing.T) {
@@ -45,10 +45,10 @@
 			watching++
 		}
 	}
-	is.Equal(watching, watchers)
+	is.Equal(watching, watchersPerRegion)
 }
 
-func TestTheWordOfAnotherBoxCountsWhereItKnowsNoMore(t *testing.T) {
+func TestAReportedReadConfirmsAnEqualOrOlderRevision(t *testing.T) {
 	is := is.New(t)
 	n := &Node{
 		started: time.Now().Add(-time.Minute),
@@ -61,16 +61,16 @@
 		n.confirm(from, 7, 0)
 		return n.catalogAge().Round(time.Second)
 	}
-	is.Equal(says(7, 0), 50*time.Second)     // it says nothing
-	is.Equal(says(8, 1000), 50*time.Second)  // it knows something newer, which is asked for
-	is.Equal(says(7, 55000), 50*time.Second) // older than what is known
+	is.Equal(says(7, 0), 50*time.Second)     // no read reported
+	is.Equal(says(8, 1000), 50*time.Second)  // the other box has a newer revision, which is requested
+	is.Equal(says(7, 55000), 50*time.Second) // older than the recorded read
 	is.Equal(says(7, 3000), 3*time.Second)
-	is.Equal(says(6, 1000), time.Second) // it has read, and there was less
+	is.Equal(says(6, 1000), time.Second) // read at an earlier revision
 	is.Equal(says(7, 9000), time.Second)
 }
 
-// A reading that two boxes of different regions told each other stayed as old as it was,
-// for each left out the 81 ms on the way.
+// Guards against an age of a read that omits the delay of datagrams and thus stays constant while boxes
+// exchange it.
 func TestAReadingGetsNoYoungerOnItsWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -96,7 +96,7 @@
 		for i := range 20 {
 			from, to := pair[i%2], pair[(i+1)%2]
 			s := status(from.settings.Box, from.settings.Region)
-			s.ReadMs = from.readMs()
+			s.ReadMs = from.sharedReadMs()
 			time.Sleep(farDelay)
 			to.confirm(s, 0, 0)
 			is.True(to.catalogAge() >= time.Since(read))
@@ -104,19 +104,13 @@
 	})
 }
 
-// After an outage each box of a large region tells of replicas that it found gone, and a
-// follower asked one after the other, with 300 ms between two. It passed over those that
-// told a newer revision meanwhile, and learned it 1.9 s after the first of its region:
-//
-//	25.9968 box-0-126 reads all: 63
-//	26.8768 box-0-171 asked 10.0.69.1:7001 after 39 told up to 39
-//	27.7808 box-0-171 asks for the newest: 63
+// Guards against a request for confirmed removals that delays a request for a newer revision.
 func TestAQuestionThatBringsNoRevisionHoldsUpNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFollows(t.Context(), 1, 6)
+		f := newSimulation(t.Context(), 1, 6)
 		defer f.end()
-		f.pass(settlesIn)
+		f.pass(settleTime)
 		n := f.boxes[0].node.Load()
 		n.isFollower.Store(true)
 		var asked []string
@@ -145,23 +139,23 @@
 	b := newBox("self", "a", 2)
 	watcher := newBox("near", "a", 2)
 	says := func() wire.BoxStatus { return watcher.message(start).From }
-	is.True(!b.untold(says()))
-	watcher.applyUpdate(catalog.Update{ // just after an outage, in which entries may have lapsed
+	is.True(!b.unreportedRemovals(says()))
+	watcher.applyUpdate(catalog.Update{ // soon after an outage, in which entries may have expired
 		Revision: 1,
 		Changes: []catalog.Change{{
 			Revision: 1,
 			Gone:     "a-1",
 		}},
 	}, start)
-	is.True(!b.untold(says()))
-	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the revision that both know
+	is.True(!b.unreportedRemovals(says()))
+	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the same revision
 	is.Equal(says().Catalog, b.message(start).From.Catalog)
-	is.True(b.untold(says()))
+	is.True(b.unreportedRemovals(says()))
 	b.applyUpdate(watcher.content.Since(b.content.Revision()).Update(), start)
-	b.toldLapses(says())
+	b.recordReportedRemovals(says())
 	is.Equal(len(b.content.Replicas()), 1)
-	is.True(!b.untold(says()))
+	is.True(!b.unreportedRemovals(says()))
 	again := says()
-	again.Inc++ // another process has found some of its own
-	is.True(b.untold(again))
+	again.Inc++ // a new incarnation has confirmed removals of its own
+	is.True(b.unreportedRemovals(again))
 }
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -20,7 +20,7 @@
 		link := roster.NewLink(conn,
 			func(g wire.Gossip, _ net.Addr) { n.receive(ctx, g) },
 			roster.WithCompact(func(b roster.Compact, from net.Addr) { n.receiveCompact(ctx, b, from.String()) }),
-			roster.WithOther(poison.Mark, func(buf []byte, from net.Addr) { n.hearPoison(buf, from.String()) }))
+			roster.WithOther(poison.Mark, func(buf []byte, from net.Addr) { n.receivePoison(buf, from.String()) }))
 		n.links = append(n.links, link)
 	}
 	for _, link := range n.links { // after all are created, since an answer to a message uses the first
@@ -46,15 +46,15 @@
 		n.recordSuspension()
 		n.sendHeartbeats()
 		n.settle()
-		n.unlistedEnds()
-		n.tellPoison()
+		n.recordUnlistedCrashes()
+		n.gossipPoison()
 		n.chooseRole()
-		n.seekCatalog(ctx)
-		n.seekPolicy(ctx)
-		n.readMissingPolicy()
-		n.seekProof(ctx)
-		n.keepQuotas(ctx)
-		n.watchLease()
+		n.requestSnapshot(ctx)
+		n.fetchMissingPolicy(ctx)
+		n.rereadMissingPolicy()
+		n.requestProofs(ctx)
+		n.maintainQuotas(ctx)
+		n.recordLeaseChange()
 		n.watchMembers()
 		n.watchRegion()
 		n.watchDomains()
@@ -123,7 +123,7 @@
 
 func (n *Node) ownStatus(s *state) wire.BoxStatus {
 	out := s.fillStatus(n.status(), n.now())
-	out.ReadMs = n.readMs()
+	out.ReadMs = n.sharedReadMs()
 	out.UpMs = int(n.now().Milliseconds())
 	if n.closed.Load() {
 		out.Callers = ""
@@ -164,15 +164,15 @@
 	var has copyState
 	var waited time.Duration
 	_ = n.state.Do(func(s *state) {
-		has = s.holds(from)
+		has = s.compareCopy(from)
 		waited = s.roster.Waited(from, n.now())
 	})
 	n.confirm(from, has.newest, waited)
 	if from.Policy > has.policy {
-		n.seekPolicy(ctx)
+		n.fetchMissingPolicy(ctx)
 	}
 	switch {
-	case from.Peers != "" && n.pulls(from, has):
+	case from.Peers != "" && n.shouldPull(from, has):
 		n.startPull(ctx, from, has)
 	case n.isFollower.Load(): // boxes of its region will send it
 	default:
@@ -189,14 +189,14 @@
 	n.tasks.Go(func() {
 		defer n.pulling.Store(false)
 		if n.pull(ctx, from, has.after) {
-			sleep.For(ctx, busyPause) // another box may have it by then
+			sleep.For(ctx, busyRetryInterval) // another box may have it by then
 			return
 		}
 		if n.table.Load() != nil && int64(from.Catalog) <= has.newest {
-			n.nextRemovalPull.Store(int64(n.now() + pullPause))
+			n.nextRemovalPull.Store(int64(n.now() + pullInterval))
 			return
 		}
-		sleep.For(ctx, pullPause)
+		sleep.For(ctx, pullInterval)
 	})
 }
 
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -19,26 +19,26 @@
 type links struct {
 	mu      sync.Mutex
 	rate    float64 // bytes per second
-	free    map[*followBox]time.Time
-	sent    map[*followBox]int // bytes of answers
-	answers map[*followBox]int
-	open    map[*followBox]int // answers that are being sent
-	maxOpen int                // maximum of these at one box
-	longest time.Duration      // maximum delay of a message, by its own bytes and those before it
+	free    map[*simBox]time.Time
+	sent    map[*simBox]int // bytes of answers
+	answers map[*simBox]int
+	open    map[*simBox]int // answers that are being sent
+	maxOpen int             // maximum of these at one box
+	longest time.Duration   // maximum delay of a message, by its own bytes and those before it
 }
 
 func newLinks(rate float64) *links {
 	return &links{
 		rate:    rate,
-		free:    make(map[*followBox]time.Time),
-		sent:    make(map[*followBox]int),
-		answers: make(map[*followBox]int),
-		open:    make(map[*followBox]int),
+		free:    make(map[*simBox]time.Time),
+		sent:    make(map[*simBox]int),
+		answers: make(map[*simBox]int),
+		open:    make(map[*simBox]int),
 	}
 }
 
 // transmit returns the time in which a box sends a number of bytes after those in its queue.
-func (l *links) transmit(from *followBox, bytes int) time.Duration {
+func (l *links) transmit(from *simBox, bytes int) time.Duration {
 	if l == nil {
 		return 0
 	}
@@ -57,7 +57,7 @@
 
 // answer sends an answer of a box. It returns when ctx is done, but the bytes are still sent,
 // since the box doesn't learn that the requester gave up.
-func (l *links) answer(ctx context.Context, from *followBox, bytes int) {
+func (l *links) answer(ctx context.Context, from *simBox, bytes int) {
 	if l == nil {
 		return
 	}
@@ -251,12 +251,12 @@
 }
 
 // fetchPolicy fetches the policy of a box, as over a connection.
-func (f *follows) fetchPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
+func (f *simulation) fetchPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay)
 	if err != nil {
 		return news, err
 	}
-	news, err = n.givePolicy(have)
+	news, err = n.servePolicy(have)
 	f.links.Load().answer(ctx, b, len(news.Compressed)*4/3)
 	return news, errors.CombineErrors(err, ctx.Err())
 }
--- a/node/node.go
+++ b/node/node.go
@@ -79,17 +79,17 @@
 	feed            *catalog.Feed
 
 	deltas         *catalog.Deltas
-	lease          lease.Lease                                                 // on keys, renewed while the policy is confirmed as the newest
-	proofs         proofSeeker                                                 // fetches freshness proofs for the lease
-	fetchProof     func(ctx context.Context, addr string) (proofAnswer, error) // fetches a freshness proof from another box; replaced in tests
+	lease          lease.Lease                                                   // on keys, renewed while the policy is confirmed as the newest
+	proofs         proofRequests                                                 // fetches freshness proofs for the lease
+	fetchProof     func(ctx context.Context, addr string) (proofResponse, error) // fetches a freshness proof from another box; replaced in tests
 	quotas         *quotas
 	requestCredit  func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // requests credit from a quota allocator; replaced in tests
 	fetchDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // fetches the demand of another region from its allocator; replaced in tests
-	fullAnswers    *fullAnswers
-	policyBucket   *byteBucket  // limits the policies that this box sends to others
-	fetchingPolicy atomic.Bool  // a policy is being fetched from another box; its setter owns seeker
-	seeker         policySeeker // sources of a missing policy
-	ownReading     ownReading   // when to read a missing policy from the platform; owned by the heartbeat task
+	fullAnswers    *snapshotCache
+	policyBucket   *byteBucket   // limits the policies that this box sends to others
+	fetchingPolicy atomic.Bool   // a policy is being fetched from another box; its setter owns seeker
+	seeker         policySources // sources of a missing policy
+	ownReading     ownReadTimer  // when to read a missing policy from the platform; owned by the heartbeat task
 
 	tasks          sync.WaitGroup
 	reloadRequests chan struct{} // signals a reload of the settings
@@ -124,7 +124,7 @@
 		jitter:         rand.Float64,
 
 		deltas:       catalog.NewDeltas(),
-		fullAnswers:  newFullAnswers(),
+		fullAnswers:  newSnapshotCache(),
 		policyBucket: newByteBucket(policyRate, policyBurst),
 	}
 	n.quotas = n.newQuotas()
@@ -207,30 +207,30 @@
 	n.boxPool = exchange.NewPool(exchange.WithIdleTime(boxIdleTimeout))
 	n.storePool = exchange.NewPool()
 	dialer := exchange.NewDialer()
-	dialer.Timeout = peerDial
+	dialer.Timeout = peerDialTimeout
 	n.peers = peer.NewPool(ctx, dialer.DialContext, func(peer.Method, int) {})
 	n.bulkPeers = peer.NewPool(ctx, dialer.DialContext, func(peer.Method, int) {})
-	n.fetchChanges = n.callBox
-	n.fetchPolicy = n.callForPolicy
-	n.fetchProof = n.callForProof
-	n.requestCredit = n.callBank
-	n.fetchDemand = n.callForDemand
+	n.fetchChanges = n.callCatalog
+	n.fetchPolicy = n.callPolicy
+	n.fetchProof = n.callProof
+	n.requestCredit = n.callAllocator
+	n.fetchDemand = n.callDemand
 	n.sendPacket = func(p roster.Packet) { _ = n.links[0].Post(p) } // a lost datagram is superseded by the next one
 	n.feed = n.newFeed(n.adapter.Source(n.storePool, Report{
 		Call:    n.meter.StoreCall,
-		Bad:     n.badValue,
-		Foreign: n.foreignEntry,
+		Bad:     n.recordBadValue,
+		Foreign: n.recordForeignEntry,
 	}))
 }
 
 // newFeed returns a feed that keeps the copy of the catalog current.
 func (n *Node) newFeed(source catalog.Source) *catalog.Feed {
-	return catalog.NewFeed(source, n.takeUpdate,
-		catalog.WithHealth(n.storeHealth),
+	return catalog.NewFeed(source, n.applyUpdate,
+		catalog.WithHealth(n.recordStoreHealth),
 		catalog.WithReader(n.isReader.Load),
 		catalog.WithFollowing(n.isFollower.Load, n.catalogAge),
-		catalog.WithConfirming(n.confirms, n.proved),
-		catalog.WithTurn(n.awaitTurn),
+		catalog.WithConfirming(n.confirmsPolicy, n.recordProof),
+		catalog.WithTurn(n.awaitInitialRead),
 		catalog.WithRefresh(n.refresh),
 		catalog.WithJitter(n.jitter))
 }
--- a/node/policyfallback_test.go
+++ b/node/policyfallback_test.go
@@ -17,45 +17,45 @@
 // Guards against reads of the platform by a box that receives each version after a short delay.
 func TestABoxThatGetsOnePolicyAfterTheOtherReadsForItselfOnlyOnceItGetsNone(t *testing.T) {
 	is := is.New(t)
-	var p ownReading
+	var p ownReadTimer
 	const versions = 60
 	now := time.Duration(0)
 	for v := 1; v <= versions; v++ { // the previous one is in force
-		is.True(!p.readsFor(v-1, v, now, noJitter))
-		now += policyPause
+		is.True(!p.shouldRead(v-1, v, now, noJitter))
+		now += policyRequestInterval
 	}
 	reads := 0
-	for end := now + ownReadAfter; now < end; now += policyPause { // the last one never arrives
-		if p.readsFor(versions-1, versions, now, noJitter) {
+	for end := now + ownReadTimeout; now < end; now += policyRequestInterval { // the last one never arrives
+		if p.shouldRead(versions-1, versions, now, noJitter) {
 			reads++
 		}
 	}
 	is.Equal(reads, 1)
-	is.True(p.readsFor(versions-1, versions, now+2*ownReadAfter, noJitter)) // later each time
-	is.True(!p.readsFor(versions-1, versions, now+5*ownReadAfter, noJitter))
+	is.True(p.shouldRead(versions-1, versions, now+2*ownReadTimeout, noJitter)) // later each time
+	is.True(!p.shouldRead(versions-1, versions, now+5*ownReadTimeout, noJitter))
 }
 
 func TestABoxThatMissesSeveralPoliciesReadsOne(t *testing.T) {
 	is := is.New(t)
-	var p ownReading
-	is.True(!p.readsFor(3, 4, 0, noJitter))
-	is.True(!p.readsFor(3, 20, ownReadAfter-1, noJitter))
-	is.True(p.readsFor(3, 21, ownReadAfter, noJitter))
+	var p ownReadTimer
+	is.True(!p.shouldRead(3, 4, 0, noJitter))
+	is.True(!p.shouldRead(3, 20, ownReadTimeout-1, noJitter))
+	is.True(p.shouldRead(3, 21, ownReadTimeout, noJitter))
 }
 
 func TestReadsOfBoxesAreSpreadInTime(t *testing.T) {
 	is := is.New(t)
-	var early, late ownReading
-	is.True(!early.readsFor(0, 1, 0, func() float64 { return 1 }))
-	is.True(!late.readsFor(0, 1, 0, noJitter))
-	is.True(early.readsFor(0, 1, ownReadAfter*3/4, noJitter))
-	is.True(!late.readsFor(0, 1, ownReadAfter-1, noJitter))
-	is.True(late.readsFor(0, 1, ownReadAfter, noJitter))
+	var early, late ownReadTimer
+	is.True(!early.shouldRead(0, 1, 0, func() float64 { return 1 }))
+	is.True(!late.shouldRead(0, 1, 0, noJitter))
+	is.True(early.shouldRead(0, 1, ownReadTimeout*3/4, noJitter))
+	is.True(!late.shouldRead(0, 1, ownReadTimeout-1, noJitter))
+	is.True(late.shouldRead(0, 1, ownReadTimeout, noJitter))
 }
 
 func TestFailedSourcesAreExcludedUntilAPolicyArrives(t *testing.T) {
 	is := is.New(t)
-	var p policySeeker
+	var p policySources
 	p.failed = append(p.failed, "a", "b")
 	p.busy = "c"
 	is.True(slices.Equal(p.excluded(), []string{"a", "b", "c"}))
@@ -69,7 +69,7 @@
 func TestAPolicyIsAskedOfOtherRegionsWhereAllOfTheOwnFailed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFollows(t.Context(), 1, fewBusy)
+		f := newSimulation(t.Context(), 1, churnBoxes)
 		defer f.end()
 		f.pass(8 * time.Second)
 		n := f.boxes[0].node.Load()
@@ -78,7 +78,7 @@
 			_ = n.state.Do(func(s *state) {
 				known := s.content
 				s.content = catalog.NewContent()
-				for _, b := range s.missing(avoid, n.now()).sources {
+				for _, b := range s.findMissingPolicy(avoid, n.now()).sources {
 					if b.Region == n.settings.Region {
 						near++
 						own = append(own, b.Box)
--- a/node/removaltrace_test.go
+++ b/node/removaltrace_test.go
@@ -15,13 +15,13 @@
 // -seed=12 -story=region-2-1.
 var tracedReplica = flag.String("story", "", "id of a replica whose records in the boxes are printed")
 
-func (f *follows) printTraced(box string, what ...any) {
+func (f *simulation) printTraced(box string, what ...any) {
 	if *tracedReplica != "" {
 		fmt.Fprintf(os.Stderr, "%9.4f %s %s", time.Since(f.began).Seconds(), box, fmt.Sprintln(what...))
 	}
 }
 
-func (f *follows) tracedSource(box string, s catalog.Source) catalog.Source {
+func (f *simulation) tracedSource(box string, s catalog.Source) catalog.Source {
 	if *tracedReplica == "" {
 		return s
 	}
@@ -64,7 +64,7 @@
 }
 
 // printListings prints which boxes began or ceased to list the traced replica.
-func (f *follows) printListings(was map[string]string) {
+func (f *simulation) printListings(was map[string]string) {
 	if *tracedReplica == "" {
 		return
 	}
--- a/node/schedule_test.go
+++ b/node/schedule_test.go
@@ -6,12 +6,12 @@
 )
 
 // after schedules act after d and a random jitter.
-func (f *follows) after(d time.Duration, act func()) {
-	f.later(d+f.jitter(mostJitter, "after", f.rnd.Uint64())+1, act) // at an even nanosecond
+func (f *simulation) after(d time.Duration, act func()) {
+	f.later(d+f.jitter(maxJitter, "after", f.rnd.Uint64())+1, act) // at an even nanosecond
 }
 
 // later schedules act after exactly d.
-func (f *follows) later(d time.Duration, act func()) {
+func (f *simulation) later(d time.Duration, act func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at := time.Now().Add(d)
@@ -28,7 +28,7 @@
 }
 
 // runScheduled runs scheduled actions in the order of their times.
-func (f *follows) runScheduled() {
+func (f *simulation) runScheduled() {
 	for f.ctx.Err() == nil {
 		f.mu.Lock()
 		wait := time.Hour // until an action is scheduled
--- a/node/state.go
+++ b/node/state.go
@@ -37,15 +37,15 @@
 	view           *placement.View
 	budget         *budget.Budget
 	content        *catalog.Content
-	table          *catalog.Table            // nil without a policy
-	loggedAlive    map[string]bool           // state of boxes, as last logged
-	loggedComplete bool                      // all boxes of the region are recorded, as last logged
-	loggedSilent   []string                  // silent failure domains, as last logged
-	regionFailures map[string]decay.Failures // failures of requests, by region
-	unreachable    map[string]unreachableBox // boxes that could not be reached, by name
-	routeRequests  map[string]decay.Count    // requests, by the name of a bound route
-	removals       map[string]lapses         // removals that boxes have sent, by box
-	active         map[string]activeSet      // active boxes, by region
+	table          *catalog.Table               // nil without a policy
+	loggedAlive    map[string]bool              // state of boxes, as last logged
+	loggedComplete bool                         // all boxes of the region are recorded, as last logged
+	loggedSilent   []string                     // silent failure domains, as last logged
+	regionFailures map[string]decay.Failures    // failures of requests, by region
+	unreachable    map[string]unreachableBox    // boxes that could not be reached, by name
+	routeRequests  map[string]decay.Count       // requests, by the name of a bound route
+	removals       map[string]confirmedRemovals // removals that boxes have sent, by box
+	active         map[string]activeSet         // active boxes, by region
 	replicaIDs     replicaIDs
 	unanswered     map[string]int   // consecutive unanswered requests for usage reports, by engine
 	reportedBorn   map[string]int64 // start times from engines' own reports, by replica id
@@ -70,7 +70,7 @@
 		regionFailures: make(map[string]decay.Failures),
 		unreachable:    make(map[string]unreachableBox),
 		routeRequests:  make(map[string]decay.Count),
-		removals:       make(map[string]lapses),
+		removals:       make(map[string]confirmedRemovals),
 		active:         make(map[string]activeSet),
 		replicaIDs:     ids,
 		unanswered:     make(map[string]int),
--- a/node/usagereport.go
+++ b/node/usagereport.go
@@ -72,7 +72,7 @@
 	n.meter.Account(err == nil)
 	n.state.Post(func(s *state) {
 		start, news := s.reportingIncarnation(a.start, got.Born, n.now())
-		n.recordBeliefs(news)
+		n.recordStateChanges(news)
 		s.recordUsageReport(start, got, err == nil, at, n.now())
 	})
 }
