--- a/roster/codec_test.go
+++ b/roster/codec_test.go
@@ -58,6 +58,7 @@
 		Ask: true,
 	})
 	fmt.Println(string(buf), err)
+	// Output: {"a":{"b":"a","i":1,"n":7,"r":"north"},"q":true} <nil>
 }
 
 func TestSizesOfStatuses(t *testing.T) {
--- a/roster/table_test.go
+++ b/roster/table_test.go
@@ -56,6 +56,9 @@
 	t.Hear(withState(status("c", "south", 1, 1), wire.ServingStateLeaving), false, time.Second)
 	fmt.Println(t.Alive("b", 2*time.Second), t.Alive("b", time.Minute))
 	fmt.Println(len(t.Serving("", 2*time.Second)), t.MostIn("north", 2*time.Second), t.Most(2*time.Second))
+	// Output:
+	// true false
+	// 1 2 3
 }
 
 func TestAnOlderOrRepeatedStatusIsIgnored(t *testing.T) {
