--- a/node/follow.go
+++ b/node/follow.go
@@ -24,9 +24,9 @@
 
 // role is what a box does to keep its copy of the catalog current.
 type role struct {
-	reads     bool // polls the catalog on behalf of others
-	follows   bool // relies on the watchers of its region
-	sharesAge bool // sends the age of its last read to others
+	isReader   bool // polls the catalog on behalf of others
+	isFollower bool // relies on the watchers of its region
+	sharesAge  bool // sends the age of its last read to others
 }
 
 // role derives the role of this box from the live boxes of its region. Boxes with the same roster agree
@@ -40,14 +40,14 @@
 	}
 	if len(names) <= maxSelfWatching {
 		return role{
-			reads: slices.Contains(rendezvous.Top(readersKey, names, readersPerRegion), s.settings.Box),
+			isReader: slices.Contains(rendezvous.Top(readersKey, names, readersPerRegion), s.settings.Box),
 		}
 	}
 	watches := slices.Contains(rendezvous.Top(readersKey, names, watchersPerRegion), s.settings.Box)
 	return role{
-		reads:     watches,
-		follows:   !watches,
-		sharesAge: true,
+		isReader:   watches,
+		isFollower: !watches,
+		sharesAge:  true,
 	}
 }
 
@@ -92,8 +92,8 @@
 func (n *Node) chooseRole() {
 	var r role
 	_ = n.state.Do(func(s *state) { r = s.role(n.now()) }) // it fails only after the box has stopped
-	n.isReader.Store(r.reads)
-	n.isFollower.Store(r.follows)
+	n.isReader.Store(r.isReader)
+	n.isFollower.Store(r.isFollower)
 	n.sendsAge.Store(r.sharesAge)
 }
 
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -18,7 +18,7 @@
 	b := newBox("self", "a", 0)
 	for n := range maxSelfWatching {
 		r := b.role(start)
-		is.True(!r.follows)
+		is.True(!r.isFollower)
 		is.True(!r.sharesAge)
 		b.receiveStatus(status(fmt.Sprint("box-", n), "a"), start)
 		b.receiveStatus(status(fmt.Sprint("far-", n), "b"), start) // other regions do not count
@@ -40,8 +40,8 @@
 			}
 		}
 		r := b.role(start)
-		is.Equal(r.follows, !r.reads)
-		if !r.follows {
+		is.Equal(r.isFollower, !r.isReader)
+		if !r.isFollower {
 			watching++
 		}
 	}
@@ -54,19 +54,19 @@
 		started: time.Now().Add(-time.Minute),
 	}
 	n.lastRead.Store(int64(10 * time.Second))
-	says := func(revision, readMs int) time.Duration {
+	ageAfter := func(revision, readMs int) time.Duration {
 		from := status("near", "a")
 		from.Catalog = revision
 		from.ReadMs = readMs
 		n.confirm(from, 7, 0)
 		return n.catalogAge().Round(time.Second)
 	}
-	is.Equal(says(7, 0), 50*time.Second)     // no read reported
-	is.Equal(says(8, 1000), 50*time.Second)  // the other box has a newer revision, which is requested
-	is.Equal(says(7, 55000), 50*time.Second) // older than the recorded read
-	is.Equal(says(7, 3000), 3*time.Second)
-	is.Equal(says(6, 1000), time.Second) // read at an earlier revision
-	is.Equal(says(7, 9000), time.Second)
+	is.Equal(ageAfter(7, 0), 50*time.Second)     // no read reported
+	is.Equal(ageAfter(8, 1000), 50*time.Second)  // the other box has a newer revision, which is requested
+	is.Equal(ageAfter(7, 55000), 50*time.Second) // older than the recorded read
+	is.Equal(ageAfter(7, 3000), 3*time.Second)
+	is.Equal(ageAfter(6, 1000), time.Second) // read at an earlier revision
+	is.Equal(ageAfter(7, 9000), time.Second)
 }
 
 // Guards against an age of a read that omits the delay of datagrams and thus stays constant while boxes
@@ -90,7 +90,7 @@
 		time.Sleep(time.Minute)
 		pair[0].sendsAge.Store(true)
 		pair[1].sendsAge.Store(true)
-		read := time.Now()
+		lastRead := time.Now()
 		pair[0].lastRead.Store(int64(pair[0].now()))
 		pair[1].lastRead.Store(0)
 		for i := range 20 {
@@ -99,7 +99,7 @@
 			s.ReadMs = from.sharedReadMs()
 			time.Sleep(farDelay)
 			to.confirm(s, 0, 0)
-			is.True(to.catalogAge() >= time.Since(read))
+			is.True(to.catalogAge() >= time.Since(lastRead))
 		}
 	})
 }
@@ -118,7 +118,7 @@
 			asked = append(asked, addr)
 			return catalog.News{}, nil
 		}
-		hear := func(addr string, newer, lapses int) {
+		receive := func(addr string, newer, lapses int) {
 			s := status(addr, n.settings.Region)
 			s.Peers = addr
 			s.Catalog = int(n.feed.Known()) + newer
@@ -126,10 +126,10 @@
 			n.compareCatalog(t.Context(), s, 0)
 			synctest.Wait()
 		}
-		hear("found some gone", 0, 1)
-		hear("found others gone", 0, 1)
-		hear("knows more", 1, 0)
-		hear("knows more, too", 1, 0)
+		receive("found some gone", 0, 1)
+		receive("found others gone", 0, 1)
+		receive("knows more", 1, 0)
+		receive("knows more, too", 1, 0)
 		is.Equal(asked, []string{"found some gone", "knows more"})
 	})
 }
@@ -138,8 +138,8 @@
 	is := is.New(t)
 	b := newBox("self", "a", 2)
 	watcher := newBox("near", "a", 2)
-	says := func() wire.BoxStatus { return watcher.message(start).From }
-	is.True(!b.unreportedRemovals(says()))
+	message := func() wire.BoxStatus { return watcher.message(start).From }
+	is.True(!b.unreportedRemovals(message()))
 	watcher.applyUpdate(catalog.Update{ // soon after an outage, in which entries may have expired
 		Revision: 1,
 		Changes: []catalog.Change{{
@@ -147,15 +147,15 @@
 			Gone:     "a-1",
 		}},
 	}, start)
-	is.True(!b.unreportedRemovals(says()))
+	is.True(!b.unreportedRemovals(message()))
 	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the same revision
-	is.Equal(says().Catalog, b.message(start).From.Catalog)
-	is.True(b.unreportedRemovals(says()))
+	is.Equal(message().Catalog, b.message(start).From.Catalog)
+	is.True(b.unreportedRemovals(message()))
 	b.applyUpdate(watcher.content.Since(b.content.Revision()).Update(), start)
-	b.recordReportedRemovals(says())
+	b.recordReportedRemovals(message())
 	is.Equal(len(b.content.Replicas()), 1)
-	is.True(!b.unreportedRemovals(says()))
-	again := says()
+	is.True(!b.unreportedRemovals(message()))
+	again := message()
 	again.Inc++ // a new incarnation has confirmed removals of its own
 	is.True(b.unreportedRemovals(again))
 }
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -32,15 +32,15 @@
 	rejects     map[string]bool // boxes
 	changed     change.Signal
 	calls       int
-	stalledAt   int64                                               // last revision that watches receive while they are stalled
-	stalled     bool                                                // watches receive no changes
-	page        int                                                 // replicas per page; 0 for no limit
-	way         func(box string) time.Duration                      // round trip of a call of a box; nil for none
-	ways        atomic.Pointer[downlinks]                           // to the boxes, nil for unlimited ones
-	jitter      func(most time.Duration, what ...any) time.Duration // a short duration derived from the seed
+	stalledAt   int64                                                // last revision that watches receive while they are stalled
+	stalled     bool                                                 // watches receive no changes
+	page        int                                                  // replicas per page; 0 for no limit
+	way         func(box string) time.Duration                       // round trip of a call of a box; nil for none
+	ways        atomic.Pointer[downlinks]                            // to the boxes, nil for unlimited ones
+	jitter      func(limit time.Duration, what ...any) time.Duration // a short duration derived from the seed
 }
 
-func newListing(list []catalog.Replica, jitter func(most time.Duration, what ...any) time.Duration) *listing {
+func newListing(list []catalog.Replica, jitter func(limit time.Duration, what ...any) time.Duration) *listing {
 	l := &listing{
 		jitter:   jitter,
 		rev:      1,
--- a/node/node.go
+++ b/node/node.go
@@ -85,11 +85,11 @@
 	quotas         *quotas
 	requestCredit  func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // requests credit from a quota allocator; replaced in tests
 	fetchDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // fetches the demand of another region from its allocator; replaced in tests
-	fullAnswers    *snapshotCache
+	snapshotCache  *snapshotCache
 	policyBucket   *byteBucket   // limits the policies that this box sends to others
-	fetchingPolicy atomic.Bool   // a policy is being fetched from another box; its setter owns seeker
-	seeker         policySources // sources of a missing policy
-	ownReading     ownReadTimer  // when to read a missing policy from the platform; owned by the heartbeat task
+	fetchingPolicy atomic.Bool   // a policy is being fetched from another box; its setter owns policySources
+	policySources  policySources // sources of a missing policy
+	ownReadTimer   ownReadTimer  // when to read a missing policy from the platform; owned by the heartbeat task
 
 	tasks          sync.WaitGroup
 	reloadRequests chan struct{} // signals a reload of the settings
@@ -123,9 +123,9 @@
 		draw:           rand.IntN,
 		jitter:         rand.Float64,
 
-		deltas:       catalog.NewDeltas(),
-		fullAnswers:  newSnapshotCache(),
-		policyBucket: newByteBucket(policyRate, policyBurst),
+		deltas:        catalog.NewDeltas(),
+		snapshotCache: newSnapshotCache(),
+		policyBucket:  newByteBucket(policyRate, policyBurst),
 	}
 	n.quotas = n.newQuotas()
 	n.lastRead.Store(-int64(neverReadAge))
--- a/node/policies.go
+++ b/node/policies.go
@@ -123,9 +123,9 @@
 		return
 	}
 	var l missingPolicy
-	_ = n.state.Do(func(s *state) { l = s.findMissingPolicy(n.seeker.excluded(), n.now()) }) // it fails only after the box has stopped
+	_ = n.state.Do(func(s *state) { l = s.findMissingPolicy(n.policySources.excluded(), n.now()) }) // it fails only after the box has stopped
 	if l.due == 0 || len(l.sources) == 0 || !n.dependsOnPeers() {
-		n.seeker.reset() // excluded boxes may be the only sources
+		n.policySources.reset() // excluded boxes may be the only sources
 		n.fetchingPolicy.Store(false)
 		return
 	}
@@ -146,7 +146,7 @@
 func (n *Node) rereadMissingPolicy() {
 	have, due := 0, 0
 	_ = n.state.Do(func(s *state) { have, due = versionOf(s.content.Policy()), s.content.PolicyDue() }) // it fails only after the box has stopped
-	if n.ownReading.shouldRead(have, due, n.now(), n.jitter) {
+	if n.ownReadTimer.shouldRead(have, due, n.now(), n.jitter) {
 		n.feed.Reread()
 	}
 }
@@ -158,7 +158,7 @@
 	defer cancel()
 	news, err := n.fetchPolicy(limit, from.Peers, have)
 	if err == nil && len(news.Compressed) == 0 {
-		n.seeker.busy = from.Box
+		n.policySources.busy = from.Box
 		return min(news.Wait.Duration(), maxPolicyWait)
 	}
 	var p *catalog.Policy
@@ -166,7 +166,7 @@
 		p, err = applyPolicyDelta(news, known)
 	}
 	if err != nil {
-		n.seeker.failed = append(n.seeker.failed, from.Box)
+		n.policySources.failed = append(n.policySources.failed, from.Box)
 		n.record(decision.Event{
 			Kind:     decision.Belief,
 			Upstream: from.Box,
@@ -175,7 +175,7 @@
 		})
 		return 0
 	}
-	n.seeker.reset()
+	n.policySources.reset()
 	n.applyUpdate(catalog.PolicyUpdate(p))
 	return 0
 }
--- a/node/pull.go
+++ b/node/pull.go
@@ -71,7 +71,7 @@
 // unreportedRemovals reports whether another box has confirmed removals that it has not sent to this
 // one. Its revision does not show that, as this box may have received that revision earlier.
 func (s *state) unreportedRemovals(from wire.BoxStatus) bool {
-	told := s.removals[from.Box]
+	told := s.confirmedRemovals[from.Box]
 	return from.Lapses > 0 && (told.inc != from.Inc || told.found < from.Lapses)
 }
 
@@ -80,7 +80,7 @@
 	if from.Lapses == 0 {
 		return
 	}
-	s.removals[from.Box] = confirmedRemovals{
+	s.confirmedRemovals[from.Box] = confirmedRemovals{
 		inc:   from.Inc,
 		found: from.Lapses,
 	}
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -183,7 +183,7 @@
 }
 
 // verdict fails the test if a bound was exceeded, or too much within a quota was rejected.
-func (b *quotaSimulation) verdict(mostRefused float64) {
+func (b *quotaSimulation) verdict(maxRefused float64) {
 	b.t.Helper()
 	b.end()
 	for _, o := range b.orgs {
@@ -192,8 +192,8 @@
 		if got.maxOfBound > 1 {
 			b.t.Errorf("%s: %.2f of the bound", o.name, got.maxOfBound)
 		}
-		if got.refusedShare > mostRefused {
-			b.t.Errorf("%s: %.4f of the tokens within the quota rejected, %.4f allowed", o.name, got.refusedShare, mostRefused)
+		if got.refusedShare > maxRefused {
+			b.t.Errorf("%s: %.4f of the tokens within the quota rejected, %.4f allowed", o.name, got.refusedShare, maxRefused)
 		}
 	}
 }
@@ -318,7 +318,7 @@
 
 // playQuotas runs scenarios at several sizes, with a large organisation at four times its typical demand and a
 // small one at eight times.
-func playQuotas(t *testing.T, days []quotaScenario, mostRefused float64) {
+func playQuotas(t *testing.T, days []quotaScenario, maxRefused float64) {
 	t.Parallel()
 	for _, day := range days {
 		for _, boxes := range []int{9, 60} {
@@ -333,7 +333,7 @@
 							b.scaleDemand("small", 8)
 						}
 						day.play(b)
-						b.verdict(mostRefused)
+						b.verdict(maxRefused)
 					})
 				}
 			})
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -152,21 +152,21 @@
 	n.state = cell.New(context.WithoutCancel(f.ctx), f.system, "state", newState(n.settings, n.status(), n.now()))
 	n.feed = n.newFeed(f.tracedSource(b.settings.Box, f.listing.source(b.settings.Box)))
 	n.fetchChanges = func(ctx context.Context, addr string, after int64) (catalog.News, error) {
-		news, err := f.askBox(ctx, addr, after)
+		news, err := f.fetchChanges(ctx, addr, after)
 		f.printTraced(b.settings.Box, "asked", addr, "after", after, "received up to", news.Revision, news.Snapshot != nil, changesOfTraced(news.Changes, news.Doubts), err)
 		return news, err
 	}
 	n.fetchPolicy = f.fetchPolicy
-	n.fetchProof = func(ctx context.Context, addr string) (proofResponse, error) { return f.askProof(ctx, b, addr) }
+	n.fetchProof = func(ctx context.Context, addr string) (proofResponse, error) { return f.fetchProof(ctx, b, addr) }
 	n.quotas = n.newQuotas()
 	n.requestCredit = func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) {
-		return f.askBank(ctx, b, addr, asks)
+		return f.requestCredit(ctx, b, addr, asks)
 	}
 	n.fetchDemand = func(ctx context.Context, addr string) (map[string]quota.Use, error) {
-		return f.askDemand(ctx, b, addr)
+		return f.fetchDemand(ctx, b, addr)
 	}
 	n.deltas = catalog.NewDeltas()
-	n.fullAnswers = newSnapshotCache()
+	n.snapshotCache = newSnapshotCache()
 	n.policyBucket = newByteBucket(policyRate, policyBurst)
 	n.sendPacket = func(p roster.Packet) {
 		if b.node.Load() == n { // a killed process sends nothing
@@ -206,8 +206,8 @@
 }
 
 // jitter returns a duration up to most, ending at an odd nanosecond, derived from the seed and the instant.
-func (f *simulation) jitter(most time.Duration, what ...any) time.Duration {
-	even := 2 * time.Duration(f.hash(what...)%uint64(most/2))
+func (f *simulation) jitter(limit time.Duration, what ...any) time.Duration {
+	even := 2 * time.Duration(f.hash(what...)%uint64(limit/2))
 	return even + time.Duration(1-time.Now().UnixNano()%2)
 }
 
--- a/node/simulationcalls_test.go
+++ b/node/simulationcalls_test.go
@@ -52,8 +52,8 @@
 	return ctx.Err()
 }
 
-// askBank requests allocations from a quota allocator.
-func (f *simulation) askBank(ctx context.Context, from *simBox, addr string, asks []quota.Ask) ([]quota.Grant, error) {
+// requestCredit requests allocations from a quota allocator.
+func (f *simulation) requestCredit(ctx context.Context, from *simBox, addr string, asks []quota.Ask) ([]quota.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
 	self := from.node.Load()
@@ -70,8 +70,8 @@
 	return out, ctx.Err()
 }
 
-// askDemand requests the demand of another region.
-func (f *simulation) askDemand(ctx context.Context, from *simBox, addr string) (map[string]quota.Use, error) {
+// fetchDemand requests the demand of another region.
+func (f *simulation) fetchDemand(ctx context.Context, from *simBox, addr string) (map[string]quota.Use, error) {
 	n, way, err := f.sendCall(ctx, from, addr, "demand")
 	if err != nil {
 		return nil, err
@@ -81,8 +81,8 @@
 	return out, ctx.Err()
 }
 
-// askProof requests a freshness proof.
-func (f *simulation) askProof(ctx context.Context, from *simBox, addr string) (proofResponse, error) {
+// fetchProof requests a freshness proof.
+func (f *simulation) fetchProof(ctx context.Context, from *simBox, addr string) (proofResponse, error) {
 	n, way, err := f.sendCall(ctx, from, addr, "proof")
 	if err != nil {
 		return proofResponse{}, err
@@ -105,8 +105,8 @@
 	return nil, nil, errors.Wrap(ctx.Err(), "box gone")
 }
 
-// askBox requests catalog changes from a box.
-func (f *simulation) askBox(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
+// fetchChanges requests catalog changes from a box.
+func (f *simulation) fetchChanges(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay+f.jitter(maxJitter, "asked", addr, after))
 	if err != nil {
 		return news, err
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -63,7 +63,7 @@
 // serveSnapshot returns a catalog snapshot, or the time to wait while it is rate-limited. Concurrent
 // requests share one encoding.
 func (n *Node) serveSnapshot(after int64) (out catalog.EncodedNews, err error) {
-	w := n.fullAnswers
+	w := n.snapshotCache
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if wait := w.bucket.take(0, n.now()); wait > 0 {
--- a/node/state.go
+++ b/node/state.go
@@ -32,28 +32,28 @@
 // state is the recorded state of a box. It belongs to one actor, and takes the time as an
 // argument.
 type state struct {
-	settings       Settings
-	roster         *roster.Table
-	view           *placement.View
-	budget         *budget.Budget
-	content        *catalog.Content
-	table          *catalog.Table               // nil without a policy
-	loggedAlive    map[string]bool              // state of boxes, as last logged
-	loggedComplete bool                         // all boxes of the region are recorded, as last logged
-	loggedSilent   []string                     // silent failure domains, as last logged
-	regionFailures map[string]decay.Failures    // failures of requests, by region
-	unreachable    map[string]unreachableBox    // boxes that could not be reached, by name
-	routeRequests  map[string]decay.Count       // requests, by the name of a bound route
-	removals       map[string]confirmedRemovals // removals that boxes have sent, by box
-	active         map[string]activeSet         // active boxes, by region
-	replicaIDs     replicaIDs
-	unanswered     map[string]int   // consecutive unanswered requests for usage reports, by engine
-	reportedBorn   map[string]int64 // start times from engines' own reports, by replica id
-	seq            int              // of the last status sent
-	refreshCount   int              // updates fetched from readers
-	capacity       []wire.ServiceRoom
-	capacityAt     time.Duration // when it was computed; 0 for never
-	poison         *poison.Watch
+	settings          Settings
+	roster            *roster.Table
+	view              *placement.View
+	budget            *budget.Budget
+	content           *catalog.Content
+	table             *catalog.Table               // nil without a policy
+	loggedAlive       map[string]bool              // state of boxes, as last logged
+	loggedComplete    bool                         // all boxes of the region are recorded, as last logged
+	loggedSilent      []string                     // silent failure domains, as last logged
+	regionFailures    map[string]decay.Failures    // failures of requests, by region
+	unreachable       map[string]unreachableBox    // boxes that could not be reached, by name
+	routeRequests     map[string]decay.Count       // requests, by the name of a bound route
+	confirmedRemovals map[string]confirmedRemovals // removals that boxes have sent, by box
+	active            map[string]activeSet         // active boxes, by region
+	replicaIDs        replicaIDs
+	unanswered        map[string]int   // consecutive unanswered requests for usage reports, by engine
+	reportedBorn      map[string]int64 // start times from engines' own reports, by replica id
+	seq               int              // of the last status sent
+	refreshCount      int              // updates fetched from readers
+	capacity          []wire.ServiceRoom
+	capacityAt        time.Duration // when it was computed; 0 for never
+	poison            *poison.Watch
 }
 
 // newState returns the state of a box without any records.
@@ -61,21 +61,21 @@
 	pacer := pacing.New(s.Box, coldTerms(s.Bounds), pacing.WithStart(now))
 	ids := make(replicaIDs)
 	return &state{
-		settings:       s,
-		roster:         roster.New(self, roster.WithSeeds(otherSeeds(s))),
-		view:           placement.NewView(s.Region, s.Domain, pacer, placement.WithStarts(ids.add, ids.drop)),
-		budget:         budget.New(retryTerms(s.Bounds)),
-		content:        catalog.NewContent(),
-		loggedAlive:    make(map[string]bool),
-		regionFailures: make(map[string]decay.Failures),
-		unreachable:    make(map[string]unreachableBox),
-		routeRequests:  make(map[string]decay.Count),
-		removals:       make(map[string]confirmedRemovals),
-		active:         make(map[string]activeSet),
-		replicaIDs:     ids,
-		unanswered:     make(map[string]int),
-		reportedBorn:   make(map[string]int64),
-		poison:         poison.NewWatch(s.Box),
+		settings:          s,
+		roster:            roster.New(self, roster.WithSeeds(otherSeeds(s))),
+		view:              placement.NewView(s.Region, s.Domain, pacer, placement.WithStarts(ids.add, ids.drop)),
+		budget:            budget.New(retryTerms(s.Bounds)),
+		content:           catalog.NewContent(),
+		loggedAlive:       make(map[string]bool),
+		regionFailures:    make(map[string]decay.Failures),
+		unreachable:       make(map[string]unreachableBox),
+		routeRequests:     make(map[string]decay.Count),
+		confirmedRemovals: make(map[string]confirmedRemovals),
+		active:            make(map[string]activeSet),
+		replicaIDs:        ids,
+		unanswered:        make(map[string]int),
+		reportedBorn:      make(map[string]int64),
+		poison:            poison.NewWatch(s.Box),
 	}
 }
 
