--- a/node/gossip.go
+++ b/node/gossip.go
@@ -45,7 +45,7 @@
 		sleep.For(ctx, roster.Tick)
 		n.recordSuspension()
 		n.sendHeartbeats()
-		n.settle()
+		n.applyExpired()
 		n.recordUnlistedCrashes()
 		n.gossipPoison()
 		n.chooseRole()
--- a/node/largepolicy_test.go
+++ b/node/largepolicy_test.go
@@ -35,7 +35,7 @@
 func newPolicyChurn(t *testing.T, boxes int) *policyChurn {
 	f := newSimulation(t.Context(), 1, boxes)
 	f.links.Store(newLinks(narrowLink))
-	f.listing.ways.Store(newDownlinks())
+	f.listing.downlinks.Store(newDownlinks())
 	return &policyChurn{
 		simulation: f,
 		t:          t,
@@ -162,7 +162,7 @@
 			n = b.replaceFor(n, policyInterval-emptyUpdateDelay)
 			bytes, answers := b.links.Load().maxSent()
 			t.Logf("%d routes: a box sent %d KB in %d answers, %d at once, longest queue %v; in force after %v, leaving recorded after %v, removals after %v; the listing gave a policy %d times",
-				(i+1)*extraRoutes, bytes/1000, answers, b.links.Load().maxOpen, b.links.Load().longest, b.maxPolicyLag, b.maxLeavingLag, b.maxRemovalLag, b.listing.ways.Load().read)
+				(i+1)*extraRoutes, bytes/1000, answers, b.links.Load().maxOpen, b.links.Load().longest, b.maxPolicyLag, b.maxLeavingLag, b.maxRemovalLag, b.listing.downlinks.Load().read)
 		}
 		if b.violation != "" {
 			t.Error(b.violation)
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -210,7 +210,7 @@
 	read, wait := s.Read, s.Wait
 	s.Read = func(ctx context.Context) (catalog.Snapshot, error) {
 		out, err := read(ctx)
-		if w := l.ways.Load(); w != nil && err == nil {
+		if w := l.downlinks.Load(); w != nil && err == nil {
 			known, ok := w.heldDuringWatch(box, out.Policy)
 			if ok {
 				out.Policy = known
@@ -222,7 +222,7 @@
 	}
 	s.Wait = func(ctx context.Context, after int64, d time.Duration) ([]catalog.Change, int64, error) {
 		changes, rev, err := wait(ctx, after, d)
-		w := l.ways.Load()
+		w := l.downlinks.Load()
 		if w == nil {
 			return changes, rev, err
 		}
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -36,7 +36,7 @@
 	stalled     bool                                                 // watches receive no changes
 	page        int                                                  // replicas per page; 0 for no limit
 	way         func(box string) time.Duration                       // round trip of a call of a box; nil for none
-	ways        atomic.Pointer[downlinks]                            // to the boxes, nil for unlimited ones
+	downlinks   atomic.Pointer[downlinks]                            // to the boxes, nil for unlimited ones
 	jitter      func(limit time.Duration, what ...any) time.Duration // a short duration derived from the seed
 }
 
--- a/node/pull.go
+++ b/node/pull.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// settle confirms removals whose waiting time is over.
-func (n *Node) settle() {
+// applyExpired confirms removals whose waiting time is over.
+func (n *Node) applyExpired() {
 	_ = n.state.Do(func(s *state) { n.recordStateChanges(s.applyExpired(n.now())) }) // it fails only after the box has stopped
 }
 
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -205,7 +205,7 @@
 	return float64(f.hash(what...)>>11) / (1 << 53)
 }
 
-// jitter returns a duration up to most, ending at an odd nanosecond, derived from the seed and the instant.
+// jitter returns a duration up to limit, ending at an odd nanosecond, derived from the seed and the instant.
 func (f *simulation) jitter(limit time.Duration, what ...any) time.Duration {
 	even := 2 * time.Duration(f.hash(what...)%uint64(limit/2))
 	return even + time.Duration(1-time.Now().UnixNano()%2)
