--- a/node/lease.go
+++ b/node/lease.go
@@ -17,7 +17,7 @@
 
 const (
 	leasePercent       = 80                      // of the revocation bound for which a lease holds; the rest covers the time between the check of a request and the clock of its caller
-	proofRequestAge    = time.Second             // of the lease at which other boxes are asked: the usual age at catalog readers
+	proofRequestAge    = time.Second             // of the lease at which other boxes are asked: the typical age at catalog readers
 	ownReaderProofAge  = 1500 * time.Millisecond // the same for a box whose own reads fail; from then on a follower reads itself
 	maxProofAttempts   = 16                      // on consecutive beats, for as long as the lease lasts
 	proofBackoffBeats  = 4                       // between later attempts
@@ -34,7 +34,7 @@
 	AgeMs   int64 `json:"age_ms"`
 }
 
-// proofRequests is the state of requests for freshness proofs. The task that beats owns all but busy.
+// proofRequests is the state of requests for freshness proofs. The heartbeat task owns all but busy.
 type proofRequests struct {
 	busy     atomic.Bool // a request is in progress
 	attempts int         // since the lease was last renewed
--- a/node/quota.go
+++ b/node/quota.go
@@ -36,7 +36,7 @@
 	view       atomic.Pointer[allocatorView]
 	asking     [allocatorShards]atomic.Bool // a request ahead of need is in progress, by shard
 	collecting atomic.Bool                  // demand of other regions is being collected
-	beats      int                          // owned by the task that beats
+	beats      int                          // owned by the heartbeat task
 
 	mu      sync.Mutex
 	backoff map[string]time.Duration // end of the back-off by address
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -145,7 +145,7 @@
 		meter:       meter.New(),
 		system:      f.system,
 		jitter:      func() float64 { return f.randomFloat("jitter", b.settings.Box) },
-		draw:        rand.New(rand.NewPCG(f.seed, f.hash("draw", b.settings.Box))).IntN, // only used by the task that beats
+		draw:        rand.New(rand.NewPCG(f.seed, f.hash("draw", b.settings.Box))).IntN, // only used by the heartbeat task
 	}
 	n.lastRead.Store(-int64(neverReadAge))
 	n.isReader.Store(true)
