--- /dev/null
+++ b/ingress/attempt.go
@@ -0,0 +1,249 @@
+package ingress
+
+import (
+	"context"
+	"net/http"
+	"net/textproto"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/havenrudder/havenrudder/common/clock"
+	"github.com/havenrudder/havenrudder/decision"
+	"github.com/havenrudder/havenrudder/exchange"
+	"github.com/havenrudder/havenrudder/placement"
+)
+
+const replicaDialTimeout = 250 * time.Millisecond // within a region
+
+// lateWriteThreshold is the time from the selection of a replica to the write of the request
+// from which the write is reported to the rate limit of cold replicas.
+const lateWriteThreshold = 20 * time.Millisecond
+
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
+var hopHeaders = []string{
+	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
+	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
+}
+
+// endToEndHeaders returns the headers that are forwarded with a message.
+func endToEndHeaders(h http.Header) http.Header {
+	out := h.Clone()
+	for _, list := range h["Connection"] {
+		for name := range strings.SplitSeq(list, ",") {
+			out.Del(textproto.TrimString(name))
+		}
+	}
+	for _, name := range hopHeaders {
+		out.Del(name)
+	}
+	return out
+}
+
+// forwardedHeaders returns the headers of the request to forward, without its key.
+func (c *call) forwardedHeaders() http.Header {
+	h := endToEndHeaders(c.r.Header)
+	if c.keyed {
+		c.server.codec.Withhold(h)
+	}
+	return h
+}
+
+// attempt is one attempt at one replica or box.
+type attempt struct {
+	call           *call
+	target         *Target
+	sent           time.Time
+	cancel         context.CancelCauseFunc
+	result         placement.Result
+	writtenAfter   atomic.Int64  // nanoseconds until the request was written; 0 before
+	unread         atomic.Value  // a func() bool that reports whether unread bytes of the response have arrived
+	headAfter      time.Duration // time until the head of the response; 0 before
+	lastReceived   atomic.Int64  // nanoseconds until bytes of the response last arrived, with the resolution of receivedInterval
+	reportedSilent atomic.Bool   // the replica was reported as silent
+	survived       bool          // the replica was reported as having survived the request
+	why            string        // why there is no complete response
+}
+
+// attemptReplica sends the request to a replica of this region.
+func (c *call) attemptReplica(ctx context.Context, t Target) attemptOutcome {
+	ctx, cancel := context.WithCancelCause(ctx)
+	a := &attempt{
+		call:   c,
+		target: &t,
+		sent:   clock.Now(),
+		cancel: cancel,
+		result: placement.Abandoned,
+	}
+	stop := a.watchStall(ctx)
+	e := a.send(ctx)
+	stop()
+	cancel(nil) // closes the connection, so that the replica stops its work
+	a.reportPoisonOutcome(e)
+	a.endTrial(e)
+	if a.result == placement.Silent && a.reportedSilent.Load() {
+		a.result = placement.Abandoned
+	}
+	c.server.core.End(&t.Choice, a.result, clock.Since(a.sent))
+	a.report(e)
+	return e
+}
+
+// send sends the request to the replica and returns the response to the caller.
+func (a *attempt) send(ctx context.Context) attemptOutcome {
+	c := a.call
+	c.countForBudget()
+	h := c.forwardedHeaders()
+	c.server.codec.Send(h, Send{
+		Replica:   a.target.Choice.ID,
+		Left:      clock.Until(c.deadline),
+		Urgency:   min(c.urgency, maxUrgency),
+		LastEvent: c.lastEvent,
+		CopyFrom:  a.target.Choice.CopyFrom,
+
+		Organisation: c.organisation,
+	})
+	answer, err := c.server.replicas.Do(ctx, exchange.Request{
+		Addr:        a.target.Choice.Addr,
+		Method:      c.r.Method,
+		Target:      c.r.RequestURI,
+		Host:        c.r.Host,
+		Header:      h,
+		Body:        c.body,
+		Owns:        func(h http.Header) bool { return c.server.codec.Owns(h, c.facts.ID) },
+		Begin:       a.noteWritten,
+		DialTimeout: c.dialTimeout(replicaDialTimeout),
+	})
+	if err != nil {
+		return a.sendFailed(ctx, err)
+	}
+	defer func() { _ = answer.Close() }()
+	a.headAfter = clock.Since(a.sent)
+	c.server.core.First(&a.target.Choice, a.headAfter)
+	if requests, waiting, ok := c.server.codec.Load(answer.Header()); ok {
+		c.server.core.Loaded(&a.target.Choice, requests, waiting)
+	}
+	if !c.server.codec.Ran(answer.Status(), answer.Header()) {
+		return a.refused(answer)
+	}
+	c.noteReceiver(a.target.Choice.Replica)
+	return a.pass(ctx, answer)
+}
+
+// noteWritten records that the request is being written.
+func (a *attempt) noteWritten(unread func() bool) {
+	a.unread.Store(unread)
+	took := clock.Since(a.sent)
+	a.writtenAfter.Store(max(int64(took), 1))
+	if took >= lateWriteThreshold {
+		a.call.server.core.Written(&a.target.Choice)
+	}
+}
+
+// hasUnread reports whether this box, whose CPU may be overloaded, has unread bytes of the
+// response.
+func (a *attempt) hasUnread() bool {
+	unread, ok := a.unread.Load().(func() bool)
+	return ok && unread()
+}
+
+// refused handles a response by which the replica reports that it did not run the request.
+func (a *attempt) refused(answer *exchange.Answer) attemptOutcome {
+	a.result = placement.Refused
+	if answer.Status() == http.StatusMisdirectedRequest {
+		a.result = placement.Misdirected
+		a.call.tried = append(a.call.tried, a.target.Choice.Replica)
+		a.call.received = true
+		return unsent
+	}
+	a.call.noteReceiver(a.target.Choice.Replica)
+	return notRun
+}
+
+// sendFailed returns the outcome of an attempt without a response from the replica.
+func (a *attempt) sendFailed(ctx context.Context, err error) attemptOutcome {
+	var e *exchange.Error
+	sent := !errors.As(err, &e) || e.Sent()
+	if sent {
+		a.call.noteReceiver(a.target.Choice.Replica)
+	} else {
+		a.call.tried = append(a.call.tried, a.target.Choice.Replica)
+	}
+	quiet := errors.Is(context.Cause(ctx), errStalled)
+	a.setWhy(ctx, err)
+	switch {
+	case ctx.Err() != nil && !quiet && sent:
+		a.call.state = max(a.call.state, stateMaybeRan)
+		return abandoned
+	case ctx.Err() != nil && !quiet:
+		return abandoned
+	case !sent:
+		a.result = placement.Unreachable
+		a.call.noteFailedDial()
+		return unsent
+	}
+	a.result = placement.Silent
+	return unknown
+}
+
+// Logged reasons for which an attempt has no complete response.
+const (
+	whySilent          = "replica silent"
+	whyCallerLeft      = "caller left"
+	whyDeadline        = "time is up"
+	whyBodyInterrupted = "body broke off"
+)
+
+// setWhy sets why the attempt has no complete response. Causes on this box's side are
+// distinguished from failures of the replica.
+func (a *attempt) setWhy(ctx context.Context, err error) {
+	var e *exchange.Error
+	switch {
+	case errors.Is(context.Cause(ctx), errStalled):
+		a.why = whySilent
+	case a.call.r.Context().Err() != nil:
+		a.why = whyCallerLeft
+	case ctx.Err() != nil:
+		a.why = whyDeadline
+	case errors.As(err, &e):
+		a.why = "failed to " + e.Stage().String()
+	default:
+		a.why = whyBodyInterrupted
+	}
+}
+
+// report records and counts the outcome of the attempt.
+func (a *attempt) report(e attemptOutcome) {
+	c := a.call
+	outcome := loggedOutcomes[e]
+	c.server.core.Meter.Try(c.service, string(outcome))
+	if a.headAfter > 0 && e == served {
+		c.server.core.Meter.First(c.service, a.headAfter)
+	}
+	digest := ""
+	if a.target.Choice.Replica != "" && (e == unknown || e == interrupted) {
+		digest = c.content.Digest().String() // shows whether one request made several replicas crash
+	}
+	c.record(decision.Event{
+		Kind:     decision.Try,
+		Upstream: a.target.Choice.Replica + a.target.Box,
+		Outcome:  outcome,
+		Reason:   a.why,
+		Digest:   digest,
+		Tries:    c.sent,
+		SentMs:   time.Duration(a.writtenAfter.Load()).Milliseconds(),
+		TookMs:   clock.Since(a.sent).Milliseconds(),
+	})
+}
+
+// loggedOutcomes are the outcomes as they are recorded in events and metrics.
+var loggedOutcomes = map[attemptOutcome]decision.Outcome{
+	served:      decision.Served,
+	unsent:      decision.NotRun,
+	notRun:      decision.Refused,
+	unknown:     decision.Unknown,
+	interrupted: decision.Broken,
+	abandoned:   decision.Left,
+}
--- /dev/null
+++ b/ingress/auth.go
@@ -0,0 +1,135 @@
+package ingress
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/havenrudder/havenrudder/catalog"
+	"github.com/havenrudder/havenrudder/common/clock"
+	"github.com/havenrudder/havenrudder/common/sleep"
+	"github.com/havenrudder/havenrudder/placement"
+)
+
+// Reasons for which a request is refused because of its key.
+const (
+	reasonNoKey      placement.Reason = "no key, or none in its form"
+	reasonUnknownKey placement.Reason = "key of no organisation"
+	reasonRevokedKey placement.Reason = "key taken away while the request waited"
+	reasonStaleKeys  placement.Reason = "keys may have been taken away"
+)
+
+const (
+	keyWaitTimeout = 300 * time.Millisecond // for a newer policy that may contain the key
+	keyRetryAfter  = time.Second            // Retry-After of a box without recent access to the published policy
+)
+
+// Keys holds the functions that give access to organisations, their keys and quotas.
+type Keys struct {
+	Hold      func() bool                                                                                            // the table contains no key that was revoked too long ago; called before the table is read
+	Current   func() bool                                                                                            // the table contains all keys but those of the last seconds
+	Reserve   func(ctx context.Context, organisation string, tokens int) (cost float64, wait time.Duration, ok bool) // takes the cost of a request from the quota of its organisation, or returns when to retry
+	Unreserve func(organisation string, cost float64)                                                                // returns the cost of a request that is known not to have run
+}
+
+// authenticate finds the organisation of the caller and reports whether the request may
+// proceed. A box that forwarded the request has authenticated it.
+func (c *call) authenticate(table *catalog.Table) bool {
+	if c.relay != nil {
+		c.organisation = c.relay.Organisation
+		c.keyed = c.organisation != ""
+		return true
+	}
+	c.keyed = table.Keyed()
+	if !c.keyed {
+		return true
+	}
+	held := c.server.core.Keys.Hold()
+	o := c.keyOrganisation()
+	switch {
+	case o != nil && held:
+		c.setOrganisation(o)
+	case c.route.Public: // unknown keys are ignored on public routes
+	case o != nil:
+		c.refuse(reasonStaleKeys, keyRetryAfter)
+		return false
+	default:
+		return c.resolveUnknownKey()
+	}
+	return true
+}
+
+// setOrganisation records the organisation, which restricts the regions that its data may
+// enter.
+func (c *call) setOrganisation(o *catalog.Organisation) {
+	c.organisation = o.Name
+	c.route = c.route.For(o)
+}
+
+// keyOrganisation returns the organisation that owns the caller's key, or nil.
+func (c *call) keyOrganisation() *catalog.Organisation {
+	table := c.server.core.Table()
+	if table == nil || !c.facts.HasKey {
+		return nil
+	}
+	return table.Organisation(c.facts.Key)
+}
+
+// resolveUnknownKey handles a request whose key is unknown. While this box may lack the
+// newest policy, it waits for it or answers with a temporary refusal.
+func (c *call) resolveUnknownKey() bool {
+	for !c.server.core.Keys.Current() {
+		if clock.Since(c.start) > keyWaitTimeout || c.r.Context().Err() != nil {
+			c.refuse(reasonStalePolicy, keyRetryAfter)
+			return false
+		}
+		sleep.For(c.r.Context(), policyPollInterval)
+		if o := c.keyOrganisation(); o != nil && c.server.core.Keys.Hold() {
+			c.setOrganisation(o)
+			return true
+		}
+	}
+	reason := reasonNoKey
+	if c.facts.HasKey {
+		reason = reasonUnknownKey
+	}
+	c.rejectKey(reason)
+	return false
+}
+
+// keyStillValid reports whether the key still belongs to the organisation. It is checked
+// before each attempt, for the key may be revoked while the request waits. A response that
+// has started continues.
+func (c *call) keyStillValid() bool {
+	if c.organisation == "" || c.relay != nil || c.state == stateStarted {
+		return true
+	}
+	held := c.server.core.Keys.Hold()
+	o := c.keyOrganisation()
+	switch {
+	case o == nil || o.Name != c.organisation:
+		c.reason = reasonRevokedKey
+	case !held:
+		c.reason = reasonStaleKeys
+		c.retryAfter = keyRetryAfter
+	default:
+		return true
+	}
+	return false
+}
+
+// rejectKey answers that the key is missing or not valid.
+func (c *call) rejectKey(reason placement.Reason) {
+	c.w.Header().Set("WWW-Authenticate", "Bearer")
+	c.server.core.Meter.Refusal(string(reason))
+	c.reject(http.StatusUnauthorized, string(reason))
+}
+
+// callerIdentity returns the organisation of a request with a key, or else the caller's
+// credentials.
+func (c *call) callerIdentity() string {
+	if c.keyed {
+		return c.organisation
+	}
+	return c.facts.Caller
+}
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -16,187 +16,187 @@
 )
 
 const (
-	endSlack       = 40 * time.Millisecond  // a replica's own word at its deadline is waited for so long
-	maxRounds      = 24                     // targets asked for on behalf of one request
-	waitShare      = 0.2                    // of the goal that a request waits here for a replica that may take it
-	shortWait      = 5 * time.Millisecond   // shortest wait for a replica, so that no two rounds follow at once
-	heldCheck      = 100 * time.Millisecond // between two looks for a replica that goes on with a stream
-	sameAfter      = time.Second            // that a stream waits for another replica before it goes on at one that broke it off
-	longestDial    = 2 * time.Second        // for a connection through a full link
-	maxPriority    = 9                      // last rank of urgency that a replica is told; 0 is the first
-	answerPerGuess = 1.3                    // guesses are right in the median, but long answers are longer
+	deadlineGrace      = 40 * time.Millisecond  // time for a replica to report at its deadline that it has stopped
+	maxRounds          = 24                     // target queries per request
+	maxWaitFraction    = 0.2                    // of the latency target, for a replica with free capacity
+	minWait            = 5 * time.Millisecond   // between two rounds
+	resumePollInterval = 100 * time.Millisecond // between two queries for a replica that can resume a stream
+	receiverRetryDelay = time.Second            // before a stream may resume at a replica that interrupted it
+	maxDialTimeout     = 2 * time.Second        // on a congested link
+	maxUrgency         = 9                      // last urgency level that replicas receive; 0 is the first
+	outputPerGuess     = 1.3                    // callers underestimate long outputs
 )
 
-// state says what is known of a request's fate so far.
+// state is what is known about the execution of a request.
 type state int
 
 const (
-	untouched state = iota // no replica has run it
-	maybeRan               // one may have, and its answer is lost
-	begun                  // part of an answer was passed on
+	stateNotRun   state = iota // no replica has run it
+	stateMaybeRan              // a replica may have run it, and the response is lost
+	stateStarted               // part of a response was forwarded
 )
 
-// call is one request in progress.
+// call is a request in progress.
 type call struct {
-	server *Server
-	w      http.ResponseWriter
-	r      *http.Request
-	relay  *relay
-	start  time.Time
-	end    time.Time // when the answer is of no use any more
+	server   *Server
+	w        http.ResponseWriter
+	r        *http.Request
+	relay    *relay
+	start    time.Time
+	deadline time.Time
 
 	facts   Facts
 	route   *catalog.Route
 	service string
 	version int
-	rank    float64 // of its priority among those of the service's requests
-	urgency int     // the same as replicas are told it; 0 goes first
+	rank    float64 // of its priority among the requests of the service
+	urgency int     // the same as the level that replicas receive; 0 is first
 
-	keyed        bool   // requests need a key here, which goes no further
-	organisation string // that holds the caller's key; empty for none
-	reserved     bool   // its quota has been asked
+	keyed        bool   // the request needs a key, which is not forwarded
+	organisation string // owner of the caller's key; empty for none
+	reserved     bool   // the quota was queried
 	cost         float64
 	body         []byte
-	content      poison.Content // what it asks
-	trial        bool           // the next try is the run on trial
+	content      poison.Content
+	onTrial      bool // the next attempt is the run on trial
 
-	state       state
-	sent        int          // replicas it was sent to
-	told        atomic.Int64 // the same, as the box that it was passed on to told last
-	arrived     bool         // some replica got it, whatever it did
-	tried       []string     // replicas
-	triedBoxes  []string
-	noRegions   []string         // that refused it or could not be reached
-	receivers   []string         // of the replicas tried, those that got it
-	failedDials int              // connections that could not be made
-	counted     bool             // the budget of retries knows of it
-	retryPaid   atomic.Bool      // the budget has given the next try already
-	lastEvent   string           // id of the last event passed on
-	events      int              // that were passed on
-	fromBox     bool             // the stream comes by way of another box
-	firstAt     time.Duration    // until the first event or byte was passed on
-	lastAt      time.Time        // when an event was passed on last
-	tornAt      time.Time        // when the stream was last broken off
-	sameNext    bool             // the next target is one that broke the stream off
-	unresumable atomic.Bool      // what was passed on can't be gone on with by another run
-	pause       time.Duration    // the longest between two events
-	done        bool             // the caller has its answer
-	failure     *kept            // a replica's own answer that says it failed
-	reason      placement.Reason // why there was no target at last
-	wait        time.Duration    // until there may be one
+	state           state
+	sent            int          // number of replicas that the request was sent to
+	reportedSent    atomic.Int64 // the same as last reported by the box that the request was forwarded to
+	received        bool         // some replica received it
+	tried           []string     // replicas
+	triedBoxes      []string
+	noRegions       []string // regions that refused the request or were unreachable
+	receivers       []string // replicas of tried that received the request
+	failedDials     int
+	budgetCounted   bool             // the retry budget has counted the request
+	retryGranted    atomic.Bool      // the retry budget has granted the next attempt
+	lastEvent       string           // ID of the last forwarded event
+	events          int              // number of forwarded events
+	viaBox          bool             // another box forwards the stream
+	firstEventAfter time.Duration    // until the first event or byte was forwarded
+	lastEventAt     time.Time        // when the last event was forwarded
+	interruptedAt   time.Time        // when the stream was last interrupted
+	retryReceivers  bool             // the next target is one that interrupted the stream
+	unresumable     atomic.Bool      // another replica can't continue the forwarded part of the response
+	maxGap          time.Duration    // longest gap between two events
+	done            bool             // the caller has the complete response
+	failure         *response        // a replica's response that reports its own failure
+	reason          placement.Reason // why there is no further target
+	retryAfter      time.Duration    // until there may be a target
 }
 
-// run sends the request to one target after another until the caller has an
-// answer.
+// run sends the request to one target after another until the caller has a response.
 func (c *call) run(ctx context.Context) {
 	for rounds := 0; rounds < maxRounds && ctx.Err() == nil; {
-		if !c.held() { // its caller's time bounds the rounds of a stream that was begun
+		if !c.waitsUntilDeadline() { // the deadline alone limits the rounds of a started stream
 			rounds++
 		}
 		clock.Check()
-		if c.isLate() || c.isQuarantined() || !c.awaitTrial(ctx) || !c.keyHolds() || !c.reserve(ctx) {
+		if c.deadlinePassed() || c.isQuarantined() || !c.awaitTrial(ctx) || !c.keyStillValid() || !c.reserve(ctx) {
 			break
 		}
 		target := c.place(ctx)
 		if c.reason == reasonPoison {
-			break // it was quarantined while it was held
+			break // it was quarantined while it waited
 		}
 		if target.Reason != placement.None {
 			if c.waitFor(ctx, target) {
 				continue
 			}
 			c.reason = target.Reason
-			c.wait = target.Wait
+			c.retryAfter = target.Wait
 			break
 		}
-		c.recordPlace(target)
-		c.tellSent(c.sent + 1)
-		if c.try(ctx, target) {
+		c.recordPlacement(target)
+		c.sendSentCount(c.sent + 1)
+		if c.attempt(ctx, target) {
 			break
 		}
-		c.tellSent(c.sent)
-		if !c.mayTryAgain(ctx) {
+		c.sendSentCount(c.sent)
+		if !c.mayRetry(ctx) {
 			break
 		}
 	}
 	c.finish(ctx)
 }
 
-// isLate says whether the answer is of no use any more. The context alone doesn't tell: its
-// timer stands still while the machine is suspended.
-func (c *call) isLate() bool { return clock.Until(c.end) <= 0 }
+// deadlinePassed reports whether the deadline has passed. The context does not suffice: its
+// timer stops while the machine is suspended.
+func (c *call) deadlinePassed() bool { return clock.Until(c.deadline) <= 0 }
 
-// place asks where the request goes next. A stream that was begun waits until there
-// is a target, for else it would be broken off.
+// place returns the next target. A stream that has started waits until there is one, for it
+// would be interrupted otherwise.
 func (c *call) place(ctx context.Context) Target {
-	t := c.server.core.Place(c.ask())
-	for t.Reason != placement.None && c.held() && ctx.Err() == nil && !c.isQuarantined() {
-		if c.sameNext {
-			t = c.placeSame()
+	t := c.server.core.Place(c.query())
+	for t.Reason != placement.None && c.waitsUntilDeadline() && ctx.Err() == nil && !c.isQuarantined() {
+		if c.retryReceivers {
+			t = c.placeAmongReceivers()
 			continue
 		}
-		sleep.For(ctx, c.heldWait(t))
+		sleep.For(ctx, c.resumeWait(t))
 		t = c.placeAgain()
 	}
 	return t
 }
 
-// heldWait returns how long a held stream waits for a target. Those that just refused a
-// connection would be asked again at once.
-func (c *call) heldWait(t Target) time.Duration {
+// resumeWait returns how long a started stream waits before the next query for a target. After
+// failed connections the wait is longer.
+func (c *call) resumeWait(t Target) time.Duration {
 	if c.failedDials > 0 {
-		return heldCheck
+		return resumePollInterval
 	}
-	return min(max(t.Wait, shortWait), heldCheck)
+	return min(max(t.Wait, minWait), resumePollInterval)
 }
 
-// held says whether the request waits for as long as its caller does: a stream that was
-// begun and can't go on at the moment. A box that passed it on may know another target.
-func (c *call) held() bool { return c.state == begun && c.relay == nil }
+// waitsUntilDeadline reports whether the request waits for a target until its deadline: a
+// started stream, unless another box forwarded it, which may have another target.
+func (c *call) waitsUntilDeadline() bool { return c.state == stateStarted && c.relay == nil }
 
-// placeAgain asks once more, also for those that the request didn't get to: this box's own
-// link may have been full, or they may have been starting.
+// placeAgain queries again, including targets that the request did not reach: the link of
+// this box may have been congested, or they may have been starting.
 func (c *call) placeAgain() Target {
 	c.tried = slices.Clone(c.receivers)
 	c.triedBoxes = nil
 	c.noRegions = nil
-	c.sameNext = clock.Since(c.tornAt) > sameAfter
-	return c.server.core.Place(c.ask())
+	c.retryReceivers = clock.Since(c.interruptedAt) > receiverRetryDelay
+	return c.server.core.Place(c.query())
 }
 
-// placeSame asks for those that broke the stream off, once all others have refused it anew.
-func (c *call) placeSame() Target {
-	c.sameNext = false
+// placeAmongReceivers includes the replicas that interrupted the stream, after all others have
+// refused it.
+func (c *call) placeAmongReceivers() Target {
+	c.retryReceivers = false
 	c.tried = slices.DeleteFunc(slices.Clone(c.tried), func(replica string) bool { return slices.Contains(c.receivers, replica) })
-	return c.server.core.Place(c.ask())
+	return c.server.core.Place(c.query())
 }
 
-// noteFailedDial takes in that a connection could not be made. The retry that paid for it
-// pays for the next try.
+// noteFailedDial records a failed connection. The retry granted for it pays for the next
+// attempt.
 func (c *call) noteFailedDial() {
 	c.failedDials++
-	c.retryPaid.Store(c.arrived)
+	c.retryGranted.Store(c.received)
 }
 
-// dialTime returns for how long the next connection is tried: longer after two that were
-// not made, if the stream is held or nobody was heard just now, for the link of this box may
-// be full. Two replicas may well be dark. A request that isn't held is turned away in time.
-func (c *call) dialTime(usual time.Duration) time.Duration {
-	if c.failedDials < 2 || (!c.held() && c.server.hears("", heardFor)) {
+// dialTimeout returns the timeout of the next connection. It grows after two failed ones if a
+// started stream waits, or if nothing was received from anyone recently, for the link of this
+// box may be congested.
+func (c *call) dialTimeout(usual time.Duration) time.Duration {
+	if c.failedDials < 2 || (!c.waitsUntilDeadline() && c.server.receivedWithin("", receivedWindow)) {
 		return usual
 	}
 	longer := usual
 	for range c.failedDials - 1 {
-		longer = min(2*longer, longestDial)
+		longer = min(2*longer, maxDialTimeout)
 	}
-	if c.held() {
+	if c.waitsUntilDeadline() {
 		return longer
 	}
 	return max(usual, min(longer, c.route.Goal.Duration()-clock.Since(c.start)))
 }
 
-// recordPlace writes down where the request goes and what decided that.
-func (c *call) recordPlace(t Target) {
+// recordPlacement records the target and the load that it was selected by.
+func (c *call) recordPlacement(t Target) {
 	c.record(decision.Event{
 		Kind:     decision.Place,
 		Upstream: t.Choice.Replica + t.Box,
@@ -213,18 +213,18 @@
 	})
 }
 
-// ask returns the question where the request should go next.
-func (c *call) ask() Ask {
+// query returns the query for the next target.
+func (c *call) query() Ask {
 	shared := c.facts.Parts
 	if n := len(shared); n > 0 {
 		shared = shared[:n-1]
 	}
-	out := int(answerPerGuess * float64(c.facts.Guess))
+	out := int(outputPerGuess * float64(c.facts.Guess))
 	if out == 0 || (c.facts.MostOut > 0 && out > c.facts.MostOut) {
 		out = c.facts.MostOut
 	}
 	var trial *poison.Digest
-	if c.trial {
+	if c.onTrial {
 		d := c.content.Digest()
 		trial = &d
 	}
@@ -241,7 +241,7 @@
 			Rank:    c.rank,
 		},
 		Route:      c.route,
-		Left:       clock.Until(c.end),
+		Left:       clock.Until(c.deadline),
 		Goal:       c.route.Goal.Duration() - clock.Since(c.start),
 		Relayed:    c.relay != nil,
 		TriedBoxes: c.triedBoxes,
@@ -249,14 +249,14 @@
 	}
 }
 
-// waitFor waits for a replica that will take the request soon, within a share of
-// the route's goal.
+// waitFor waits for a replica that will soon have capacity, for at most a fraction of the
+// route's latency target.
 func (c *call) waitFor(ctx context.Context, t Target) bool {
-	if t.Wait <= 0 || c.state == begun || c.relay != nil {
-		return false // a box that passed the request on may know another target
+	if t.Wait <= 0 || c.state == stateStarted || c.relay != nil {
+		return false // a box that forwarded the request may have another target
 	}
-	limit := time.Duration(waitShare * float64(c.route.Goal.Duration()))
-	wait := max(t.Wait, shortWait)
+	limit := time.Duration(maxWaitFraction * float64(c.route.Goal.Duration()))
+	wait := max(t.Wait, minWait)
 	if clock.Since(c.start)+wait > limit {
 		return false
 	}
@@ -264,30 +264,30 @@
 	return ctx.Err() == nil
 }
 
-// mayTryAgain says whether the request may be sent to one more replica.
-func (c *call) mayTryAgain(ctx context.Context) bool {
-	if ctx.Err() != nil || c.isLate() {
+// mayRetry reports whether the request may be sent to one more replica.
+func (c *call) mayRetry(ctx context.Context) bool {
+	if ctx.Err() != nil || c.deadlinePassed() {
 		return false
 	}
-	if c.state != untouched && !c.route.Repeatable() {
+	if c.state != stateNotRun && !c.route.Repeatable() {
 		return false
 	}
-	if c.state == begun && (c.route.Kind != catalog.Stream || c.unresumable.Load()) {
+	if c.state == stateStarted && (c.route.Kind != catalog.Stream || c.unresumable.Load()) {
 		return false
 	}
 	if c.sent >= c.route.Attempts {
 		return false
 	}
-	return !c.arrived || c.retryPaid.Swap(false) || c.repeat(ctx)
+	return !c.received || c.retryGranted.Swap(false) || c.awaitRetryBudget(ctx)
 }
 
-// repeat asks the budget for a retry; a stream that was begun waits for one.
-func (c *call) repeat(ctx context.Context) bool {
+// awaitRetryBudget takes a retry from the budget; a started stream waits for one.
+func (c *call) awaitRetryBudget(ctx context.Context) bool {
 	for !c.server.core.Repeat(c.service) {
-		if !c.held() {
+		if !c.waitsUntilDeadline() {
 			return false
 		}
-		sleep.For(ctx, budgetCheck)
+		sleep.For(ctx, budgetPollInterval)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -295,26 +295,26 @@
 	return true
 }
 
-// ended is what one try came to.
-type ended int
+// attemptOutcome is the outcome of one attempt.
+type attemptOutcome int
 
 const (
-	served    ended = iota // the caller has the answer
-	unsent                 // no replica got it
-	notRun                 // a replica got it and says that it did not run it
-	unknown                // a replica may have run it
-	torn                   // part of the answer was passed on
-	abandoned              // the caller has left, or its time is up
+	served      attemptOutcome = iota // the caller has the response
+	unsent                            // no replica received the request
+	notRun                            // a replica received it and reports that it did not run it
+	unknown                           // a replica may have run it
+	interrupted                       // part of the response was forwarded
+	abandoned                         // the caller has left, or the deadline has passed
 )
 
-// try sends the request to a target. It returns true when nothing more is to be
-// done.
-func (c *call) try(ctx context.Context, t Target) bool {
-	var e ended
+// attempt sends the request to a target. It returns true if the request needs no further
+// attempt.
+func (c *call) attempt(ctx context.Context, t Target) bool {
+	var e attemptOutcome
 	if t.Choice.Replica != "" {
-		e = c.tryReplica(ctx, t)
+		e = c.attemptReplica(ctx, t)
 	} else {
-		e = c.tryBox(ctx, t)
+		e = c.attemptBox(ctx, t)
 	}
 	switch e {
 	case served:
@@ -323,35 +323,35 @@
 	case abandoned:
 		return true
 	case unknown:
-		c.state = max(c.state, maybeRan)
-	case torn:
-		c.state = begun
-		c.tornAt = clock.Now()
+		c.state = max(c.state, stateMaybeRan)
+	case interrupted:
+		c.state = stateStarted
+		c.interruptedAt = clock.Now()
 	case unsent, notRun:
 	}
 	return false
 }
 
-// note remembers that a replica got the request.
-func (c *call) note(replica string) {
+// noteReceiver records that a replica received the request.
+func (c *call) noteReceiver(replica string) {
 	c.sent++
-	c.arrived = true
+	c.received = true
 	c.receivers = append(c.receivers, replica)
 	if !slices.Contains(c.tried, replica) {
 		c.tried = append(c.tried, replica)
 	}
 }
 
-// begin counts the request for the budget of retries, once.
-func (c *call) begin() {
-	if c.counted {
+// countForBudget counts the request for the retry budget, once.
+func (c *call) countForBudget() {
+	if c.budgetCounted {
 		return
 	}
-	c.counted = true
+	c.budgetCounted = true
 	c.server.core.Begin(c.service)
 }
 
-// record writes an event of this request down.
+// record records an event of this request.
 func (c *call) record(e decision.Event) {
 	e.Request = c.facts.ID
 	e.Service = c.service
--- a/ingress/choked_test.go
+++ b/ingress/choked_test.go
@@ -80,7 +80,7 @@
 		is.True(a.whole)
 		is.Equal(a.body, wholeStream())
 		is.Equal(g.runs(), 2)
-		is.True(a.took < eventCount*eventEvery+quietStream+2*eventEvery) // the link is free, so the silence is the replica's
+		is.True(a.took < eventCount*eventEvery+streamStallTimeout+2*eventEvery) // the link is free, so the silence is the replica's
 	})
 }
 
@@ -140,7 +140,7 @@
 		is.True(a.whole)
 		is.Equal(a.body, wholeStream())
 		is.Equal(g.runs(), 2)
-		is.True(a.took < eventCount*eventEvery+quietBox+2*eventEvery)
+		is.True(a.took < eventCount*eventEvery+boxStallTimeout+2*eventEvery)
 	})
 }
 
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -18,77 +18,77 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-const heardEvery = 100 * time.Millisecond // between two words that a replica goes on; a seventh of quietStream
+const receivedInterval = 100 * time.Millisecond // minimum time between two reports that the replica is sending; a seventh of streamStallTimeout
 
-// errCaller says that the caller of a stream has left.
-var errCaller = errors.New("ingress: caller left")
+// errCallerLeft reports that the caller of a stream has left.
+var errCallerLeft = errors.New("ingress: caller left")
 
-// passEvents passes a stream on, whole events only, so that it can go on at
-// another replica after any of them.
-func (a *attempt) passEvents(ctx context.Context, answer *exchange.Answer, body io.Reader) ended {
+// passEvents forwards a stream in complete events, so that it can resume at another replica
+// after any of them.
+func (a *attempt) passEvents(ctx context.Context, answer *exchange.Answer, body io.Reader) attemptOutcome {
 	c := a.call
-	if c.state != begun {
-		c.openStream(answer)
+	if c.state != stateStarted {
+		c.startStream(answer)
 	} else {
 		c.server.core.Meter.Resumed(c.service)
 	}
-	c.fromBox = a.target.Box != ""
+	c.viaBox = a.target.Box != ""
 	in := events.NewReader(body)
 	defer in.Close()
 	err := c.copyEvents(in)
 	switch {
-	case errors.Is(err, errCaller):
-		a.why = whyLeft
-		c.reason = reasonLeft
+	case errors.Is(err, errCallerLeft):
+		a.why = whyCallerLeft
+		c.reason = reasonCallerLeft
 		return abandoned
 	case errors.Is(err, io.EOF):
 		return a.endStream(in.Rest())
 	}
-	return a.broke(ctx)
+	return a.bodyInterrupted(ctx)
 }
 
-// heard is an answer whose bytes show that the replica goes on.
-type heard struct {
+// progressReader reads a response and records that the replica is sending.
+type progressReader struct {
 	attempt *attempt
 	answer  *exchange.Answer
 }
 
-// Read reads from the answer.
-func (h *heard) Read(p []byte) (int, error) {
+// Read reads from the response.
+func (h *progressReader) Read(p []byte) (int, error) {
 	n, err := h.answer.Read(p)
 	if n > 0 {
-		h.attempt.noteHeard()
+		h.attempt.noteReceived()
 	}
 	return n, err
 }
 
-// noteHeard says that the replica goes on, not for every event.
-func (a *attempt) noteHeard() {
+// noteReceived records that the replica is sending, at most once per receivedInterval.
+func (a *attempt) noteReceived() {
 	now := max(clock.Since(a.sent), 1)
-	if last := time.Duration(a.heard.Load()); last > 0 && now-last < heardEvery {
+	if last := time.Duration(a.lastReceived.Load()); last > 0 && now-last < receivedInterval {
 		return
 	}
-	a.heard.Store(int64(now))
+	a.lastReceived.Store(int64(now))
 	if a.target.Choice.Replica != "" {
 		a.call.server.core.Heard(&a.target.Choice)
-		a.noteSurvived(now)
+		a.reportSurvived(now)
 	}
 }
 
-// openStream passes the head of a stream on.
-func (c *call) openStream(answer *exchange.Answer) {
-	c.setHeader(head{
+// startStream forwards the head of a stream.
+func (c *call) startStream(answer *exchange.Answer) {
+	c.setHeader(responseHead{
 		status: answer.Status(),
 		header: answer.Header(),
 	})
 	c.w.WriteHeader(answer.Status())
 	c.flush()
-	c.state = begun
+	c.state = stateStarted
 }
 
-// endStream ends a stream that came to its end. Bytes after the last whole event
-// belong to it too, for a stream may lack the empty line at its end.
-func (a *attempt) endStream(rest []byte) ended {
+// endStream completes a stream. It forwards the bytes after the last event too, for the final
+// empty line may be missing.
+func (a *attempt) endStream(rest []byte) attemptOutcome {
 	c := a.call
 	a.result = placement.Answered
 	if len(rest) > 0 {
@@ -99,11 +99,11 @@
 	if c.sent == 1 && c.facts.LastEvent == "" {
 		c.server.core.Streamed(c.service, c.events, c.facts.Guess)
 	}
-	c.finished(decision.Served, http.StatusOK, "")
+	c.recordEnd(decision.Served, http.StatusOK, "")
 	return served
 }
 
-// copyEvents passes whole events on until the stream ends, and returns why it did.
+// copyEvents forwards complete events until the stream ends, and returns why it ended.
 func (c *call) copyEvents(in *events.Reader) error {
 	passed := false
 	for {
@@ -113,22 +113,22 @@
 		}
 		did, err := c.passEvent(event)
 		if err != nil {
-			return errors.Mark(err, errCaller)
+			return errors.Mark(err, errCallerLeft)
 		}
 		passed = passed || did
 		if passed && !in.More() {
 			passed = false
 			c.flush()
-			c.notePause(clock.Now())
+			c.noteGap(clock.Now())
 		}
 	}
 }
 
-// passEvent passes an event on. One that the caller has already is left out.
+// passEvent forwards an event unless the caller has already received it.
 func (c *call) passEvent(event []byte) (passed bool, err error) {
-	if n, ok := sentEvent(event); ok && c.fromBox {
+	if n, ok := parseSentCount(event); ok && c.viaBox {
 		c.sent = n
-		c.told.Store(int64(c.sent))
+		c.reportedSent.Store(int64(c.sent))
 		return false, nil
 	}
 	id := events.ID(event)
@@ -144,29 +144,29 @@
 		return true, nil
 	}
 	for range events.Data(event) {
-		c.unresumable.Store(true) // another run would begin with it, or before it
+		c.unresumable.Store(true) // without an ID another run can't resume after it
 	}
 	return true, nil
 }
 
-// sentPrefix begins a comment by which a box tells another in the middle of a
-// stream to how many replicas the request was sent by now.
-const sentPrefix = ":rudder-sent "
+// sentCountPrefix starts a comment in a stream by which a box reports to another how many
+// replicas the request was sent to so far.
+const sentCountPrefix = ":rudder-sent "
 
-// tellSent says so before the stream goes on at one more replica, and when that one was
-// not reached. When it was said with the first event from there, the other box could give
-// this one up meanwhile and send the request to one replica too many.
-func (c *call) tellSent(sent int) {
-	if c.relay == nil || c.state != begun {
+// sendSentCount reports the number before the stream resumes at one more replica, and again if
+// that one was not reached. If it came with the first event from there, the other box could
+// meanwhile retry and exceed the limit of attempts.
+func (c *call) sendSentCount(sent int) {
+	if c.relay == nil || c.state != stateStarted {
 		return
 	}
-	_, _ = fmt.Fprintf(c.w, "%s%d\n\n", sentPrefix, sent) // the other box has gone when this fails
+	_, _ = fmt.Fprintf(c.w, "%s%d\n\n", sentCountPrefix, sent) // the other box has gone when this fails
 	c.flush()
 }
 
-// sentEvent reads what tellSent wrote.
-func sentEvent(event []byte) (int, bool) {
-	value, ok := bytes.CutPrefix(event, []byte(sentPrefix))
+// parseSentCount parses what sendSentCount writes.
+func parseSentCount(event []byte) (int, bool) {
+	value, ok := bytes.CutPrefix(event, []byte(sentCountPrefix))
 	if !ok {
 		return 0, false
 	}
@@ -174,17 +174,16 @@
 	return n, err == nil
 }
 
-// notePause keeps the longest pause between events.
-func (c *call) notePause(now time.Time) {
-	if c.lastAt.IsZero() {
-		c.firstAt = now.Sub(c.start)
+// noteGap records the longest gap between events.
+func (c *call) noteGap(now time.Time) {
+	if c.lastEventAt.IsZero() {
+		c.firstEventAfter = now.Sub(c.start)
 	} else {
-		c.pause = max(c.pause, now.Sub(c.lastAt))
+		c.maxGap = max(c.maxGap, now.Sub(c.lastEventAt))
 	}
-	c.lastAt = now
+	c.lastEventAt = now
 }
 
-// flush sends what was written.
 func (c *call) flush() {
-	_ = http.NewResponseController(c.w).Flush() // a caller that has left is found by the next write
+	_ = http.NewResponseController(c.w).Flush() // the next write returns an error if the caller has left
 }
--- /dev/null
+++ b/ingress/forward.go
@@ -0,0 +1,104 @@
+package ingress
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/havenrudder/havenrudder/common/clock"
+	"github.com/havenrudder/havenrudder/exchange"
+)
+
+const (
+	boxDialTimeout    = 400 * time.Millisecond // covers two round trips of 160 ms between regions
+	boxUnackedTimeout = 30 * time.Second       // for unacknowledged data in the middle of a response
+)
+
+// attemptBox forwards the request to a box of another region.
+func (c *call) attemptBox(ctx context.Context, t Target) attemptOutcome {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	a := &attempt{
+		call:   c,
+		target: &t,
+		sent:   clock.Now(),
+		cancel: cancel,
+	}
+	c.triedBoxes = append(c.triedBoxes, t.Box)
+	stop := a.watchStall(ctx)
+	e := a.forward(ctx)
+	stop()
+	c.onTrial = c.onTrial && e == unsent
+	if e == unsent || e == notRun {
+		c.noRegions = append(c.noRegions, t.Region) // its other boxes would refuse too
+	}
+	if e != abandoned && e != notRun {
+		c.server.core.Crossed(t.Box, t.Region, e == served)
+	}
+	c.server.core.Meter.Forward(t.Region, string(loggedOutcomes[e]))
+	a.report(e)
+	return e
+}
+
+// forward sends the request to the box and returns the response to the caller.
+func (a *attempt) forward(ctx context.Context) attemptOutcome {
+	c := a.call
+	h := c.forwardedHeaders()
+	h.Set(headerRelay, c.newRelay().encode())
+	answer, err := c.server.boxes.Do(ctx, exchange.Request{
+		Addr:        a.target.BoxAddr,
+		Method:      c.r.Method,
+		Target:      c.r.RequestURI,
+		Host:        c.r.Host,
+		Header:      h,
+		Body:        c.body,
+		Begin:       a.noteWritten,
+		DialTimeout: c.dialTimeout(boxDialTimeout),
+	})
+	if err != nil {
+		return a.forwardFailed(ctx, err)
+	}
+	defer func() { _ = answer.Close() }()
+	a.headAfter = clock.Since(a.sent)
+	a.noteReceived()
+	answer.LimitUnacked(boxUnackedTimeout)
+	there := remoteSentCount(answer.Header())
+	c.sent += there
+	c.reportedSent.Store(int64(c.sent))
+	c.budgetCounted = c.budgetCounted || there > 0
+	c.received = c.received || there > 0
+	switch answer.Header().Get(headerResult) {
+	case resultAnswer:
+		return a.pass(ctx, answer)
+	case resultNotRun:
+		if there > 0 {
+			return notRun
+		}
+		return unsent
+	}
+	return unknown
+}
+
+// forwardFailed returns the outcome of an attempt without a response from the box.
+func (a *attempt) forwardFailed(ctx context.Context, err error) attemptOutcome {
+	c := a.call
+	a.setWhy(ctx, err)
+	var e *exchange.Error
+	if errors.As(err, &e) && !e.Sent() {
+		if ctx.Err() != nil {
+			return abandoned
+		}
+		c.server.core.BoxLost(a.target.Box)
+		c.noteFailedDial()
+		return unsent
+	}
+	c.sent++ // the box may have sent it to a replica
+	c.budgetCounted = true
+	c.received = true
+	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errStalled) {
+		c.state = max(c.state, stateMaybeRan)
+		return abandoned
+	}
+	return unknown
+}
--- a/ingress/headers_test.go
+++ b/ingress/headers_test.go
@@ -26,7 +26,7 @@
 		"X-Kept":            {"a", "b"},
 		"Content-Type":      {"text/plain"},
 	}
-	is.Equal(onward(in), http.Header{
+	is.Equal(endToEndHeaders(in), http.Header{
 		"X-Kept":       {"a", "b"},
 		"Content-Type": {"text/plain"},
 	})
@@ -92,6 +92,6 @@
 		is := is.New(t)
 		h := http.Header{}
 		h.Set(headerSent, c.value)
-		is.Equal(sentThere(h), c.want)
+		is.Equal(remoteSentCount(h), c.want)
 	}
 }
--- a/ingress/identify.go
+++ b/ingress/identify.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	defaultLife = 30 * time.Second       // of a request whose caller and route say nothing
-	policyWait  = 300 * time.Millisecond // a box far from the publisher knows a policy some 350 ms after its start
-	policyLook  = 20 * time.Millisecond  // between two looks for one
-	defaultBody = 4 << 20                // bytes, where the policy gives no bound
+	defaultTimeout      = 30 * time.Second       // if neither caller nor route sets one
+	policyWaitTimeout   = 300 * time.Millisecond // a box receives its first policy some 350 ms after its start
+	policyPollInterval  = 20 * time.Millisecond
+	defaultMaxBodyBytes = 4 << 20 // if the policy sets no limit
 )
 
-// identify finds the route of the request and what it says of itself.
+// identify reads the properties of the request and finds its route.
 func (c *call) identify() bool {
-	table := c.firstTable()
+	table := c.awaitTable()
 	if table == nil {
-		c.refuse(reasonStarting, retryStarting)
+		c.refuse(reasonStarting, retryAfterStarting)
 		return false
 	}
 	var err error
@@ -40,7 +40,7 @@
 		return false
 	}
 	if c.route.Kind == catalog.Stream && !c.server.core.Streams() {
-		c.refuse(reasonStopping, c.server.retryElsewhere())
+		c.refuse(reasonStopping, c.server.retryAfterStop())
 		return false
 	}
 	if c.service == "" {
@@ -49,7 +49,7 @@
 	organisation := table.OrganisationOf(c.organisation)
 	c.rank = table.Rank(c.service, c.route.Priority, organisation)
 	c.urgency = table.Urgency(c.service, c.route.Priority, organisation)
-	c.setEnd()
+	c.setDeadline()
 	c.lastEvent = c.facts.LastEvent
 	if c.relay != nil && c.relay.LastEvent != "" {
 		c.lastEvent = c.relay.LastEvent
@@ -57,28 +57,27 @@
 	return true
 }
 
-// firstTable returns the policy in force. Just after its start a box waits a
-// little for one, for that is sooner than the caller would be back.
-func (c *call) firstTable() *catalog.Table {
+// awaitTable returns the policy in force. Just after start-up it waits briefly for the
+// first one, which is faster than a retry by the caller.
+func (c *call) awaitTable() *catalog.Table {
 	for {
 		table := c.server.core.Table()
-		if table != nil || clock.Since(c.start) > policyWait || c.r.Context().Err() != nil {
+		if table != nil || clock.Since(c.start) > policyWaitTimeout || c.r.Context().Err() != nil {
 			return table
 		}
-		sleep.For(c.r.Context(), policyLook)
+		sleep.For(c.r.Context(), policyPollInterval)
 	}
 }
 
-// findRoute looks the route up. A request that another box passed on with a
-// newer policy keeps that box's route, so that no caller sees an older policy
-// after a newer one.
+// findRoute looks up the route. A request that another box forwarded keeps the route of
+// that box, so that callers never see an older policy after a newer one.
 func (c *call) findRoute(table *catalog.Table) bool {
 	if c.relay != nil {
 		c.route = c.relay.Route
 		c.service = c.relay.Service
 		c.sent = c.relay.Sent
-		c.counted = c.sent > 0
-		c.arrived = c.counted
+		c.budgetCounted = c.sent > 0
+		c.received = c.budgetCounted
 		if c.relay.Version > c.version {
 			c.server.core.Behind(c.relay.Version)
 		}
@@ -93,15 +92,15 @@
 	case c.server.core.Current():
 		c.reject(http.StatusNotFound, "no route")
 	default:
-		c.refuse(reasonStale, retryStarting) // a newer policy may have the route
+		c.refuse(reasonStalePolicy, retryAfterStarting) // a newer policy may contain the route
 	}
 	return false
 }
 
-// setEnd sets the time at which the answer is of no use: the caller's deadline, the
-// route's timeout or the end of this box, whichever comes first.
-func (c *call) setEnd() {
-	life := defaultLife
+// setDeadline sets the earliest of the caller's deadline, the route's timeout and the
+// end of this box.
+func (c *call) setDeadline() {
+	life := defaultTimeout
 	if c.route.Timeout > 0 {
 		life = c.route.Timeout.Duration()
 	}
@@ -111,15 +110,15 @@
 	if c.relay != nil {
 		life = time.Duration(c.relay.LeftMs) * time.Millisecond
 	}
-	c.end = c.start.Add(life)
-	if by, ok := c.server.core.EndsBy(); ok && by.Before(c.end) {
-		c.end = by // an answer that says so is better than a connection that is cut
+	c.deadline = c.start.Add(life)
+	if by, ok := c.server.core.EndsBy(); ok && by.Before(c.deadline) {
+		c.deadline = by // so that the caller receives a response, not a closed connection
 	}
 }
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the complete body, so that it can be sent again.
 func (c *call) readBody() bool {
-	limit := int64(defaultBody)
+	limit := int64(defaultMaxBodyBytes)
 	if t := c.server.core.Table(); t != nil && t.Policy().Limits.BodyBytes > 0 {
 		limit = int64(t.Policy().Limits.BodyBytes)
 	}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,7 +1,7 @@
-// Package ingress is the path of a request through a box: it finds the route,
-// chooses where the request goes, passes it on, and passes the answer back. It
-// never presents part of an answer as the whole, and says that a request was not
-// run only where that is known.
+// Package ingress handles a request on its way through a box: it finds the route,
+// selects a target, forwards the request and returns the response. It never presents
+// a partial response as complete, and reports a request as not run only where that is
+// known.
 package ingress
 
 import (
@@ -18,58 +18,58 @@
 	"github.com/havenrudder/havenrudder/poison"
 )
 
-// Part is a part of a prompt.
+// Part is a prompt segment.
 type Part = placement.Part
 
-// Facts are what a decision needs of a caller's request.
+// Facts are the properties of a caller's request that a routing decision needs.
 type Facts struct {
 	ID        string
-	Deadline  time.Duration // how long the caller will wait; 0 when it says nothing
+	Deadline  time.Duration // 0 if the caller sends none
 	Prompt    int           // tokens
-	MostOut   int           // tokens of the answer at most
-	Guess     int           // tokens of the answer as the caller guesses; 0 for none
-	Parts     []Part        // of the prompt; the last one is the request's own
-	LastEvent string        // id of the last event that the caller has of a broken stream
+	MostOut   int           // maximum number of output tokens
+	Guess     int           // output tokens that the caller expects; 0 if unknown
+	Parts     []Part        // prompt segments; the last one is specific to the request
+	LastEvent string        // ID of the last event that the caller has received of an interrupted stream
 	Caller    string        // credentials of the caller; empty for none
-	Key       catalog.Key   // that the caller shows
-	HasKey    bool          // there is one, in the form that keys have
+	Key       catalog.Key   // API key of the caller
+	HasKey    bool          // Key is set: the request has a well-formed key
 }
 
-// Send is what a replica is told beside the caller's own headers.
+// Send holds the values that a replica receives besides the caller's own headers.
 type Send struct {
-	Replica   string        // id that must match, or the replica doesn't run the request
-	Left      time.Duration // time until the answer is of no use
-	Urgency   int           // 0 goes first; below 0 for none
-	LastEvent string        // id of the last event passed on, to go on after it
-	CopyFrom  string        // address of a replica that may keep a beginning of the prompt; empty for none
+	Replica   string        // expected instance ID; a replica with another one does not run the request
+	Left      time.Duration // time until the deadline
+	Urgency   int           // 0 is the most urgent; negative for none
+	LastEvent string        // ID of the last forwarded event, after which the stream resumes
+	CopyFrom  string        // address of a replica that may have a prefix of the prompt cached; empty for none
 
-	Organisation string // of the caller; empty where its requests need no key
+	Organisation string // of the caller; empty where requests need no key
 }
 
 // Codec reads and writes the headers of requests and answers.
 type Codec struct {
 	Facts    func(h http.Header) (Facts, error)
-	Withhold func(h http.Header) // removes the key, which no replica and no other box is to see
+	Withhold func(h http.Header) // removes the key, which neither replicas nor other boxes receive
 	Send     func(h http.Header, s Send)
-	Owns     func(h http.Header, id string) bool                  // an answer belongs to the request of that id
-	Ran      func(status int, h http.Header) bool                 // false: the replica says that it did not run the request
-	Genuine  func(h http.Header) bool                             // an answer of success is as a replica made it
-	Load     func(h http.Header) (requests, waiting int, ok bool) // that the replica says it has, and how many of them wait; false where it doesn't say
+	Owns     func(h http.Header, id string) bool                  // reports whether a response belongs to the request with that ID
+	Ran      func(status int, h http.Header) bool                 // false if the replica reports that it did not run the request
+	Genuine  func(h http.Header) bool                             // reports whether a successful response was made by a replica
+	Load     func(h http.Header) (requests, waiting int, ok bool) // number of requests that the replica reports, and of those that wait; false without a report
 }
 
-// Target is where a request goes next: to a replica, to another box, or nowhere
-// for a reason.
+// Target is the next destination of a request: a replica, a box, or none for a
+// reason.
 type Target struct {
-	Choice  placement.Choice // Choice.Replica is empty when it goes to a box, or nowhere
+	Choice  placement.Choice // Choice.Replica is empty if the target is a box or none
 	Box     string           // box of another region
-	BoxAddr string           // where it takes requests from boxes
+	BoxAddr string           // address on which the box accepts requests from boxes
 	Region  string           // of the box
-	Reason  placement.Reason // why it goes nowhere
-	Wait    time.Duration    // when to ask again, where that is known
-	AgeMs   int64            // age of what is believed of the other region
+	Reason  placement.Reason // why there is no target
+	Wait    time.Duration    // when to ask again, if known
+	AgeMs   int64            // age of the recorded state of the other region
 }
 
-// addr returns where the target takes requests.
+// addr returns the address of the target.
 func (t *Target) addr() string {
 	if t.Box != "" {
 		return t.BoxAddr
@@ -77,48 +77,48 @@
 	return t.Choice.Addr
 }
 
-// Ask is a question for a target.
+// Ask is a query for a target.
 type Ask struct {
-	Trial      *poison.Digest // of a request on trial: it runs apart from others that are
+	Trial      *poison.Digest // set for a request on trial, which runs apart from others on trial
 	Request    placement.Request
 	Route      *catalog.Route
-	Left       time.Duration // time until the answer is of no use
-	Goal       time.Duration // what is left of the route's goal
-	Relayed    bool          // the request came from another box, and goes to no third
+	Left       time.Duration // time until the deadline
+	Goal       time.Duration // remaining part of the route's latency target
+	Relayed    bool          // the request came from another box, and is forwarded to no third one
 	TriedBoxes []string
-	NoRegions  []string // regions that refused the request or could not be reached
+	NoRegions  []string // regions that refused the request or were unreachable
 }
 
-// Core is the box behind the path. Its fields are the seams between them.
+// Core holds the functions that connect the request path to the rest of the box.
 type Core struct {
 	Table    func() *catalog.Table    // nil until a policy is known
-	Current  func() bool              // what is published was read of late
+	Current  func() bool              // the published catalog was read recently
 	Leaving  func() bool              // a planned stop has begun
-	Streams  func() bool              // a stream that comes now can be answered to its end
-	Others   func() bool              // another box of the region serves
-	EndsBy   func() (time.Time, bool) // when a planned stop is over, if one has begun
+	Streams  func() bool              // a new stream has time to complete
+	Others   func() bool              // another box of the region is serving
+	EndsBy   func() (time.Time, bool) // when a planned stop ends, if one has begun
 	Place    func(Ask) Target
 	Begin    func(service string)      // a request is sent for the first time
-	Repeat   func(service string) bool // asks to send one again
-	Written  func(c *placement.Choice) // the request is written to the replica only now, a while after its choice
+	Repeat   func(service string) bool // takes one retry from the budget
+	Written  func(c *placement.Choice) // the request was written to the replica some time after its selection
 	First    func(c *placement.Choice, took time.Duration)
 	Heard    func(c *placement.Choice)
-	Quiet    func(c *placement.Choice, sent time.Time) time.Duration // how long its replica has been silent towards this box
-	Muted    func(c *placement.Choice)                               // its replica is silent under a request that waits on
-	Other    func(next Ask) (Target, bool)                           // where a request would go, without counting it in
-	Loaded   func(c *placement.Choice, requests, waiting int)        // the replica says that it has so many requests, this one included, of which so many wait
-	Streamed func(service string, events, guess int)                 // a whole stream had so many events, where the caller guessed so many tokens
+	Quiet    func(c *placement.Choice, sent time.Time) time.Duration // time since the last bytes from the replica
+	Muted    func(c *placement.Choice)                               // the replica is silent, and its request keeps waiting
+	Other    func(next Ask) (Target, bool)                           // returns the next target without recording the request there
+	Loaded   func(c *placement.Choice, requests, waiting int)        // the replica reports its number of requests, including this one, and of those that wait
+	Streamed func(service string, events, guess int)                 // a stream is complete: its number of events, and of output tokens that the caller expected
 	End      func(c *placement.Choice, r placement.Result, took time.Duration)
-	BoxLost  func(box string)                  // a box could not be reached
-	Crossed  func(box, region string, ok bool) // whether a request to a box of a region was answered
-	Behind   func(version int)                 // another box knows a newer policy, of a version
+	BoxLost  func(box string)                  // a box was unreachable
+	Crossed  func(box, region string, ok bool) // reports whether a box of a region served a forwarded request
+	Behind   func(version int)                 // another box has a newer policy, of this version
 	Record   func(decision.Event)
 	Poison   Poison
 	Keys     Keys
 	Meter    Meter
 }
 
-// Meter is told the figures of requests.
+// Meter receives the metrics of requests.
 type Meter struct {
 	Request func(service, outcome string, took time.Duration)
 	First   func(service string, took time.Duration)
@@ -128,7 +128,7 @@
 	Resumed func(service string)
 }
 
-// Server takes requests from callers and from other boxes.
+// Server accepts requests from callers and from other boxes.
 type Server struct {
 	box      string
 	region   string
@@ -136,10 +136,10 @@
 	core     Core
 	replicas *exchange.Pool
 	boxes    *exchange.Pool
-	reaching atomic.Bool // a watch over silence makes a connection, which proves the way for all
+	probing  atomic.Bool // a stall watch is making a connection; one at a time probes the link for all
 }
 
-// New returns the path of a box in a region.
+// New returns the server of a box in a region.
 func New(box, region string, codec Codec, core Core, replicas, boxes *exchange.Pool) *Server {
 	return &Server{
 		box:      box,
@@ -154,12 +154,12 @@
 // Callers returns the handler for callers.
 func (s *Server) Callers() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		dropRelay(r.Header)
+		removeRelayHeaders(r.Header)
 		s.serve(w, r, nil)
 	})
 }
 
-// Boxes returns the handler for requests that other boxes pass on.
+// Boxes returns the handler for requests that other boxes forward.
 func (s *Server) Boxes() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		relay, err := decodeRelay(r.Header.Get(headerRelay))
@@ -167,15 +167,15 @@
 			s.refuseRelay(w, "bad relay header: "+err.Error())
 			return
 		}
-		dropRelay(r.Header)
+		removeRelayHeaders(r.Header)
 		s.serve(w, r, relay)
 	})
 }
 
-// serve answers one request; relay is nil when a caller sent it.
+// serve answers one request; relay is nil if it came from a caller.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, relay *relay) {
 	if relay == nil && s.core.Leaving() {
-		w.Header().Set("Connection", "close") // callers then use another box
+		w.Header().Set("Connection", "close") // so that the caller reconnects to another box
 	}
 	c := &call{
 		server: s,
@@ -183,13 +183,13 @@
 		r:      r,
 		relay:  relay,
 		start:  clock.Now(),
-		state:  untouched,
+		state:  stateNotRun,
 	}
 	if !c.identify() || !c.readBody() {
 		return
 	}
-	c.takeContent()
-	ctx, cancel := context.WithTimeout(r.Context(), clock.Until(c.end)+endSlack)
+	c.setContent()
+	ctx, cancel := context.WithTimeout(r.Context(), clock.Until(c.deadline)+deadlineGrace)
 	defer cancel()
 	c.run(ctx)
 }
--- a/ingress/poison.go
+++ b/ingress/poison.go
@@ -11,94 +11,94 @@
 	"github.com/havenrudder/havenrudder/poison"
 )
 
-// reasonTrial is of a request that waited for its run on trial for as long as it may.
+// reasonTrial is the reason of a request that waited too long for its run on trial.
 const reasonTrial placement.Reason = "on trial, replicas ended under it"
 
 const (
-	trialWait  = 600 * time.Millisecond // for a run on trial: the question for it takes 0.17 s between regions, a guilty request elsewhere is known for one after some 0.4 s
-	trialCheck = 40 * time.Millisecond  // between two looks
-	trialRetry = time.Second            // a replica survives the run within 2 s; the caller waited for some of it
+	trialWaitTimeout  = 600 * time.Millisecond
+	trialPollInterval = 40 * time.Millisecond
+	trialRetryAfter   = time.Second // a replica survives a run on trial within 2 s
 )
 
-// reasonPoison is of a request that is turned away since replicas ended under it.
+// reasonPoison is the reason of a request that is quarantined.
 const reasonPoison placement.Reason = "ends its replicas"
 
-// survivesAfter is how long a replica must have gone on with an answer to have survived its
-// request. Requests that end their replicas do so some 0.1 s after they begin to run; of the
-// streams that are cut with them most have run for longer.
-const survivesAfter = 2 * time.Second
+// survivalTime is how long a replica must have streamed a response to count as having
+// survived its request. Poison requests crash replicas some 0.1 s after their start.
+const survivalTime = 2 * time.Second
 
-// Poison is what a box knows of requests under which replicas ended. Its fields are seams.
+// Poison holds the functions that report crashes of replicas under requests, and query
+// the requests that are suspect.
 type Poison struct {
-	Quarantined func(content *poison.Content) (left time.Duration, quarantined bool)                // no replica may get the request, for so long
-	Cut         func(c *placement.Choice, content *poison.Content, took time.Duration, closed bool) // a replica got the request and gave no whole answer; closed says that it closed the connection
-	Survived    func(c *placement.Choice, content *poison.Content, took time.Duration)              // a replica gave the request a whole answer, or has gone on with one for long
-	OnTrial     func(content *poison.Content) bool                                                  // one run of the request at a time may be under way, over all boxes
-	TakeTrial   func(content *poison.Content) bool                                                  // asks to make that run now
-	EndTrial    func(c *placement.Choice, content *poison.Content)                                  // it is over
+	Quarantined func(content *poison.Content) (left time.Duration, quarantined bool)                // no replica may receive the request for the time left
+	Cut         func(c *placement.Choice, content *poison.Content, took time.Duration, closed bool) // a replica received the request and sent no complete response; closed: it closed the connection
+	Survived    func(c *placement.Choice, content *poison.Content, took time.Duration)              // a replica sent a complete response, or has streamed one for survivalTime
+	OnTrial     func(content *poison.Content) bool                                                  // the request may run once at a time, over all boxes
+	TakeTrial   func(content *poison.Content) bool                                                  // requests permission for that run
+	EndTrial    func(c *placement.Choice, content *poison.Content)                                  // the run is over
 }
 
-// takeContent keeps what the request asks, once its body is read.
-func (c *call) takeContent() {
+// setContent sets the content that identifies the request; the body must have been read.
+func (c *call) setContent() {
 	c.content = poison.Content{
 		Method: c.r.Method,
 		Host:   c.r.Host,
 		Target: c.r.RequestURI,
-		Caller: c.caller(),
+		Caller: c.callerIdentity(),
 		Body:   c.body,
 	}
 }
 
-// isQuarantined says whether the request may go to no replica any more. It is asked before each
-// try: the request may have been quarantined since the last.
+// isQuarantined reports whether no replica may receive the request any more. It is checked
+// before each attempt.
 func (c *call) isQuarantined() bool {
 	left, quarantined := c.server.core.Poison.Quarantined(&c.content)
 	if quarantined {
 		c.reason = reasonPoison
-		c.wait = left
+		c.retryAfter = left
 	}
 	return quarantined
 }
 
-// awaitTrial waits, where the request is on trial, until it may run, and says whether it may. One
-// that another box passed on was allowed there.
+// awaitTrial waits until a request on trial may run, and reports whether it may. The box
+// that forwarded a request has permission for it.
 func (c *call) awaitTrial(ctx context.Context) bool {
 	p := &c.server.core.Poison
-	until := clock.Now().Add(trialWait)
-	for !c.trial && p.OnTrial(&c.content) {
+	until := clock.Now().Add(trialWaitTimeout)
+	for !c.onTrial && p.OnTrial(&c.content) {
 		if c.relay != nil || p.TakeTrial(&c.content) {
-			c.trial = true
+			c.onTrial = true
 			break
 		}
-		if c.isQuarantined() || c.isLate() || ctx.Err() != nil {
+		if c.isQuarantined() || c.deadlinePassed() || ctx.Err() != nil {
 			return false
 		}
-		if clock.Until(until) <= 0 && !c.held() {
+		if clock.Until(until) <= 0 && !c.waitsUntilDeadline() {
 			c.reason = reasonTrial
-			c.wait = trialRetry
+			c.retryAfter = trialRetryAfter
 			return false
 		}
-		sleep.For(ctx, trialCheck)
+		sleep.For(ctx, trialPollInterval)
 	}
 	return true
 }
 
-// endTrial takes in that the run on trial is over. One that reached no replica may be made
-// still.
-func (a *attempt) endTrial(e ended) {
+// endTrial reports the end of a run on trial. If no replica received the request, the
+// permission stays valid for the next attempt.
+func (a *attempt) endTrial(e attemptOutcome) {
 	c := a.call
-	if !c.trial {
+	if !c.onTrial {
 		return
 	}
 	c.server.core.Poison.EndTrial(&a.target.Choice, &c.content)
-	c.trial = e == unsent
+	c.onTrial = e == unsent
 }
 
-// tellOutcome tells what the try says of the request.
-func (a *attempt) tellOutcome(e ended) {
+// reportPoisonOutcome reports whether the replica survived the request.
+func (a *attempt) reportPoisonOutcome(e attemptOutcome) {
 	c := a.call
 	p := &c.server.core.Poison
-	timeUp := e == abandoned && a.why == whyTime && a.begun.Load() > 0
+	timeUp := e == abandoned && a.why == whyDeadline && a.writtenAfter.Load() > 0
 	switch {
 	case a.survived:
 	case a.result == placement.Answered:
@@ -108,18 +108,17 @@
 	}
 }
 
-// noteSurvived tells, once, that the replica has gone on with its answer for long.
-func (a *attempt) noteSurvived(since time.Duration) {
-	if a.survived || a.first == 0 || since-a.first < survivesAfter {
+// reportSurvived reports once that the replica has streamed a response for survivalTime.
+func (a *attempt) reportSurvived(since time.Duration) {
+	if a.survived || a.headAfter == 0 || since-a.headAfter < survivalTime {
 		return
 	}
 	a.survived = true
 	a.call.server.core.Poison.Survived(&a.target.Choice, &a.call.content, since)
 }
 
-// refusePoison turns a request away that ends its replicas. It would only be turned away
-// again before the time is over.
+// refusePoison refuses a quarantined request. Earlier retries would be refused again.
 func (c *call) refusePoison() {
-	c.w.Header().Set("Retry-After", strconv.FormatFloat(c.wait.Seconds(), 'f', 0, 64))
-	c.turnAway(reasonPoison)
+	c.w.Header().Set("Retry-After", strconv.FormatFloat(c.retryAfter.Seconds(), 'f', 0, 64))
+	c.refuseUnavailable(reasonPoison)
 }
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -11,123 +11,123 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// Reasons of refusals beside those of package placement.
+// Reasons for refusals besides those of package placement.
 const (
-	reasonStarting placement.Reason = "no policy known yet"
-	reasonStopping placement.Reason = "box about to end"
-	reasonStale    placement.Reason = "no route in a policy that may be old"
-	reasonBudget   placement.Reason = "no more tries"
-	reasonFailure  placement.Reason = "a replica's own failure, and no more tries"
-	reasonDeadline placement.Reason = whyTime
-	reasonLeft     placement.Reason = whyLeft
+	reasonStarting       placement.Reason = "no policy known yet"
+	reasonStopping       placement.Reason = "box about to end"
+	reasonStalePolicy    placement.Reason = "no route in a policy that may be old"
+	reasonBudget         placement.Reason = "no more tries"
+	reasonReplicaFailure placement.Reason = "a replica's own failure, and no more tries"
+	reasonDeadline       placement.Reason = whyDeadline
+	reasonCallerLeft     placement.Reason = whyCallerLeft
 )
 
 const (
-	retryStarting = 300 * time.Millisecond // a box knows a policy some 100 ms after it starts
-	retryStopping = time.Second            // a box that was stopped is back within about that time, where no other one serves
-	retrySoon     = 100 * time.Millisecond // when nothing says how long a shortage lasts
-	retryLongest  = time.Second            // longest that callers are told to stay away
+	retryAfterStarting = 300 * time.Millisecond // a box receives its first policy some 100 ms after start-up
+	retryAfterStopping = time.Second            // restart time of a box that is the only one of its region
+	minRetryAfter      = 100 * time.Millisecond // used if the length of a shortage is unknown
+	maxRetryAfter      = time.Second
 )
 
-// finish gives the caller a final answer when the tries gave none.
+// finish sends a final response if no attempt produced one.
 func (c *call) finish(ctx context.Context) {
-	late := ctx.Err() != nil || c.isLate()
+	late := ctx.Err() != nil || c.deadlinePassed()
 	switch {
 	case c.done:
-	case c.state == begun:
-		c.breakOff(c.brokenBy(ctx))
+	case c.state == stateStarted:
+		c.abortResponse(c.abortReason(ctx))
 	case c.r.Context().Err() != nil:
-		c.finished(decision.Left, 0, string(reasonLeft))
+		c.recordEnd(decision.Left, 0, string(reasonCallerLeft))
 	case c.failure != nil:
-		c.answer(*c.failure, reasonFailure)
-	case c.state == maybeRan && late:
+		c.respond(*c.failure, reasonReplicaFailure)
+	case c.state == stateMaybeRan && late:
 		c.fail(http.StatusGatewayTimeout, reasonDeadline)
-	case c.state == maybeRan:
+	case c.state == stateMaybeRan:
 		c.fail(http.StatusBadGateway, c.lastReason())
 	case c.reason == reasonPoison:
 		c.refusePoison()
-	case c.reason == reasonLostKey:
+	case c.reason == reasonRevokedKey:
 		c.unreserve()
-		c.rejectKey(reasonLostKey)
+		c.rejectKey(reasonRevokedKey)
 	case c.reason == reasonQuota:
 		c.refuseQuota()
 	case late:
 		c.refuse(reasonDeadline, 0)
 	case c.reason != placement.None:
-		c.refuse(c.reason, c.wait)
+		c.refuse(c.reason, c.retryAfter)
 	default:
 		c.refuse(reasonBudget, 0)
 	}
 }
 
-// breakOff closes the caller's connection in the middle of an answer, so that it
-// can't be taken for a whole one.
-func (c *call) breakOff(reason placement.Reason) {
-	c.finished(decision.Broken, 0, string(reason))
+// abortResponse closes the connection to the caller in the middle of a response, so that
+// it is not mistaken for a complete one.
+func (c *call) abortResponse(reason placement.Reason) {
+	c.recordEnd(decision.Broken, 0, string(reason))
 	panic(http.ErrAbortHandler)
 }
 
-// brokenBy returns why nobody goes on with an answer.
-func (c *call) brokenBy(ctx context.Context) placement.Reason {
+// abortReason returns why a response is not continued.
+func (c *call) abortReason(ctx context.Context) placement.Reason {
 	switch {
 	case c.r.Context().Err() != nil:
-		return reasonLeft
-	case ctx.Err() != nil, c.isLate():
+		return reasonCallerLeft
+	case ctx.Err() != nil, c.deadlinePassed():
 		return reasonDeadline
 	}
 	return c.lastReason()
 }
 
-// lastReason returns why there was no target at last.
+// lastReason returns why there is no further target.
 func (c *call) lastReason() placement.Reason { return cmp.Or(c.reason, reasonBudget) }
 
 // fail answers that the request may have run.
 func (c *call) fail(status int, reason placement.Reason) {
-	c.relayResult(resultUnknown)
-	c.finished(decision.Unknown, status, string(reason))
+	c.setRelayResult(resultUnknown)
+	c.recordEnd(decision.Unknown, status, string(reason))
 	c.w.WriteHeader(status)
 }
 
-// refuse answers that the request has not run, and when to come back.
+// refuse answers that the request has not run, with the time to retry after.
 func (c *call) refuse(reason placement.Reason, wait time.Duration) {
-	wait = min(max(wait, retrySoon), retryLongest)
+	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	c.w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 2, 64))
-	c.turnAway(reason)
+	c.refuseUnavailable(reason)
 }
 
-// turnAway answers that the request has not run.
-func (c *call) turnAway(reason placement.Reason) {
+// refuseUnavailable answers with status 503 that the request has not run.
+func (c *call) refuseUnavailable(reason placement.Reason) {
 	c.unreserve()
-	c.turnAwayWith(http.StatusServiceUnavailable, reason)
+	c.refuseWithStatus(http.StatusServiceUnavailable, reason)
 }
 
-// turnAwayWith answers with a status that says that the request has not run.
-func (c *call) turnAwayWith(status int, reason placement.Reason) {
-	c.relayResult(resultNotRun)
+// refuseWithStatus answers with the status that the request has not run.
+func (c *call) refuseWithStatus(status int, reason placement.Reason) {
+	c.setRelayResult(resultNotRun)
 	c.server.core.Meter.Refusal(string(reason))
-	c.finished(decision.Refused, status, string(reason))
+	c.recordEnd(decision.Refused, status, string(reason))
 	c.w.WriteHeader(status)
 }
 
-// retryElsewhere returns when callers should come back that this box, which is about to
-// end, takes no more: soon where another box of the region serves.
-func (s *Server) retryElsewhere() time.Duration {
+// retryAfterStop returns the Retry-After of a box that is stopping: short if another box
+// of the region is serving.
+func (s *Server) retryAfterStop() time.Duration {
 	if s.core.Others() {
-		return retrySoon
+		return minRetryAfter
 	}
-	return retryStopping
+	return retryAfterStopping
 }
 
-// reject answers that the request is wrong.
+// reject answers that the request is invalid.
 func (c *call) reject(status int, reason string) {
-	c.relayResult(resultNotRun)
-	c.finished(decision.Refused, status, reason)
+	c.setRelayResult(resultNotRun)
+	c.recordEnd(decision.Refused, status, reason)
 	c.w.WriteHeader(status)
 }
 
-// relayResult tells the box that passed the request on what became of it, where
-// there is one.
-func (c *call) relayResult(result string) {
+// setRelayResult sets the headers that report the outcome to the box that forwarded the
+// request, if any.
+func (c *call) setRelayResult(result string) {
 	if c.relay == nil {
 		return
 	}
--- a/ingress/refuse_test.go
+++ b/ingress/refuse_test.go
@@ -14,7 +14,7 @@
 			Others: func() bool { return others },
 		},
 	}
-	is.Equal(s.retryElsewhere(), retryStopping)
+	is.Equal(s.retryAfterStop(), retryAfterStopping)
 	others = true
-	is.Equal(s.retryElsewhere(), retrySoon)
+	is.Equal(s.retryAfterStop(), minRetryAfter)
 }
--- a/ingress/relay.go
+++ b/ingress/relay.go
@@ -11,35 +11,35 @@
 	"github.com/havenrudder/havenrudder/common/clock"
 )
 
-// Headers between boxes. They never reach callers or replicas.
+// Headers between boxes. Callers and replicas never receive them.
 const (
 	headerRelay  = "Rudder-Relay"  // a relay, in JSON
-	headerResult = "Rudder-Result" // of a box: what became of the request, in one word
-	headerSent   = "Rudder-Sent"   // of a box: to how many replicas the request was sent
+	headerResult = "Rudder-Result" // in responses: one of the results below
+	headerSent   = "Rudder-Sent"   // in responses: number of replicas that the request was sent to
 )
 
-// Results that one box tells another.
+// Results that a box reports to the box that forwarded the request.
 const (
-	resultAnswer  = "answer"  // a replica's answer
+	resultAnswer  = "answer"  // a replica's response
 	resultNotRun  = "not-run" // no replica has run it
 	resultUnknown = "unknown" // a replica may have run it
 )
 
-// relay is what a box tells another about a request that it passes on.
+// relay is the state of a request that a box forwards to another.
 type relay struct {
 	Box       string         `json:"box"`
 	Region    string         `json:"region"`
-	Version   int            `json:"version"` // of the policy that decided
+	Version   int            `json:"version"` // of the policy that was applied
 	Route     *catalog.Route `json:"route"`
 	Service   string         `json:"service"`
-	LeftMs    int64          `json:"left_ms"`              // time until the answer is of no use
-	Sent      int            `json:"sent"`                 // replicas that the request was sent to before
-	LastEvent string         `json:"last_event,omitempty"` // id of the last event passed on
+	LeftMs    int64          `json:"left_ms"`              // time until the deadline
+	Sent      int            `json:"sent"`                 // number of replicas that the request was sent to before
+	LastEvent string         `json:"last_event,omitempty"` // ID of the last forwarded event
 
 	Organisation string `json:"organisation,omitempty"` // of the caller
 }
 
-// UnmarshalJSON decodes a relay and checks it.
+// UnmarshalJSON decodes a relay and validates it.
 func (r *relay) UnmarshalJSON(data []byte) error {
 	type plain relay
 	var v plain
@@ -53,14 +53,14 @@
 	return nil
 }
 
-// dropRelay removes the headers that only boxes may set.
-func dropRelay(h http.Header) {
+// removeRelayHeaders removes the headers that only boxes may set.
+func removeRelayHeaders(h http.Header) {
 	for _, name := range []string{headerRelay, headerResult, headerSent} {
 		h.Del(name)
 	}
 }
 
-// decodeRelay reads the header that encode wrote.
+// decodeRelay decodes the value that encode returns.
 func decodeRelay(value string) (*relay, error) {
 	var r relay
 	if err := json.Unmarshal([]byte(value), &r); err != nil {
@@ -69,7 +69,7 @@
 	return &r, nil
 }
 
-// encode returns the relay as the value of a header.
+// encode returns the relay as a header value.
 func (r *relay) encode() string {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return string(data)
 }
 
-// refuseRelay tells another box that the request was not run here.
+// refuseRelay answers to another box that the request was not run here.
 func (s *Server) refuseRelay(w http.ResponseWriter, reason string) {
 	h := w.Header()
 	h.Set(headerResult, resultNotRun)
@@ -87,24 +87,25 @@
 	_, _ = w.Write([]byte(reason)) // the other box has gone when this fails
 }
 
-// sentThere returns to how many replicas another box sent a request.
-func sentThere(h http.Header) int {
+// remoteSentCount returns the number of replicas that another box reports to have sent the
+// request to.
+func remoteSentCount(h http.Header) int {
 	n, err := strconv.Atoi(h.Get(headerSent))
 	if err != nil || n < 0 {
-		return 1 // it doesn't say, so suppose that it did
+		return 1 // without a report the request may have been sent
 	}
 	return n
 }
 
-// relayed returns what another box is told of this request.
-func (c *call) relayed() *relay {
+// newRelay returns the relay that another box receives with this request.
+func (c *call) newRelay() *relay {
 	return &relay{
 		Box:       c.server.box,
 		Region:    c.server.region,
 		Version:   c.version,
 		Route:     c.route,
 		Service:   c.service,
-		LeftMs:    clock.Until(c.end).Milliseconds(),
+		LeftMs:    clock.Until(c.deadline).Milliseconds(),
 		Sent:      c.sent,
 		LastEvent: c.lastEvent,
 
--- /dev/null
+++ b/ingress/response.go
@@ -0,0 +1,200 @@
+package ingress
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/havenrudder/havenrudder/catalog"
+	"github.com/havenrudder/havenrudder/common/clock"
+	"github.com/havenrudder/havenrudder/decision"
+	"github.com/havenrudder/havenrudder/exchange"
+	"github.com/havenrudder/havenrudder/placement"
+)
+
+const maxBufferedBody = 256 << 10 // longer responses are forwarded before they are complete
+
+// responseHead is the status and the header of a response.
+type responseHead struct {
+	status int
+	header http.Header
+}
+
+// response is a complete response.
+type response struct {
+	responseHead
+	body []byte
+}
+
+// pass forwards the response of a replica or box to the caller.
+func (a *attempt) pass(ctx context.Context, answer *exchange.Answer) attemptOutcome {
+	c := a.call
+	status := answer.Status()
+	success := status >= http.StatusOK && status < http.StatusMultipleChoices
+	if success && !c.server.codec.Genuine(answer.Header()) {
+		c.record(decision.Event{
+			Kind:     decision.Try,
+			Upstream: a.target.Choice.Replica,
+			Outcome:  decision.Crossed,
+			Reason:   "not a replica's answer",
+			Status:   status,
+		})
+		return a.bodyInterrupted(ctx)
+	}
+	if !success && c.state == stateStarted {
+		a.result = placement.Failed
+		return interrupted // it does not continue the stream
+	}
+	body := &progressReader{
+		attempt: a,
+		answer:  answer,
+	}
+	if success && c.route.Kind == catalog.Stream {
+		return a.passEvents(ctx, answer, body)
+	}
+	return a.passComplete(ctx, answer, body, success)
+}
+
+// passComplete reads a complete response before it forwards it.
+func (a *attempt) passComplete(ctx context.Context, answer *exchange.Answer, body io.Reader, success bool) attemptOutcome {
+	c := a.call
+	var buf bytes.Buffer
+	n, err := io.Copy(&buf, io.LimitReader(body, maxBufferedBody+1))
+	if err != nil {
+		return a.bodyInterrupted(ctx)
+	}
+	whole := response{
+		responseHead: responseHead{
+			status: answer.Status(),
+			header: answer.Header(),
+		},
+		body: buf.Bytes(),
+	}
+	long := n > maxBufferedBody
+	if success {
+		a.result = placement.Answered
+	} else {
+		a.result = placement.Failed
+	}
+	switch {
+	case !success && impliesNotRun(whole.status):
+		return unknown // the request may have run, and callers would conclude that it did not
+	case !success && !long && c.shouldRetryFailure(whole.status):
+		c.failure = &whole
+		c.tried = nil // the same replica may succeed next time; its selection considers its failure rate
+		return unknown
+	case long:
+		return a.passLong(ctx, answer, body, whole)
+	}
+	if !success {
+		c.respond(whole, reasonReplicaFailure)
+		return served
+	}
+	c.respond(whole, placement.None)
+	return served
+}
+
+// impliesNotRun reports whether callers conclude from the status that the request has not
+// run. Responses of replicas that did not run it are handled before.
+func impliesNotRun(status int) bool {
+	switch status {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		return true
+	}
+	return false
+}
+
+// shouldRetryFailure reports whether to retry instead of forwarding a replica's failure.
+func (c *call) shouldRetryFailure(status int) bool {
+	return status >= http.StatusInternalServerError && c.state != stateStarted && c.route.Repeatable() &&
+		c.sent < c.route.Attempts && status != http.StatusGatewayTimeout
+}
+
+// passLong forwards a response that is too long to be buffered; begin is what was read
+// of it.
+func (a *attempt) passLong(ctx context.Context, answer *exchange.Answer, body io.Reader, begin response) attemptOutcome {
+	c := a.call
+	length, chunked := answer.Framed()
+	c.setHeader(begin.responseHead)
+	if !chunked && length >= 0 {
+		c.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+	c.w.WriteHeader(begin.status)
+	c.state = stateStarted
+	c.unresumable.Store(true)
+	if _, err := c.w.Write(begin.body); err != nil {
+		return abandoned
+	}
+	if _, err := io.Copy(c.w, body); err != nil {
+		return a.bodyInterrupted(ctx)
+	}
+	c.recordEnd(decision.Served, begin.status, "")
+	return served
+}
+
+// bodyInterrupted returns the outcome of an incomplete response. It is not the replica's
+// failure if the caller has left.
+func (a *attempt) bodyInterrupted(ctx context.Context) attemptOutcome {
+	c := a.call
+	left := ctx.Err() != nil && !errors.Is(context.Cause(ctx), errStalled)
+	a.setWhy(ctx, nil)
+	if left {
+		c.state = max(c.state, stateMaybeRan)
+		return abandoned
+	}
+	a.result = placement.Silent
+	if c.state == stateStarted {
+		return interrupted
+	}
+	return unknown
+}
+
+// respond sends a complete response to the caller.
+func (c *call) respond(k response, reason placement.Reason) {
+	c.setHeader(k.responseHead)
+	c.w.Header().Set("Content-Length", strconv.Itoa(len(k.body)))
+	c.w.WriteHeader(k.status)
+	_, _ = c.w.Write(k.body) // the caller has left when this fails
+	c.recordEnd(decision.Served, k.status, string(reason))
+}
+
+// setHeader sets the header of the response to the caller.
+func (c *call) setHeader(a responseHead) {
+	h := c.w.Header()
+	closing := h.Get("Connection")
+	for name, values := range endToEndHeaders(a.header) {
+		if name == headerResult || name == headerSent {
+			continue
+		}
+		h[name] = values
+	}
+	if closing != "" {
+		h.Set("Connection", closing)
+	}
+	c.setRelayResult(resultAnswer)
+}
+
+// recordEnd records what the caller received.
+func (c *call) recordEnd(o decision.Outcome, status int, reason string) {
+	took := clock.Since(c.start)
+	c.server.core.Meter.Request(c.service, string(o), took)
+	digest := ""
+	if reason == string(reasonPoison) {
+		digest = c.content.Digest().String() // identifies the crashes for which the request is refused
+	}
+	c.record(decision.Event{
+		Kind:    decision.End,
+		Digest:  digest,
+		Outcome: o,
+		Status:  status,
+		Reason:  reason,
+		Tries:   c.sent,
+		TookMs:  took.Milliseconds(),
+		FirstMs: c.firstEventAfter.Milliseconds(),
+		PauseMs: c.maxGap.Milliseconds(),
+	})
+}
--- a/ingress/suspended_test.go
+++ b/ingress/suspended_test.go
@@ -33,7 +33,7 @@
 		time.AfterFunc(50*time.Millisecond, func() { boot.Skip(suspension.Nanoseconds()) })
 		g.call(t)
 		is.Equal(g.runs(), 0)
-		is.Equal(g.lastReason(), whyTime)
+		is.Equal(g.lastReason(), whyDeadline)
 	})
 }
 
@@ -47,7 +47,7 @@
 		a := g.call(t)
 		is.True(!a.whole)
 		is.Equal(g.runs(), 1)
-		is.Equal(g.lastReason(), whyTime)
+		is.Equal(g.lastReason(), whyDeadline)
 	})
 }
 
--- a/ingress/trial_test.go
+++ b/ingress/trial_test.go
@@ -51,7 +51,7 @@
 		g.box(pool).ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://shop.example/chat/1", nil))
 		is.Equal(w.Code, http.StatusServiceUnavailable)
 		is.Equal(w.Header().Get("Retry-After"), "1.00")
-		is.True(clock.Since(began) <= trialWait+2*trialCheck)
+		is.True(clock.Since(began) <= trialWaitTimeout+2*trialPollInterval)
 		is.Equal(g.runs(), 0) // it has not run
 	})
 }
--- a/ingress/way_test.go
+++ b/ingress/way_test.go
@@ -93,12 +93,12 @@
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
 	c, pool := silentWay(t)
-	is.True(c.dialTime(replicaDial) > 2*replicaDial)
-	is.True(c.dialTime(replicaDial) <= c.route.Goal.Duration()) // what can't be served in time is turned away
-	c.state = begun
-	is.Equal(c.dialTime(replicaDial), 4*replicaDial) // its caller has a part of the answer, and waits
+	is.True(c.dialTimeout(replicaDialTimeout) > 2*replicaDialTimeout)
+	is.True(c.dialTimeout(replicaDialTimeout) <= c.route.Goal.Duration()) // what can't be served in time is turned away
+	c.state = stateStarted
+	is.Equal(c.dialTimeout(replicaDialTimeout), 4*replicaDialTimeout) // its caller has a part of the answer, and waits
 	is.NoErr(pool.Reach(t.Context(), s.Listener.Addr().String(), time.Second))
-	is.Equal(c.dialTime(replicaDial), 4*replicaDial)
-	c.state = untouched
-	is.Equal(c.dialTime(replicaDial), replicaDial)
+	is.Equal(c.dialTimeout(replicaDialTimeout), 4*replicaDialTimeout)
+	c.state = stateNotRun
+	is.Equal(c.dialTimeout(replicaDialTimeout), replicaDialTimeout)
 }
