--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -42,8 +42,8 @@
 	return out
 }
 
-// forwardedHeaders returns the headers of the request to forward, without its key.
-func (c *call) forwardedHeaders() http.Header {
+// endToEndHeaders returns the headers of the request to forward, without its key.
+func (c *call) endToEndHeaders() http.Header {
 	h := endToEndHeaders(c.r.Header)
 	if c.keyed {
 		c.server.codec.Withhold(h)
@@ -94,8 +94,8 @@
 // send sends the request to the replica and returns the response to the caller.
 func (a *attempt) send(ctx context.Context) attemptOutcome {
 	c := a.call
-	c.countForBudget()
-	h := c.forwardedHeaders()
+	c.noteSent()
+	h := c.endToEndHeaders()
 	c.server.codec.Send(h, Send{
 		Replica:   a.target.Choice.ID,
 		Left:      clock.Until(c.deadline),
@@ -113,7 +113,7 @@
 		Header:      h,
 		Body:        c.body,
 		Owns:        func(h http.Header) bool { return c.server.codec.Owns(h, c.facts.ID) },
-		Begin:       a.noteWritten,
+		Begin:       a.noteSent,
 		DialTimeout: c.dialTimeout(replicaDialTimeout),
 	})
 	if err != nil {
@@ -132,8 +132,8 @@
 	return a.pass(ctx, answer)
 }
 
-// noteWritten records that the request is being written.
-func (a *attempt) noteWritten(unread func() bool) {
+// noteSent records that the request is being written.
+func (a *attempt) noteSent(unread func() bool) {
 	a.unread.Store(unread)
 	took := clock.Since(a.sent)
 	a.writtenAfter.Store(max(int64(took), 1))
@@ -171,13 +171,13 @@
 	} else {
 		a.call.tried = append(a.call.tried, a.target.Choice.Replica)
 	}
-	quiet := errors.Is(context.Cause(ctx), errStalled)
+	stalled := errors.Is(context.Cause(ctx), errStalled)
 	a.setWhy(ctx, err)
 	switch {
-	case ctx.Err() != nil && !quiet && sent:
+	case ctx.Err() != nil && !stalled && sent:
 		a.call.state = max(a.call.state, stateMaybeRan)
 		return abandoned
-	case ctx.Err() != nil && !quiet:
+	case ctx.Err() != nil && !stalled:
 		return abandoned
 	case !sent:
 		a.result = placement.Unreachable
--- a/ingress/auth.go
+++ b/ingress/auth.go
@@ -44,13 +44,13 @@
 	if !c.keyed {
 		return true
 	}
-	held := c.server.core.Keys.Hold()
-	o := c.keyOrganisation()
+	valid := c.server.core.Keys.Hold()
+	org := c.keyOrganisation()
 	switch {
-	case o != nil && held:
-		c.setOrganisation(o)
+	case org != nil && valid:
+		c.setOrganisation(org)
 	case c.route.Public: // unknown keys are ignored on public routes
-	case o != nil:
+	case org != nil:
 		c.refuse(reasonStaleKeys, keyRetryAfter)
 		return false
 	default:
@@ -61,9 +61,9 @@
 
 // setOrganisation records the organisation, which restricts the regions that its data may
 // enter.
-func (c *call) setOrganisation(o *catalog.Organisation) {
-	c.organisation = o.Name
-	c.route = c.route.For(o)
+func (c *call) setOrganisation(org *catalog.Organisation) {
+	c.organisation = org.Name
+	c.route = c.route.For(org)
 }
 
 // keyOrganisation returns the organisation that owns the caller's key, or nil.
@@ -84,8 +84,8 @@
 			return false
 		}
 		sleep.For(c.r.Context(), policyPollInterval)
-		if o := c.keyOrganisation(); o != nil && c.server.core.Keys.Hold() {
-			c.setOrganisation(o)
+		if org := c.keyOrganisation(); org != nil && c.server.core.Keys.Hold() {
+			c.setOrganisation(org)
 			return true
 		}
 	}
@@ -104,12 +104,12 @@
 	if c.organisation == "" || c.relay != nil || c.state == stateStarted {
 		return true
 	}
-	held := c.server.core.Keys.Hold()
-	o := c.keyOrganisation()
+	valid := c.server.core.Keys.Hold()
+	org := c.keyOrganisation()
 	switch {
-	case o == nil || o.Name != c.organisation:
+	case org == nil || org.Name != c.organisation:
 		c.reason = reasonRevokedKey
-	case !held:
+	case !valid:
 		c.reason = reasonStaleKeys
 		c.retryAfter = keyRetryAfter
 	default:
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -54,11 +54,11 @@
 
 	keyed        bool   // the request needs a key, which is not forwarded
 	organisation string // owner of the caller's key; empty for none
-	reserved     bool   // the quota was queried
+	reserved     bool   // the cost was taken from the quota
 	cost         float64
 	body         []byte
 	content      poison.Content
-	onTrial      bool // the next attempt is the run on trial
+	trial        bool // the next attempt is the run on trial
 
 	state           state
 	sent            int          // number of replicas that the request was sent to
@@ -163,7 +163,7 @@
 	return c.server.core.Place(c.query())
 }
 
-// placeAmongReceivers includes the replicas that interrupted the stream, after all others have
+// placeAmongReceivers queries for a replica that interrupted the stream, after all others have
 // refused it.
 func (c *call) placeAmongReceivers() Target {
 	c.retryReceivers = false
@@ -180,19 +180,19 @@
 
 // dialTimeout returns the timeout of the next connection. It grows after two failed ones if a
 // started stream waits, or if nothing was received from anyone recently, for the link of this
-// box may be congested.
-func (c *call) dialTimeout(usual time.Duration) time.Duration {
+// box may be congested. Without a started stream the extension stays within the latency target.
+func (c *call) dialTimeout(base time.Duration) time.Duration {
 	if c.failedDials < 2 || (!c.waitsUntilDeadline() && c.server.receivedWithin("", receivedWindow)) {
-		return usual
+		return base
 	}
-	longer := usual
+	extended := base
 	for range c.failedDials - 1 {
-		longer = min(2*longer, maxDialTimeout)
+		extended = min(2*extended, maxDialTimeout)
 	}
 	if c.waitsUntilDeadline() {
-		return longer
+		return extended
 	}
-	return max(usual, min(longer, c.route.Goal.Duration()-clock.Since(c.start)))
+	return max(base, min(extended, c.route.Goal.Duration()-clock.Since(c.start)))
 }
 
 // recordPlacement records the target and the load that it was selected by.
@@ -224,7 +224,7 @@
 		out = c.facts.MostOut
 	}
 	var trial *poison.Digest
-	if c.onTrial {
+	if c.trial {
 		d := c.content.Digest()
 		trial = &d
 	}
@@ -342,8 +342,8 @@
 	}
 }
 
-// countForBudget counts the request for the retry budget, once.
-func (c *call) countForBudget() {
+// noteSent counts the request for the retry budget, once.
+func (c *call) noteSent() {
 	if c.budgetCounted {
 		return
 	}
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -18,7 +18,7 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-const receivedInterval = 100 * time.Millisecond // minimum time between two reports that the replica is sending; a seventh of streamStallTimeout
+const receivedInterval = 100 * time.Millisecond // between two reports that a replica is sending
 
 // errCallerLeft reports that the caller of a stream has left.
 var errCallerLeft = errors.New("ingress: caller left")
--- a/ingress/events_test.go
+++ b/ingress/events_test.go
@@ -17,8 +17,8 @@
 	_ "github.com/havenrudder/havenrudder/internal/fixed"
 )
 
-// passing returns a call that passes events on, and where they go.
-func passing(lastEvent string) (*call, *httptest.ResponseRecorder) {
+// newStreamCall returns a call that forwards events, and the recorder that receives them.
+func newStreamCall(lastEvent string) (*call, *httptest.ResponseRecorder) {
 	w := httptest.NewRecorder()
 	return &call{
 		w:         w,
@@ -27,7 +27,7 @@
 	}, w
 }
 
-// event returns an event with an id, or without one for 0.
+// event returns an event with the ID, or without one for 0.
 func event(id int, data string) string {
 	if id == 0 {
 		return "data: " + data + "\n\n"
@@ -35,14 +35,14 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", id, data)
 }
 
-// pieces is a stream that comes in pieces, one at each read.
-type pieces struct {
+// chunkReader returns one chunk of a stream per read.
+type chunkReader struct {
 	list   []string
-	before func(left int) // is called before each read with the number of pieces left
+	before func(left int) // called before each read with the number of chunks left
 }
 
-// Read returns the next piece.
-func (p *pieces) Read(buf []byte) (int, error) {
+// Read returns the next chunk.
+func (p *chunkReader) Read(buf []byte) (int, error) {
 	p.before(len(p.list))
 	if len(p.list) == 0 {
 		return 0, io.EOF
@@ -52,9 +52,9 @@
 	return n, nil
 }
 
-// pass passes a stream on that comes in pieces, and returns the rest.
-func pass(c *call, before func(left int), list ...string) (string, error) {
-	in := events.NewReader(&pieces{
+// copyChunks forwards a stream that arrives in chunks, and returns the rest.
+func copyChunks(c *call, before func(left int), list ...string) (string, error) {
+	in := events.NewReader(&chunkReader{
 		list:   list,
 		before: before,
 	})
@@ -66,13 +66,13 @@
 	return string(in.Rest()), err
 }
 
-// anyway is for pieces that nothing is checked between.
-func anyway(int) {}
+// noCheck checks nothing between two chunks.
+func noCheck(int) {}
 
-func TestOnlyWholeEventsArePassedOn(t *testing.T) {
+func TestOnlyCompleteEventsAreForwarded(t *testing.T) {
 	is := is.New(t)
-	c, w := passing("")
-	rest, err := pass(c, func(left int) {
+	c, w := newStreamCall("")
+	rest, err := copyChunks(c, func(left int) {
 		switch left {
 		case 1:
 			is.Equal(w.Body.String(), event(1, "a"))
@@ -88,30 +88,30 @@
 	is.Equal(c.lastEvent, "2")
 }
 
-func TestAnEventThatTheCallerHasIsLeftOut(t *testing.T) {
+func TestAnEventThatTheCallerHasReceivedIsSkipped(t *testing.T) {
 	is := is.New(t)
-	c, w := passing("9")
-	_, err := pass(c, anyway, event(8, "a")+event(9, "b")+event(10, "c")+event(10, "c")+event(11, "d"))
+	c, w := newStreamCall("9")
+	_, err := copyChunks(c, noCheck, event(8, "a")+event(9, "b")+event(10, "c")+event(10, "c")+event(11, "d"))
 	is.NoErr(err)
-	is.Equal(w.Body.String(), event(10, "c")+event(11, "d")) // by number: 10 comes after 9
+	is.Equal(w.Body.String(), event(10, "c")+event(11, "d")) // in numeric order: 10 comes after 9
 	is.Equal(c.lastEvent, "11")
 }
 
-func TestAnEventWithoutIDIsPassedOn(t *testing.T) {
+func TestAnEventWithoutIDIsForwarded(t *testing.T) {
 	is := is.New(t)
-	c, w := passing("5")
-	_, err := pass(c, anyway, event(0, "a")+": note\n\n"+event(6, "b"))
+	c, w := newStreamCall("5")
+	_, err := copyChunks(c, noCheck, event(0, "a")+": note\n\n"+event(6, "b"))
 	is.NoErr(err)
 	is.Equal(w.Body.String(), event(0, "a")+": note\n\n"+event(6, "b"))
 	is.Equal(c.lastEvent, "6")
 }
 
-// TestAStreamCutAnywhereIsPassedOnOnceAndInOrder joins runs that each begin
-// anywhere up to the last event passed on, and come in pieces of any size.
-func TestAStreamCutAnywhereIsPassedOnOnceAndInOrder(t *testing.T) {
+// TestAStreamCutAnywhereIsForwardedOnceAndInOrder joins interrupted runs that overlap and arrive
+// in chunks of any size. It guards against lost, repeated and reordered events.
+func TestAStreamCutAnywhereIsForwardedOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(t, "events")
-		c, w := passing("")
+		c, w := newStreamCall("")
 		for run := 0; ; run++ {
 			has, _ := strconv.Atoi(c.lastEvent) // none is 0
 			from := rapid.IntRange(0, has).Draw(t, "from")
@@ -122,9 +122,9 @@
 			whole := text.String()
 			cut := rapid.IntRange(0, len(whole)).Draw(t, "cut")
 			if run == 4 {
-				cut = len(whole) // the last run is whole
+				cut = len(whole) // the last run is complete
 			}
-			passPieces(t, c, whole[:cut])
+			passChunks(t, c, whole[:cut])
 			if run == 4 {
 				break
 			}
@@ -139,15 +139,15 @@
 	})
 }
 
-// passPieces passes text on in pieces; what is torn at its end is dropped.
-func passPieces(t *rapid.T, c *call, text string) {
+// passChunks forwards text in chunks; an incomplete event at its end is dropped.
+func passChunks(t *rapid.T, c *call, text string) {
 	var list []string
 	for text != "" {
 		n := rapid.IntRange(1, len(text)).Draw(t, "piece")
 		list = append(list, text[:n])
 		text = text[n:]
 	}
-	if _, err := pass(c, anyway, list...); err != nil {
+	if _, err := copyChunks(c, noCheck, list...); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -29,7 +29,7 @@
 	stop := a.watchStall(ctx)
 	e := a.forward(ctx)
 	stop()
-	c.onTrial = c.onTrial && e == unsent
+	c.trial = c.trial && e == unsent
 	if e == unsent || e == notRun {
 		c.noRegions = append(c.noRegions, t.Region) // its other boxes would refuse too
 	}
@@ -44,7 +44,7 @@
 // forward sends the request to the box and returns the response to the caller.
 func (a *attempt) forward(ctx context.Context) attemptOutcome {
 	c := a.call
-	h := c.forwardedHeaders()
+	h := c.endToEndHeaders()
 	h.Set(headerRelay, c.newRelay().encode())
 	answer, err := c.server.boxes.Do(ctx, exchange.Request{
 		Addr:        a.target.BoxAddr,
@@ -53,7 +53,7 @@
 		Host:        c.r.Host,
 		Header:      h,
 		Body:        c.body,
-		Begin:       a.noteWritten,
+		Begin:       a.noteSent,
 		DialTimeout: c.dialTimeout(boxDialTimeout),
 	})
 	if err != nil {
@@ -63,16 +63,16 @@
 	a.headAfter = clock.Since(a.sent)
 	a.noteReceived()
 	answer.LimitUnacked(boxUnackedTimeout)
-	there := remoteSentCount(answer.Header())
-	c.sent += there
+	remoteSent := remoteSentCount(answer.Header())
+	c.sent += remoteSent
 	c.reportedSent.Store(int64(c.sent))
-	c.budgetCounted = c.budgetCounted || there > 0
-	c.received = c.received || there > 0
+	c.budgetCounted = c.budgetCounted || remoteSent > 0
+	c.received = c.received || remoteSent > 0
 	switch answer.Header().Get(headerResult) {
 	case resultAnswer:
 		return a.pass(ctx, answer)
 	case resultNotRun:
-		if there > 0 {
+		if remoteSent > 0 {
 			return notRun
 		}
 		return unsent
--- a/ingress/headers_test.go
+++ b/ingress/headers_test.go
@@ -10,7 +10,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-func TestHeadersOfOneConnectionDontTravelOn(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	is := is.New(t)
 	in := http.Header{
 		"Connection":        {"close, X-Hop", "x-other"},
@@ -30,7 +30,7 @@
 		"X-Kept":       {"a", "b"},
 		"Content-Type": {"text/plain"},
 	})
-	is.Equal(in.Get("X-Hop"), "1") // the message itself stays
+	is.Equal(in.Get("X-Hop"), "1") // the original is unchanged
 }
 
 func goodRelay() *relay {
@@ -68,7 +68,7 @@
 		data, err := json.Marshal(fields)
 		is.NoErr(err)
 		_, err = decodeRelay(string(data))
-		is.True(err != nil) // it must not be run by guess
+		is.True(err != nil) // it must not run with missing fields
 	}
 	for _, value := range []string{"", "{", "null", "[]", `"x"`, "{}"} {
 		is := is.New(t)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestABoxThatDoesNotSayHowOftenItSentCountsAsOnce(t *testing.T) {
+func TestAMissingSentCountCountsAsOnce(t *testing.T) {
 	cases := []struct {
 		value string
 		want  int
--- a/ingress/identify.go
+++ b/ingress/identify.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	defaultTimeout      = 30 * time.Second       // if neither caller nor route sets one
-	policyWaitTimeout   = 300 * time.Millisecond // a box receives its first policy some 350 ms after its start
+	defaultTimeout      = 30 * time.Second // if neither caller nor route sets one
+	policyWaitTimeout   = 300 * time.Millisecond
 	policyPollInterval  = 20 * time.Millisecond
 	defaultMaxBodyBytes = 4 << 20 // if the policy sets no limit
 )
@@ -100,17 +100,17 @@
 // setDeadline sets the earliest of the caller's deadline, the route's timeout and the
 // end of this box.
 func (c *call) setDeadline() {
-	life := defaultTimeout
+	timeout := defaultTimeout
 	if c.route.Timeout > 0 {
-		life = c.route.Timeout.Duration()
+		timeout = c.route.Timeout.Duration()
 	}
 	if c.facts.Deadline > 0 {
-		life = min(life, c.facts.Deadline)
+		timeout = min(timeout, c.facts.Deadline)
 	}
 	if c.relay != nil {
-		life = time.Duration(c.relay.LeftMs) * time.Millisecond
+		timeout = time.Duration(c.relay.LeftMs) * time.Millisecond
 	}
-	c.deadline = c.start.Add(life)
+	c.deadline = c.start.Add(timeout)
 	if by, ok := c.server.core.EndsBy(); ok && by.Before(c.deadline) {
 		c.deadline = by // so that the caller receives a response, not a closed connection
 	}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -46,7 +46,7 @@
 	Organisation string // of the caller; empty where requests need no key
 }
 
-// Codec reads and writes the headers of requests and answers.
+// Codec reads and writes the headers of requests and responses.
 type Codec struct {
 	Facts    func(h http.Header) (Facts, error)
 	Withhold func(h http.Header) // removes the key, which neither replicas nor other boxes receive
--- a/ingress/link_test.go
+++ b/ingress/link_test.go
@@ -14,70 +14,70 @@
 	"github.com/havenrudder/havenrudder/internal/fakes"
 )
 
-// link is a box's link. While it is full, nothing comes through, and nothing is lost. While
-// the box's processor is behind, what has come lies unread, and connections are made.
+// link is a box's link. While it is congested, data and connections are delayed, but not lost.
+// While the CPU of the box is overloaded, received data stays unread, but connections are made.
 type link struct {
-	net    *fakes.Network
-	mu     sync.Mutex
-	till   time.Time
-	behind time.Time
-	down   time.Time // until when every connection is refused
-	dials  int       // that were begun
+	net          *fakes.Network
+	mu           sync.Mutex
+	fullUntil    time.Time
+	unreadUntil  time.Time
+	refusedUntil time.Time // until when every connection is refused
+	dials        int       // connections attempted
 }
 
 func (l *link) isDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return clock.Now().Before(l.down)
+	return clock.Now().Before(l.refusedUntil)
 }
 
-// refuse has every connection be refused for a time.
+// refuse refuses every connection for d.
 func (l *link) refuse(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down = clock.Now().Add(d)
+	l.refusedUntil = clock.Now().Add(d)
 }
 
-// fill makes the link full for a time.
+// fill congests the link for d.
 func (l *link) fill(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.till = clock.Now().Add(d)
+	l.fullUntil = clock.Now().Add(d)
 }
 
-// fallBehind has the box's processor read nothing for a time.
-func (l *link) fallBehind(d time.Duration) {
+// delayReads leaves received data unread for d.
+func (l *link) delayReads(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.behind = clock.Now().Add(d)
+	l.unreadUntil = clock.Now().Add(d)
 }
 
-// full returns until when the link is full.
+// full returns until when the link is congested.
 func (l *link) full() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.till
+	return l.fullUntil
 }
 
-// late returns until when what comes now is not read.
-func (l *link) late() time.Time {
+// deliveredAt returns when data that arrives now is read.
+func (l *link) deliveredAt() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.behind.After(l.till) {
-		return l.behind
+	if l.unreadUntil.After(l.fullUntil) {
+		return l.unreadUntil
 	}
-	return l.till
+	return l.fullUntil
 }
 
-// dialled returns how many connections were begun.
+// dialled returns the number of connections attempted.
 func (l *link) dialled() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dials
 }
 
-// waitTill waits until a time, or done is closed.
-func waitTill(till time.Time, done <-chan struct{}) error {
+// waitUntil waits until the time, or until done is closed.
+func waitUntil(till time.Time, done <-chan struct{}) error {
 	timer := time.NewTimer(clock.Until(till))
 	defer timer.Stop()
 	select {
@@ -95,7 +95,7 @@
 	if l.isDown() {
 		return nil, net.ErrClosed
 	}
-	if err := waitTill(l.full(), ctx.Done()); err != nil {
+	if err := waitUntil(l.full(), ctx.Done()); err != nil {
 		return nil, ctx.Err()
 	}
 	c, err := l.net.Dial("box")(ctx, network, addr)
@@ -115,27 +115,27 @@
 	link   *link
 	done   chan struct{}
 	once   sync.Once
-	unread atomic.Bool // bytes have come and aren't read
+	unread atomic.Bool // bytes have arrived and are not read
 }
 
-// Read reads what came through the link.
+// Read reads data that has passed the link.
 func (c *throughLink) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.unread.Store(n > 0 && clock.Now().After(c.link.full()))
 	defer c.unread.Store(false)
-	if passed := waitTill(c.link.late(), c.done); passed != nil {
+	if passed := waitUntil(c.link.deliveredAt(), c.done); passed != nil {
 		return 0, passed
 	}
 	return n, err
 }
 
-// SyscallConn shows to the kernel's calls whether bytes are unread.
+// SyscallConn returns a connection whose socket reports unread bytes.
 func (c *throughLink) SyscallConn() (syscall.RawConn, error) { return (*rawLink)(c), nil }
 
-// rawLink is a connection over a link as the kernel knows it.
+// rawLink is the raw connection of a throughLink.
 type rawLink throughLink
 
-// Control gives f a socket with an unread byte if the connection has some.
+// Control calls f with a socket that has an unread byte if the connection has some.
 func (c *rawLink) Control(f func(fd uintptr)) error {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -154,7 +154,6 @@
 
 func (*rawLink) Write(func(uintptr) bool) error { return syscall.ENOTSUP }
 
-// Close closes the connection.
 func (c *throughLink) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
--- a/ingress/poison.go
+++ b/ingress/poison.go
@@ -17,14 +17,14 @@
 const (
 	trialWaitTimeout  = 600 * time.Millisecond
 	trialPollInterval = 40 * time.Millisecond
-	trialRetryAfter   = time.Second // a replica survives a run on trial within 2 s
+	trialRetryAfter   = time.Second
 )
 
 // reasonPoison is the reason of a request that is quarantined.
 const reasonPoison placement.Reason = "ends its replicas"
 
 // survivalTime is how long a replica must have streamed a response to count as having
-// survived its request. Poison requests crash replicas some 0.1 s after their start.
+// survived its request.
 const survivalTime = 2 * time.Second
 
 // Poison holds the functions that report crashes of replicas under requests, and query
@@ -65,9 +65,9 @@
 func (c *call) awaitTrial(ctx context.Context) bool {
 	p := &c.server.core.Poison
 	until := clock.Now().Add(trialWaitTimeout)
-	for !c.onTrial && p.OnTrial(&c.content) {
+	for !c.trial && p.OnTrial(&c.content) {
 		if c.relay != nil || p.TakeTrial(&c.content) {
-			c.onTrial = true
+			c.trial = true
 			break
 		}
 		if c.isQuarantined() || c.deadlinePassed() || ctx.Err() != nil {
@@ -87,11 +87,11 @@
 // permission stays valid for the next attempt.
 func (a *attempt) endTrial(e attemptOutcome) {
 	c := a.call
-	if !c.onTrial {
+	if !c.trial {
 		return
 	}
 	c.server.core.Poison.EndTrial(&a.target.Choice, &c.content)
-	c.onTrial = e == unsent
+	c.trial = e == unsent
 }
 
 // reportPoisonOutcome reports whether the replica survived the request.
--- a/ingress/quota.go
+++ b/ingress/quota.go
@@ -17,10 +17,10 @@
 	if c.organisation == "" || c.relay != nil || c.reserved {
 		return true
 	}
-	cost, wait, ok := c.server.core.Keys.Reserve(ctx, c.organisation, c.facts.Prompt+c.facts.MostOut)
+	cost, retryAfter, ok := c.server.core.Keys.Reserve(ctx, c.organisation, c.facts.Prompt+c.facts.MostOut)
 	if !ok {
 		c.reason = reasonQuota
-		c.retryAfter = wait
+		c.retryAfter = retryAfter
 		return false
 	}
 	c.reserved = true
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	retryAfterStarting = 300 * time.Millisecond // a box receives its first policy some 100 ms after start-up
+	retryAfterStarting = 300 * time.Millisecond
 	retryAfterStopping = time.Second            // restart time of a box that is the only one of its region
 	minRetryAfter      = 100 * time.Millisecond // used if the length of a shortage is unknown
 	maxRetryAfter      = time.Second
@@ -39,7 +39,7 @@
 	case c.r.Context().Err() != nil:
 		c.recordEnd(decision.Left, 0, string(reasonCallerLeft))
 	case c.failure != nil:
-		c.respond(*c.failure, reasonReplicaFailure)
+		c.answer(*c.failure, reasonReplicaFailure)
 	case c.state == stateMaybeRan && late:
 		c.fail(http.StatusGatewayTimeout, reasonDeadline)
 	case c.state == stateMaybeRan:
--- a/ingress/refuse_test.go
+++ b/ingress/refuse_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestCallersOfABoxThatEndsComeBackSoonWhereAnotherServes(t *testing.T) {
+func TestCallersOfAStoppingBoxRetrySoonWhereAnotherServes(t *testing.T) {
 	is := is.New(t)
 	others := false
 	s := &Server{
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -26,20 +26,20 @@
 	eventCount = 20
 )
 
-// upstream is a replica of a service of streams.
+// upstream is a replica of a streaming service.
 type upstream struct {
 	id, addr string
-	box      bool // it is a box of another region, before one replica
-	dark     bool // it takes no connection any more, and says nothing
-	noIDs    bool // its events have none
-	tearAt   int  // event before which it breaks its streams off; 0 for never
+	box      bool // it is a box of another region in front of one replica
+	hung     bool // it sends nothing any more
+	noIDs    bool // its events have no IDs
+	abortAt  int  // event before which it aborts its streams; 0 for never
 	pauseAt  int  // event before which it pauses; 0 for never
 	pause    time.Duration
 	mu       sync.Mutex
 	runs     int
 }
 
-// ServeHTTP answers with a stream.
+// ServeHTTP responds with a stream.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	u.runs++
@@ -52,10 +52,10 @@
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	for i := after + 1; i <= eventCount; i++ {
 		sleep.For(r.Context(), eventEvery+u.pauses(i))
-		if u.tears(i) {
+		if u.aborts(i) {
 			panic(http.ErrAbortHandler)
 		}
-		if u.isDark() || r.Context().Err() != nil {
+		if u.isHung() || r.Context().Err() != nil {
 			<-r.Context().Done()
 			return
 		}
@@ -68,16 +68,16 @@
 	}
 }
 
-func (u *upstream) tears(event int) bool {
+func (u *upstream) aborts(event int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.tearAt == event
+	return u.abortAt == event
 }
 
-func (u *upstream) tearBefore(event int) {
+func (u *upstream) abortBefore(event int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.tearAt = event
+	u.abortAt = event
 }
 
 func (u *upstream) pauses(event int) time.Duration {
@@ -96,35 +96,35 @@
 	u.pause = d
 }
 
-func (u *upstream) isDark() bool {
+func (u *upstream) isHung() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.dark
+	return u.hung
 }
 
-func (u *upstream) goDark() {
+func (u *upstream) hang() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.dark = true
+	u.hung = true
 }
 
-// region is one box before some replicas.
+// region is one box with some replicas.
 type region struct {
-	link  *link
-	list  []*upstream
-	mu    sync.Mutex
-	heard map[string]time.Time
-	none  time.Time // until when no replica can take a request
-	spare func() bool
-	turns int  // requests that were placed for the first time
-	share bool // these go to the replicas by turns
-	lines []decision.Event
-	muted []string // replicas whose silence was told
-	fixed bool     // the stream can't be resumed
-	known Poison   // the seams to what is known of requests that end their replicas
+	link         *link
+	list         []*upstream
+	mu           sync.Mutex
+	lastReceived map[string]time.Time
+	fullUntil    time.Time // until when no replica has capacity
+	takeRetry    func() bool
+	placed       int  // first attempts that were placed
+	roundRobin   bool // first attempts go to the replicas in turn
+	events       []decision.Event
+	silent       []string // replicas that were reported as silent
+	unresumable  bool     // the route's streams can't be resumed
+	poison       Poison
 }
 
-// noPoison returns the seams where no replica ends under a request.
+// noPoison returns a Poison for requests under which no replica crashes.
 func noPoison() Poison {
 	return Poison{
 		Quarantined: func(*poison.Content) (time.Duration, bool) { return 0, false },
@@ -141,9 +141,9 @@
 		link: &link{
 			net: fakes.NewNetwork(),
 		},
-		heard: make(map[string]time.Time),
-		spare: func() bool { return true },
-		known: noPoison(),
+		lastReceived: make(map[string]time.Time),
+		takeRetry:    func() bool { return true },
+		poison:       noPoison(),
 	}
 	for i := range replicas {
 		u := &upstream{
@@ -164,16 +164,16 @@
 	return g
 }
 
-// place chooses the first replica that was not tried.
+// place returns the first replica that was not tried.
 func (g *region) place(ask Ask) Target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list := g.list
-	if g.share && len(ask.Request.Tried) == 0 {
-		list = g.list[g.turns%len(g.list):]
-		g.turns++
+	if g.roundRobin && len(ask.Request.Tried) == 0 {
+		list = g.list[g.placed%len(g.list):]
+		g.placed++
 	}
-	if clock.Now().After(g.none) {
+	if clock.Now().After(g.fullUntil) {
 		for _, u := range list {
 			if u.box && !slices.Contains(ask.TriedBoxes, u.id) {
 				return Target{
@@ -204,25 +204,25 @@
 	return t, t.Reason == placement.None
 }
 
-func (g *region) quiet(c *placement.Choice, sent time.Time) time.Duration {
+func (g *region) idleTime(c *placement.Choice, sent time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if heard := g.heard[c.Replica]; heard.After(sent) {
+	if heard := g.lastReceived[c.Replica]; heard.After(sent) {
 		sent = heard
 	}
 	return clock.Since(sent)
 }
 
-func (g *region) mute(c *placement.Choice) {
+func (g *region) noteSilent(c *placement.Choice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.muted = append(g.muted, c.Replica)
+	g.silent = append(g.silent, c.Replica)
 }
 
-func (g *region) hear(c *placement.Choice) {
+func (g *region) noteReceived(c *placement.Choice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.heard[c.Replica] = clock.Now()
+	g.lastReceived[c.Replica] = clock.Now()
 }
 
 func (g *region) core() Core {
@@ -239,7 +239,7 @@
 				Goal:      1200,
 				GapGoal:   600,
 				Shares:    []catalog.Share{{Service: "engine", Weight: 1}},
-				Resumable: !g.fixed,
+				Resumable: !g.unresumable,
 			},
 		},
 	})
@@ -252,12 +252,12 @@
 		EndsBy:   func() (time.Time, bool) { return time.Time{}, false },
 		Place:    g.place,
 		Begin:    func(string) {},
-		Repeat:   func(string) bool { return g.spare() },
-		First:    func(c *placement.Choice, _ time.Duration) { g.hear(c) },
+		Repeat:   func(string) bool { return g.takeRetry() },
+		First:    func(c *placement.Choice, _ time.Duration) { g.noteReceived(c) },
 		Written:  func(*placement.Choice) {},
-		Heard:    g.hear,
-		Quiet:    g.quiet,
-		Muted:    g.mute,
+		Heard:    g.noteReceived,
+		Quiet:    g.idleTime,
+		Muted:    g.noteSilent,
 		Other:    g.other,
 		Streamed: func(string, int, int) {},
 		End:      func(*placement.Choice, placement.Result, time.Duration) {},
@@ -266,9 +266,9 @@
 		Record: func(e decision.Event) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			g.lines = append(g.lines, e)
+			g.events = append(g.events, e)
 		},
-		Poison: g.known,
+		Poison: g.poison,
 		Meter: Meter{
 			Request: func(string, string, time.Duration) {},
 			First:   func(string, time.Duration) {},
@@ -280,22 +280,22 @@
 	}
 }
 
-// received is what a caller got of a stream.
-type received struct {
-	body  string
-	whole bool // the connection was not closed in the middle
-	took  time.Duration
+// callerResult is what a caller received of a stream.
+type callerResult struct {
+	body     string
+	complete bool // the connection was not closed in the middle
+	took     time.Duration
 }
 
-// call sends a request to the box and waits for its end.
-func (g *region) call(t *testing.T) received { return g.calls(t, 1)[0] }
+// call sends a request to the box and waits for the end of the response.
+func (g *region) call(t *testing.T) callerResult { return g.calls(t, 1)[0] }
 
-// calls sends requests to the box at the same time and waits for their ends.
-func (g *region) calls(t *testing.T, n int) []received {
+// calls sends concurrent requests to the box and waits for the ends of the responses.
+func (g *region) calls(t *testing.T, n int) []callerResult {
 	pool := exchange.NewPool(exchange.WithDial(g.link.dial))
 	defer pool.Close()
 	box := g.box(pool)
-	out := make([]received, n)
+	out := make([]callerResult, n)
 	var wg sync.WaitGroup
 	for i := range out {
 		wg.Go(func() { out[i] = receive(t, box) })
@@ -304,7 +304,7 @@
 	return out
 }
 
-// box returns the box before the replicas.
+// box returns the handler of the box.
 func (g *region) box(pool *exchange.Pool) http.Handler {
 	return New("box", "a", Codec{
 		Facts: func(http.Header) (Facts, error) {
@@ -325,18 +325,18 @@
 	}, g.core(), pool, pool).Callers()
 }
 
-// receive sends a request to a box and waits for its end.
-func receive(t *testing.T, box http.Handler) received {
+// receive sends a request to a box and waits for the end of the response.
+func receive(t *testing.T, box http.Handler) callerResult {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://shop.example/chat/1", nil)
 	began := clock.Now()
-	out := received{
-		whole: true,
+	out := callerResult{
+		complete: true,
 	}
 	func() {
 		defer func() {
 			if v := recover(); v != nil {
-				out.whole = false
+				out.complete = false
 				if v != http.ErrAbortHandler {
 					panic(v)
 				}
@@ -359,8 +359,8 @@
 	return n
 }
 
-// wholeStream is the body of a stream that came to its end.
-func wholeStream() (out string) {
+// completeStream returns the body of a complete stream.
+func completeStream() (out string) {
 	for i := 1; i <= eventCount; i++ {
 		out += event(i, "e")
 	}
--- a/ingress/response.go
+++ b/ingress/response.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return a.bodyInterrupted(ctx)
 	}
-	whole := response{
+	buffered := response{
 		responseHead: responseHead{
 			status: answer.Status(),
 			header: answer.Header(),
@@ -81,20 +81,20 @@
 		a.result = placement.Failed
 	}
 	switch {
-	case !success && impliesNotRun(whole.status):
+	case !success && impliesNotRun(buffered.status):
 		return unknown // the request may have run, and callers would conclude that it did not
-	case !success && !long && c.shouldRetryFailure(whole.status):
-		c.failure = &whole
+	case !success && !long && c.shouldRetryFailure(buffered.status):
+		c.failure = &buffered
 		c.tried = nil // the same replica may succeed next time; its selection considers its failure rate
 		return unknown
 	case long:
-		return a.passLong(ctx, answer, body, whole)
+		return a.passLong(ctx, answer, body, buffered)
 	}
 	if !success {
-		c.respond(whole, reasonReplicaFailure)
+		c.answer(buffered, reasonReplicaFailure)
 		return served
 	}
-	c.respond(whole, placement.None)
+	c.answer(buffered, placement.None)
 	return served
 }
 
@@ -114,25 +114,25 @@
 		c.sent < c.route.Attempts && status != http.StatusGatewayTimeout
 }
 
-// passLong forwards a response that is too long to be buffered; begin is what was read
+// passLong forwards a response that is too long to be buffered; prefix is what was read
 // of it.
-func (a *attempt) passLong(ctx context.Context, answer *exchange.Answer, body io.Reader, begin response) attemptOutcome {
+func (a *attempt) passLong(ctx context.Context, answer *exchange.Answer, body io.Reader, prefix response) attemptOutcome {
 	c := a.call
 	length, chunked := answer.Framed()
-	c.setHeader(begin.responseHead)
+	c.setHeader(prefix.responseHead)
 	if !chunked && length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	c.w.WriteHeader(begin.status)
+	c.w.WriteHeader(prefix.status)
 	c.state = stateStarted
 	c.unresumable.Store(true)
-	if _, err := c.w.Write(begin.body); err != nil {
+	if _, err := c.w.Write(prefix.body); err != nil {
 		return abandoned
 	}
 	if _, err := io.Copy(c.w, body); err != nil {
 		return a.bodyInterrupted(ctx)
 	}
-	c.recordEnd(decision.Served, begin.status, "")
+	c.recordEnd(decision.Served, prefix.status, "")
 	return served
 }
 
@@ -153,20 +153,20 @@
 	return unknown
 }
 
-// respond sends a complete response to the caller.
-func (c *call) respond(k response, reason placement.Reason) {
-	c.setHeader(k.responseHead)
-	c.w.Header().Set("Content-Length", strconv.Itoa(len(k.body)))
-	c.w.WriteHeader(k.status)
-	_, _ = c.w.Write(k.body) // the caller has left when this fails
-	c.recordEnd(decision.Served, k.status, string(reason))
+// answer sends a complete response to the caller.
+func (c *call) answer(resp response, reason placement.Reason) {
+	c.setHeader(resp.responseHead)
+	c.w.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
+	c.w.WriteHeader(resp.status)
+	_, _ = c.w.Write(resp.body) // the caller has left when this fails
+	c.recordEnd(decision.Served, resp.status, string(reason))
 }
 
 // setHeader sets the header of the response to the caller.
-func (c *call) setHeader(a responseHead) {
+func (c *call) setHeader(head responseHead) {
 	h := c.w.Header()
 	closing := h.Get("Connection")
-	for name, values := range endToEndHeaders(a.header) {
+	for name, values := range endToEndHeaders(head.header) {
 		if name == headerResult || name == headerSent {
 			continue
 		}
--- a/ingress/stall.go
+++ b/ingress/stall.go
@@ -32,19 +32,19 @@
 // replica as silent, so that no further requests are sent there.
 func (a *attempt) watchStall(ctx context.Context) (stop func()) {
 	c := a.call
-	ends := c.route.Repeatable() && c.sent+1 < c.route.Attempts
-	if !ends && a.target.Box != "" {
+	mayCancel := c.route.Repeatable() && c.sent+1 < c.route.Attempts
+	if !mayCancel && a.target.Box != "" {
 		return func() {}
 	}
-	next := c.query()
+	query := c.query()
 	if replica := a.target.Choice.Replica; replica != "" {
-		next.Request.Tried = append(slices.Clone(next.Request.Tried), replica)
+		query.Request.Tried = append(slices.Clone(query.Request.Tried), replica)
 	}
 	watch := stallWatch{
 		attempt:      a,
-		query:        next,
-		initialQuery: next,
-		mayCancel:    ends,
+		query:        query,
+		initialQuery: query,
+		mayCancel:    mayCancel,
 		timeout:      a.stallTimeout(),
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -114,16 +114,16 @@
 	if s.mayCancel && (int(c.reportedSent.Load()) >= c.route.Attempts || c.unresumable.Load()) {
 		return 0, true // no attempts are left, or the stream can't be resumed
 	}
-	quiet := s.idleTime()
-	if quiet <= s.timeout {
-		return max(s.timeout-quiet, stallPollInterval), false
+	idleTime := s.idleTime()
+	if idleTime <= s.timeout {
+		return max(s.timeout-idleTime, stallPollInterval), false
 	}
 	if s.attempt.hasUnread() {
 		return stallPollInterval, false // this box is slow, not the replica
 	}
 	other, found := c.server.core.Other(s.query)
 	switch {
-	case !found: // retry all targets
+	case !found: // start over with all targets
 		s.query = s.initialQuery
 		s.unreachable = nil
 		return stallPollInterval, false
@@ -156,24 +156,24 @@
 // idleTime returns the time since the request was written or bytes last arrived.
 func (s *stallWatch) idleTime() time.Duration {
 	a := s.attempt
-	begun := a.writtenAfter.Load()
-	if begun == 0 {
+	writtenAfter := a.writtenAfter.Load()
+	if writtenAfter == 0 {
 		return 0 // the connection is slow, not the replica
 	}
 	if a.target.Box != "" {
 		return a.boxIdleTime()
 	}
-	return a.call.server.core.Quiet(&a.target.Choice, a.sent.Add(time.Duration(begun)))
+	return a.call.server.core.Quiet(&a.target.Choice, a.sent.Add(time.Duration(writtenAfter)))
 }
 
 // boxIdleTime returns the time since a box last sent bytes. It is 0 before the head of the
 // response, for until then the number of attempts by that box is unknown.
 func (a *attempt) boxIdleTime() time.Duration {
-	heard := a.lastReceived.Load()
-	if heard == 0 {
+	lastReceived := a.lastReceived.Load()
+	if lastReceived == 0 {
 		return 0
 	}
-	return clock.Since(a.sent) - time.Duration(heard)
+	return clock.Since(a.sent) - time.Duration(lastReceived)
 }
 
 // probe checks whether this box reaches others: bytes arrived from one recently, or the next
@@ -210,8 +210,8 @@
 }
 
 // receivedWithin reports whether bytes arrived recently from any address but one.
-func (s *Server) receivedWithin(but string, within time.Duration) bool {
-	return clock.Since(s.replicas.Heard(but)) < within || clock.Since(s.boxes.Heard(but)) < within
+func (s *Server) receivedWithin(except string, within time.Duration) bool {
+	return clock.Since(s.replicas.Heard(except)) < within || clock.Since(s.boxes.Heard(except)) < within
 }
 
 // stallTimeout returns how long the replica or box may be silent.
--- a/ingress/suspended_test.go
+++ b/ingress/suspended_test.go
@@ -12,12 +12,12 @@
 	"github.com/havenrudder/havenrudder/internal/boot"
 )
 
-// suspension is longer than the callers of these tests wait.
+// suspension is longer than the deadline of the requests.
 const suspension = 20 * time.Second
 
-// lastReason returns why the request ended.
+// lastReason returns the recorded reason for the end of the request.
 func (g *region) lastReason() string {
-	for _, e := range g.lines {
+	for _, e := range g.events {
 		if e.Kind == decision.End {
 			return e.Reason
 		}
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 1)
-		g.none = clock.Now().Add(100 * time.Millisecond)
+		g.fullUntil = clock.Now().Add(100 * time.Millisecond)
 		time.AfterFunc(50*time.Millisecond, func() { boot.Skip(suspension.Nanoseconds()) })
 		g.call(t)
 		is.Equal(g.runs(), 0)
@@ -41,11 +41,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 2)
-		g.list[0].tearBefore(5)
-		g.list[1].tearBefore(5)
+		g.list[0].abortBefore(5)
+		g.list[1].abortBefore(5)
 		time.AfterFunc(450*time.Millisecond, func() { boot.Skip(suspension.Nanoseconds()) })
 		a := g.call(t)
-		is.True(!a.whole)
+		is.True(!a.complete)
 		is.Equal(g.runs(), 1)
 		is.Equal(g.lastReason(), whyDeadline)
 	})
@@ -55,10 +55,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 2)
-		g.list[0].tearBefore(5)
+		g.list[0].abortBefore(5)
 		time.AfterFunc(450*time.Millisecond, func() { boot.Skip((2 * time.Second).Nanoseconds()) })
 		a := g.call(t)
-		is.True(a.whole)
-		is.Equal(a.body, wholeStream())
+		is.True(a.complete)
+		is.Equal(a.body, completeStream())
 	})
 }
--- a/ingress/trial_test.go
+++ b/ingress/trial_test.go
@@ -15,14 +15,14 @@
 	"github.com/havenrudder/havenrudder/poison"
 )
 
-// trial has a request of the region be on trial from a time on, with a run allowed from another,
-// and returns where the runs that are over are counted.
+// trial puts requests on trial after from, allows the run after allowed, and returns the counter
+// of completed runs.
 func (g *region) trial(from, allowed time.Duration) *int {
 	began := clock.Now()
 	over := 0
-	g.known.OnTrial = func(*poison.Content) bool { return over == 0 && clock.Since(began) >= from }
-	g.known.TakeTrial = func(*poison.Content) bool { return clock.Since(began) >= allowed }
-	g.known.EndTrial = func(*placement.Choice, *poison.Content) { over++ }
+	g.poison.OnTrial = func(*poison.Content) bool { return over == 0 && clock.Since(began) >= from }
+	g.poison.TakeTrial = func(*poison.Content) bool { return clock.Since(began) >= allowed }
+	g.poison.EndTrial = func(*placement.Choice, *poison.Content) { over++ }
 	return &over
 }
 
@@ -32,14 +32,14 @@
 		g := newRegion(t, 3)
 		over := g.trial(0, 200*time.Millisecond)
 		a := g.call(t)
-		is.True(a.whole)
-		is.Equal(a.body, wholeStream())
+		is.True(a.complete)
+		is.Equal(a.body, completeStream())
 		is.Equal(g.runs(), 1)
 		is.Equal(*over, 1)
 	})
 }
 
-func TestARequestOnTrialThatWaitsInVainIsToldToComeBackSoon(t *testing.T) {
+func TestARequestOnTrialThatWaitsTooLongIsRefusedWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 3)
@@ -52,7 +52,7 @@
 		is.Equal(w.Code, http.StatusServiceUnavailable)
 		is.Equal(w.Header().Get("Retry-After"), "1.00")
 		is.True(clock.Since(began) <= trialWaitTimeout+2*trialPollInterval)
-		is.Equal(g.runs(), 0) // it has not run
+		is.Equal(g.runs(), 0)
 	})
 }
 
@@ -60,11 +60,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 3)
-		g.list[0].tearBefore(5)
+		g.list[0].abortBefore(5)
 		over := g.trial(100*time.Millisecond, 2*time.Second)
 		a := g.call(t)
-		is.True(a.whole)
-		is.Equal(a.body, wholeStream())
+		is.True(a.complete)
+		is.Equal(a.body, completeStream())
 		is.Equal(g.runs(), 2)
 		is.Equal(*over, 1)
 	})
