--- a/ingress/call.go
+++ b/ingress/call.go
@@ -128,7 +128,7 @@
 // place returns the next target. A stream that has started waits until there is one, for it
 // would be interrupted otherwise.
 func (c *call) place(ctx context.Context) Target {
-	t := c.server.core.Place(c.query())
+	t := c.server.core.Place(c.newQuery())
 	for t.Reason != placement.None && c.waitsUntilDeadline() && ctx.Err() == nil && !c.isQuarantined() {
 		if c.retryReceivers {
 			t = c.placeAmongReceivers()
@@ -160,7 +160,7 @@
 	c.triedBoxes = nil
 	c.noRegions = nil
 	c.retryReceivers = clock.Since(c.interruptedAt) > receiverRetryDelay
-	return c.server.core.Place(c.query())
+	return c.server.core.Place(c.newQuery())
 }
 
 // placeAmongReceivers queries for a replica that interrupted the stream, after all others have
@@ -168,7 +168,7 @@
 func (c *call) placeAmongReceivers() Target {
 	c.retryReceivers = false
 	c.tried = slices.DeleteFunc(slices.Clone(c.tried), func(replica string) bool { return slices.Contains(c.receivers, replica) })
-	return c.server.core.Place(c.query())
+	return c.server.core.Place(c.newQuery())
 }
 
 // noteFailedDial records a failed connection. The retry granted for it pays for the next
@@ -213,8 +213,8 @@
 	})
 }
 
-// query returns the query for the next target.
-func (c *call) query() Ask {
+// newQuery returns the query for the next target.
+func (c *call) newQuery() Ask {
 	shared := c.facts.Parts
 	if n := len(shared); n > 0 {
 		shared = shared[:n-1]
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -121,7 +121,7 @@
 	events       []decision.Event
 	silent       []string // replicas that were reported as silent
 	unresumable  bool     // the route's streams can't be resumed
-	poison       Poison
+	poisonFuncs  Poison
 }
 
 // noPoison returns a Poison for requests under which no replica crashes.
@@ -143,7 +143,7 @@
 		},
 		lastReceived: make(map[string]time.Time),
 		takeRetry:    func() bool { return true },
-		poison:       noPoison(),
+		poisonFuncs:  noPoison(),
 	}
 	for i := range replicas {
 		u := &upstream{
@@ -207,8 +207,8 @@
 func (g *region) idleTime(c *placement.Choice, sent time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if heard := g.lastReceived[c.Replica]; heard.After(sent) {
-		sent = heard
+	if lastReceived := g.lastReceived[c.Replica]; lastReceived.After(sent) {
+		sent = lastReceived
 	}
 	return clock.Since(sent)
 }
@@ -268,7 +268,7 @@
 			defer g.mu.Unlock()
 			g.events = append(g.events, e)
 		},
-		Poison: g.poison,
+		Poison: g.poisonFuncs,
 		Meter: Meter{
 			Request: func(string, string, time.Duration) {},
 			First:   func(string, time.Duration) {},
--- a/ingress/stall.go
+++ b/ingress/stall.go
@@ -36,7 +36,7 @@
 	if !mayCancel && a.target.Box != "" {
 		return func() {}
 	}
-	query := c.query()
+	query := c.newQuery()
 	if replica := a.target.Choice.Replica; replica != "" {
 		query.Request.Tried = append(slices.Clone(query.Request.Tried), replica)
 	}
--- a/ingress/trial_test.go
+++ b/ingress/trial_test.go
@@ -20,9 +20,9 @@
 func (g *region) trial(from, allowed time.Duration) *int {
 	began := clock.Now()
 	over := 0
-	g.poison.OnTrial = func(*poison.Content) bool { return over == 0 && clock.Since(began) >= from }
-	g.poison.TakeTrial = func(*poison.Content) bool { return clock.Since(began) >= allowed }
-	g.poison.EndTrial = func(*placement.Choice, *poison.Content) { over++ }
+	g.poisonFuncs.OnTrial = func(*poison.Content) bool { return over == 0 && clock.Since(began) >= from }
+	g.poisonFuncs.TakeTrial = func(*poison.Content) bool { return clock.Since(began) >= allowed }
+	g.poisonFuncs.EndTrial = func(*placement.Choice, *poison.Content) { over++ }
 	return &over
 }
 
