--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -28,7 +28,6 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// endToEndHeaders returns the headers that are forwarded with a message.
 func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
@@ -62,12 +61,11 @@
 	unread         atomic.Value  // a func() bool that reports whether unread bytes of the response have arrived
 	headAfter      time.Duration // time until the head of the response; 0 before
 	lastReceived   atomic.Int64  // nanoseconds until bytes of the response last arrived, with the resolution of receivedInterval
-	reportedSilent atomic.Bool   // the replica was reported as silent
-	survived       bool          // the replica was reported as having survived the request
-	why            string        // why there is no complete response
+	reportedSilent atomic.Bool
+	survived       bool   // reportSurvived was called
+	why            string // why there is no complete response
 }
 
-// attemptReplica sends the request to a replica of this region.
 func (c *call) attemptReplica(ctx context.Context, t Target) attemptOutcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	a := &attempt{
@@ -132,7 +130,6 @@
 	return a.pass(ctx, answer)
 }
 
-// noteSent records that the request is being written.
 func (a *attempt) noteSent(unread func() bool) {
 	a.unread.Store(unread)
 	took := clock.Since(a.sent)
@@ -214,7 +211,6 @@
 	}
 }
 
-// report records and counts the outcome of the attempt.
 func (a *attempt) report(e attemptOutcome) {
 	c := a.call
 	outcome := loggedOutcomes[e]
@@ -238,7 +234,6 @@
 	})
 }
 
-// loggedOutcomes are the outcomes as they are recorded in events and metrics.
 var loggedOutcomes = map[attemptOutcome]decision.Outcome{
 	served:      decision.Served,
 	unsent:      decision.NotRun,
--- a/ingress/auth.go
+++ b/ingress/auth.go
@@ -11,7 +11,6 @@
 	"github.com/havenrudder/havenrudder/placement"
 )
 
-// Reasons for which a request is refused because of its key.
 const (
 	reasonNoKey      placement.Reason = "no key, or none in its form"
 	reasonUnknownKey placement.Reason = "key of no organisation"
@@ -118,7 +117,6 @@
 	return false
 }
 
-// rejectKey answers that the key is missing or not valid.
 func (c *call) rejectKey(reason placement.Reason) {
 	c.w.Header().Set("WWW-Authenticate", "Bearer")
 	c.server.core.Meter.Refusal(string(reason))
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	deadlineGrace      = 40 * time.Millisecond  // time for a replica to report at its deadline that it has stopped
-	maxRounds          = 24                     // target queries per request
+	deadlineGrace      = 40 * time.Millisecond // time for a replica to report at its deadline that it has stopped
+	maxRounds          = 24
 	maxWaitFraction    = 0.2                    // of the latency target, for a replica with free capacity
 	minWait            = 5 * time.Millisecond   // between two rounds
 	resumePollInterval = 100 * time.Millisecond // between two queries for a replica that can resume a stream
@@ -36,7 +36,6 @@
 	stateStarted               // part of a response was forwarded
 )
 
-// call is a request in progress.
 type call struct {
 	server   *Server
 	w        http.ResponseWriter
@@ -50,7 +49,7 @@
 	service string
 	version int
 	rank    float64 // of its priority among the requests of the service
-	urgency int     // the same as the level that replicas receive; 0 is first
+	urgency int     // sent to replicas; 0 is first
 
 	keyed        bool   // the request needs a key, which is not forwarded
 	organisation string // owner of the caller's key; empty for none
@@ -69,18 +68,18 @@
 	noRegions       []string // regions that refused the request or were unreachable
 	receivers       []string // replicas of tried that received the request
 	failedDials     int
-	budgetCounted   bool             // the retry budget has counted the request
-	retryGranted    atomic.Bool      // the retry budget has granted the next attempt
-	lastEvent       string           // ID of the last forwarded event
-	events          int              // number of forwarded events
-	viaBox          bool             // another box forwards the stream
-	firstEventAfter time.Duration    // until the first event or byte was forwarded
-	lastEventAt     time.Time        // when the last event was forwarded
-	interruptedAt   time.Time        // when the stream was last interrupted
-	retryReceivers  bool             // the next target is one that interrupted the stream
-	unresumable     atomic.Bool      // another replica can't continue the forwarded part of the response
-	maxGap          time.Duration    // longest gap between two events
-	done            bool             // the caller has the complete response
+	budgetCounted   bool
+	retryGranted    atomic.Bool // the retry budget has granted the next attempt
+	lastEvent       string      // ID of the last forwarded event
+	events          int
+	viaBox          bool          // another box forwards the stream
+	firstEventAfter time.Duration // until the first event or byte was forwarded
+	lastEventAt     time.Time
+	interruptedAt   time.Time
+	retryReceivers  bool          // the next target is one that interrupted the stream
+	unresumable     atomic.Bool   // another replica can't continue the forwarded part of the response
+	maxGap          time.Duration // longest gap between two events
+	done            bool
 	failure         *response        // a replica's response that reports its own failure
 	reason          placement.Reason // why there is no further target
 	retryAfter      time.Duration    // until there may be a target
@@ -140,8 +139,7 @@
 	return t
 }
 
-// resumeWait returns how long a started stream waits before the next query for a target. After
-// failed connections the wait is longer.
+// resumeWait returns how long a started stream waits before the next query for a target.
 func (c *call) resumeWait(t Target) time.Duration {
 	if c.failedDials > 0 {
 		return resumePollInterval
@@ -171,8 +169,7 @@
 	return c.server.core.Place(c.newQuery())
 }
 
-// noteFailedDial records a failed connection. The retry granted for it pays for the next
-// attempt.
+// noteFailedDial records a failed connection, whose retry also pays for the next attempt.
 func (c *call) noteFailedDial() {
 	c.failedDials++
 	c.retryGranted.Store(c.received)
@@ -195,7 +192,6 @@
 	return max(base, min(extended, c.route.Goal.Duration()-clock.Since(c.start)))
 }
 
-// recordPlacement records the target and the load that it was selected by.
 func (c *call) recordPlacement(t Target) {
 	c.record(decision.Event{
 		Kind:     decision.Place,
@@ -213,7 +209,6 @@
 	})
 }
 
-// newQuery returns the query for the next target.
 func (c *call) newQuery() Ask {
 	shared := c.facts.Parts
 	if n := len(shared); n > 0 {
@@ -264,7 +259,6 @@
 	return ctx.Err() == nil
 }
 
-// mayRetry reports whether the request may be sent to one more replica.
 func (c *call) mayRetry(ctx context.Context) bool {
 	if ctx.Err() != nil || c.deadlinePassed() {
 		return false
@@ -295,7 +289,6 @@
 	return true
 }
 
-// attemptOutcome is the outcome of one attempt.
 type attemptOutcome int
 
 const (
@@ -332,7 +325,6 @@
 	return false
 }
 
-// noteReceiver records that a replica received the request.
 func (c *call) noteReceiver(replica string) {
 	c.sent++
 	c.received = true
@@ -351,7 +343,6 @@
 	c.server.core.Begin(c.service)
 }
 
-// record records an event of this request.
 func (c *call) record(e decision.Event) {
 	e.Request = c.facts.ID
 	e.Service = c.service
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -20,7 +20,6 @@
 
 const receivedInterval = 100 * time.Millisecond // between two reports that a replica is sending
 
-// errCallerLeft reports that the caller of a stream has left.
 var errCallerLeft = errors.New("ingress: caller left")
 
 // passEvents forwards a stream in complete events, so that it can resume at another replica
@@ -75,7 +74,6 @@
 	}
 }
 
-// startStream forwards the head of a stream.
 func (c *call) startStream(answer *exchange.Answer) {
 	c.setHeader(responseHead{
 		status: answer.Status(),
@@ -164,7 +162,6 @@
 	c.flush()
 }
 
-// parseSentCount parses what sendSentCount writes.
 func parseSentCount(event []byte) (int, bool) {
 	value, ok := bytes.CutPrefix(event, []byte(sentCountPrefix))
 	if !ok {
@@ -174,7 +171,6 @@
 	return n, err == nil
 }
 
-// noteGap records the longest gap between events.
 func (c *call) noteGap(now time.Time) {
 	if c.lastEventAt.IsZero() {
 		c.firstEventAfter = now.Sub(c.start)
--- a/ingress/events_test.go
+++ b/ingress/events_test.go
@@ -41,7 +41,6 @@
 	before func(left int) // called before each read with the number of chunks left
 }
 
-// Read returns the next chunk.
 func (p *chunkReader) Read(buf []byte) (int, error) {
 	p.before(len(p.list))
 	if len(p.list) == 0 {
@@ -66,7 +65,6 @@
 	return string(in.Rest()), err
 }
 
-// noCheck checks nothing between two chunks.
 func noCheck(int) {}
 
 func TestOnlyCompleteEventsAreForwarded(t *testing.T) {
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -15,7 +15,6 @@
 	boxUnackedTimeout = 30 * time.Second       // for unacknowledged data in the middle of a response
 )
 
-// attemptBox forwards the request to a box of another region.
 func (c *call) attemptBox(ctx context.Context, t Target) attemptOutcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -63,13 +63,12 @@
 	Choice  placement.Choice // Choice.Replica is empty if the target is a box or none
 	Box     string           // box of another region
 	BoxAddr string           // address on which the box accepts requests from boxes
-	Region  string           // of the box
+	Region  string
 	Reason  placement.Reason // why there is no target
 	Wait    time.Duration    // when to ask again, if known
 	AgeMs   int64            // age of the recorded state of the other region
 }
 
-// addr returns the address of the target.
 func (t *Target) addr() string {
 	if t.Box != "" {
 		return t.BoxAddr
--- a/ingress/link_test.go
+++ b/ingress/link_test.go
@@ -21,8 +21,8 @@
 	mu           sync.Mutex
 	fullUntil    time.Time
 	unreadUntil  time.Time
-	refusedUntil time.Time // until when every connection is refused
-	dials        int       // connections attempted
+	refusedUntil time.Time
+	dials        int
 }
 
 func (l *link) isDown() bool {
@@ -31,7 +31,6 @@
 	return clock.Now().Before(l.refusedUntil)
 }
 
-// refuse refuses every connection for d.
 func (l *link) refuse(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,14 +68,12 @@
 	return l.fullUntil
 }
 
-// dialled returns the number of connections attempted.
 func (l *link) dialled() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dials
 }
 
-// waitUntil waits until the time, or until done is closed.
 func waitUntil(till time.Time, done <-chan struct{}) error {
 	timer := time.NewTimer(clock.Until(till))
 	defer timer.Stop()
@@ -132,7 +129,6 @@
 // SyscallConn returns a connection whose socket reports unread bytes.
 func (c *throughLink) SyscallConn() (syscall.RawConn, error) { return (*rawLink)(c), nil }
 
-// rawLink is the raw connection of a throughLink.
 type rawLink throughLink
 
 // Control calls f with a socket that has an unread byte if the connection has some.
--- a/ingress/poison.go
+++ b/ingress/poison.go
@@ -20,7 +20,6 @@
 	trialRetryAfter   = time.Second
 )
 
-// reasonPoison is the reason of a request that is quarantined.
 const reasonPoison placement.Reason = "ends its replicas"
 
 // survivalTime is how long a replica must have streamed a response to count as having
@@ -117,7 +116,6 @@
 	a.call.server.core.Poison.Survived(&a.target.Choice, &a.call.content, since)
 }
 
-// refusePoison refuses a quarantined request. Earlier retries would be refused again.
 func (c *call) refusePoison() {
 	c.w.Header().Set("Retry-After", strconv.FormatFloat(c.retryAfter.Seconds(), 'f', 0, 64))
 	c.refuseUnavailable(reasonPoison)
--- a/ingress/quota.go
+++ b/ingress/quota.go
@@ -36,7 +36,6 @@
 	c.cost = 0
 }
 
-// refuseQuota refuses a request that exceeds its organisation's quota.
 func (c *call) refuseQuota() {
 	c.w.Header().Set("Retry-After", strconv.FormatFloat(c.retryAfter.Seconds(), 'f', 2, 64))
 	c.refuseWithStatus(http.StatusTooManyRequests, reasonQuota)
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -67,7 +67,6 @@
 	panic(http.ErrAbortHandler)
 }
 
-// abortReason returns why a response is not continued.
 func (c *call) abortReason(ctx context.Context) placement.Reason {
 	switch {
 	case c.r.Context().Err() != nil:
@@ -78,7 +77,6 @@
 	return c.lastReason()
 }
 
-// lastReason returns why there is no further target.
 func (c *call) lastReason() placement.Reason { return cmp.Or(c.reason, reasonBudget) }
 
 // fail answers that the request may have run.
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -39,7 +39,6 @@
 	runs     int
 }
 
-// ServeHTTP responds with a stream.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	u.runs++
@@ -304,7 +303,6 @@
 	return out
 }
 
-// box returns the handler of the box.
 func (g *region) box(pool *exchange.Pool) http.Handler {
 	return New("box", "a", Codec{
 		Facts: func(http.Header) (Facts, error) {
@@ -325,7 +323,6 @@
 	}, g.core(), pool, pool).Callers()
 }
 
-// receive sends a request to a box and waits for the end of the response.
 func receive(t *testing.T, box http.Handler) callerResult {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "http://shop.example/chat/1", nil)
@@ -349,7 +346,6 @@
 	return out
 }
 
-// runs returns how often replicas ran a request.
 func (g *region) runs() (n int) {
 	for _, u := range g.list {
 		u.mu.Lock()
@@ -359,7 +355,6 @@
 	return n
 }
 
-// completeStream returns the body of a complete stream.
 func completeStream() (out string) {
 	for i := 1; i <= eventCount; i++ {
 		out += event(i, "e")
--- a/ingress/relay.go
+++ b/ingress/relay.go
@@ -53,14 +53,12 @@
 	return nil
 }
 
-// removeRelayHeaders removes the headers that only boxes may set.
 func removeRelayHeaders(h http.Header) {
 	for _, name := range []string{headerRelay, headerResult, headerSent} {
 		h.Del(name)
 	}
 }
 
-// decodeRelay decodes the value that encode returns.
 func decodeRelay(value string) (*relay, error) {
 	var r relay
 	if err := json.Unmarshal([]byte(value), &r); err != nil {
@@ -69,7 +67,6 @@
 	return &r, nil
 }
 
-// encode returns the relay as a header value.
 func (r *relay) encode() string {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -97,7 +94,6 @@
 	return n
 }
 
-// newRelay returns the relay that another box receives with this request.
 func (c *call) newRelay() *relay {
 	return &relay{
 		Box:       c.server.box,
--- a/ingress/response.go
+++ b/ingress/response.go
@@ -18,19 +18,16 @@
 
 const maxBufferedBody = 256 << 10 // longer responses are forwarded before they are complete
 
-// responseHead is the status and the header of a response.
 type responseHead struct {
 	status int
 	header http.Header
 }
 
-// response is a complete response.
 type response struct {
 	responseHead
 	body []byte
 }
 
-// pass forwards the response of a replica or box to the caller.
 func (a *attempt) pass(ctx context.Context, answer *exchange.Answer) attemptOutcome {
 	c := a.call
 	status := answer.Status()
@@ -162,7 +159,6 @@
 	c.recordEnd(decision.Served, resp.status, string(reason))
 }
 
-// setHeader sets the header of the response to the caller.
 func (c *call) setHeader(head responseHead) {
 	h := c.w.Header()
 	closing := h.Get("Connection")
@@ -178,7 +174,6 @@
 	c.setRelayResult(resultAnswer)
 }
 
-// recordEnd records what the caller received.
 func (c *call) recordEnd(o decision.Outcome, status int, reason string) {
 	took := clock.Since(c.start)
 	c.server.core.Meter.Request(c.service, string(o), took)
--- a/ingress/stall.go
+++ b/ingress/stall.go
@@ -23,7 +23,6 @@
 	receivedWindow     = 250 * time.Millisecond // the same for bytes received from others; at most half of the stall timeout
 )
 
-// errStalled cancels an attempt whose replica has stalled.
 var errStalled = errors.New("ingress: replica silent")
 
 // watchStall cancels the attempt if its replica or box has stalled, the next target is
@@ -60,7 +59,6 @@
 	}
 }
 
-// stallWatch watches one attempt.
 type stallWatch struct {
 	attempt      *attempt
 	query        Ask // for the next target
@@ -69,7 +67,7 @@
 	timeout      time.Duration
 	reachedAt    time.Time // when another target was last reachable
 	unreachable  []Target  // targets that failed a probe before
-	cancelled    bool      // the watch has cancelled the attempt
+	cancelled    bool
 }
 
 // reportUnreachable excludes the unreachable targets from the retry and reports them. It does so
@@ -90,7 +88,6 @@
 	}
 }
 
-// run checks repeatedly until ctx ends or the attempt is cancelled.
 func (s *stallWatch) run(ctx context.Context) {
 	timer := time.NewTimer(s.timeout)
 	defer timer.Stop()
@@ -214,7 +211,6 @@
 	return clock.Since(s.replicas.Heard(except)) < within || clock.Since(s.boxes.Heard(except)) < within
 }
 
-// stallTimeout returns how long the replica or box may be silent.
 func (a *attempt) stallTimeout() time.Duration {
 	expect := stallPerExpected * a.target.Choice.Expect
 	if a.target.Box != "" {
--- a/ingress/suspended_test.go
+++ b/ingress/suspended_test.go
@@ -15,7 +15,6 @@
 // suspension is longer than the deadline of the requests.
 const suspension = 20 * time.Second
 
-// lastReason returns the recorded reason for the end of the request.
 func (g *region) lastReason() string {
 	for _, e := range g.events {
 		if e.Kind == decision.End {
