--- a/ingress/congestion_test.go
+++ b/ingress/congestion_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestAStreamThatBreaksWhileNoReplicaIsFreeResumesLater(t *testing.T) {
+func TestAStreamThatBreaksWhileNoReplicaIsFreeGoesOnLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 3)
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestAStreamThatBreaksWhileNoRetryIsLeftResumesOnceThereIsOne(t *testing.T) {
+func TestAStreamThatBreaksWhileNoRetryIsLeftGoesOnOnceThereIsOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 3)
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestAStreamResumesAtTheReplicaThatBrokeItWhereThereIsNoOther(t *testing.T) {
+func TestAStreamGoesOnAtTheReplicaThatBrokeItWhereThereIsNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 1)
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestAStreamThroughAnotherBoxIsNotEndedWhileTheBoxesOwnLinkIsFull(t *testing.T) {
+func TestAStreamByWayOfAnotherBoxIsNotEndedWhileTheBoxesOwnLinkIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 3)
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestAStreamThatBreaksWhileAllRefuseConnectionsResumesLater(t *testing.T) {
+func TestAStreamThatBreaksWhileAllRefuseConnectionsGoesOnLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 30)
--- a/ingress/events_test.go
+++ b/ingress/events_test.go
@@ -67,7 +67,7 @@
 
 func noCheck(int) {}
 
-func TestOnlyCompleteEventsAreForwarded(t *testing.T) {
+func TestOnlyWholeEventsArePassedOn(t *testing.T) {
 	is := is.New(t)
 	c, w := newStreamCall("")
 	rest, err := copyChunks(c, func(left int) {
@@ -86,7 +86,7 @@
 	is.Equal(c.lastEvent, "2")
 }
 
-func TestAnEventThatTheCallerHasReceivedIsSkipped(t *testing.T) {
+func TestAnEventThatTheCallerHasIsLeftOut(t *testing.T) {
 	is := is.New(t)
 	c, w := newStreamCall("9")
 	_, err := copyChunks(c, noCheck, event(8, "a")+event(9, "b")+event(10, "c")+event(10, "c")+event(11, "d"))
@@ -95,7 +95,7 @@
 	is.Equal(c.lastEvent, "11")
 }
 
-func TestAnEventWithoutIDIsForwarded(t *testing.T) {
+func TestAnEventWithoutIDIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	c, w := newStreamCall("5")
 	_, err := copyChunks(c, noCheck, event(0, "a")+": note\n\n"+event(6, "b"))
@@ -104,9 +104,9 @@
 	is.Equal(c.lastEvent, "6")
 }
 
-// TestAStreamCutAnywhereIsForwardedOnceAndInOrder joins interrupted runs that overlap and arrive
+// TestAStreamCutAnywhereIsPassedOnOnceAndInOrder joins interrupted runs that overlap and arrive
 // in chunks of any size. It guards against lost, repeated and reordered events.
-func TestAStreamCutAnywhereIsForwardedOnceAndInOrder(t *testing.T) {
+func TestAStreamCutAnywhereIsPassedOnOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(t, "events")
 		c, w := newStreamCall("")
--- a/ingress/headers_test.go
+++ b/ingress/headers_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestAMissingSentCountCountsAsOnce(t *testing.T) {
+func TestABoxThatDoesNotSayHowOftenItSentCountsAsOnce(t *testing.T) {
 	cases := []struct {
 		value string
 		want  int
--- a/ingress/probe_test.go
+++ b/ingress/probe_test.go
@@ -54,7 +54,7 @@
 
 // Guards against cancelling a stream whose data has arrived but was not read, for the CPU of the
 // box is overloaded.
-func TestAStreamIsNotEndedWhileItsResponseIsUnreadAtTheBox(t *testing.T) {
+func TestAStreamIsNotEndedWhileItsAnswerLiesUnreadAtTheBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 3)
--- a/ingress/refuse_test.go
+++ b/ingress/refuse_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestCallersOfAStoppingBoxRetrySoonWhereAnotherServes(t *testing.T) {
+func TestCallersOfABoxThatEndsComeBackSoonWhereAnotherServes(t *testing.T) {
 	is := is.New(t)
 	others := false
 	s := &Server{
--- a/ingress/unreachable_test.go
+++ b/ingress/unreachable_test.go
@@ -31,7 +31,7 @@
 
 // Guards against counting refused connections as rounds, which aborts the stream before its
 // deadline.
-func TestAStreamResumesAtTheReplicaThatBrokeItWhereTheOtherRefusesConnections(t *testing.T) {
+func TestAStreamGoesOnAtTheReplicaThatBrokeItWhereTheOtherRefusesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := newRegion(t, 2)
