--- a/ingress/headers_test.go
+++ b/ingress/headers_test.go
@@ -10,7 +10,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-func TestHeadersOfOneConnectionDontTravelOn(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	is := is.New(t)
 	in := http.Header{
 		"Connection":        {"close, X-Hop", "x-other"},
@@ -26,11 +26,11 @@
 		"X-Kept":            {"a", "b"},
 		"Content-Type":      {"text/plain"},
 	}
-	is.Equal(onward(in), http.Header{
+	is.Equal(endToEndHeaders(in), http.Header{
 		"X-Kept":       {"a", "b"},
 		"Content-Type": {"text/plain"},
 	})
-	is.Equal(in.Get("X-Hop"), "1") // the message itself stays
+	is.Equal(in.Get("X-Hop"), "1") // the original is unchanged
 }
 
 func goodRelay() *relay {
@@ -68,7 +68,7 @@
 		data, err := json.Marshal(fields)
 		is.NoErr(err)
 		_, err = decodeRelay(string(data))
-		is.True(err != nil) // it must not be run by guess
+		is.True(err != nil) // it must not run with missing fields
 	}
 	for _, value := range []string{"", "{", "null", "[]", `"x"`, "{}"} {
 		is := is.New(t)
@@ -92,6 +92,6 @@
 		is := is.New(t)
 		h := http.Header{}
 		h.Set(headerSent, c.value)
-		is.Equal(sentThere(h), c.want)
+		is.Equal(remoteSentCount(h), c.want)
 	}
 }
