--- a/exchange/answer_test.go
+++ b/exchange/answer_test.go
@@ -152,7 +152,7 @@
 	is.NoErr(err)
 	is.Equal(body, "ok")
 	is.Equal(p.Open(s.addr), 0)
-	<-a.sent.done // the goroutine has ended though the other side still holds on
+	<-a.write.done // the goroutine has ended though the other side still holds on
 	close(gone)
 }
 
@@ -196,7 +196,7 @@
 		sent, stage := sentAt(t, err)
 		is.Equal(sent, true)
 		is.Equal(stage, Response)
-		is.Equal(time.Since(start), answerGrace)
+		is.Equal(time.Since(start), responseGrace)
 	})
 }
 
@@ -248,7 +248,7 @@
 		{"two", "HTTP/1.1 100 Continue\r\n\r\n" + hint + whole, true},
 		{"too many", strings.Repeat(hint, maxInformational) + whole, false},
 		{"a switch", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", false},
-		{"a long header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxHead+readerSize), false},
+		{"a long header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxHeaderBytes+readerSize), false},
 		{"no HTTP", "SSH-2.0-x\r\n", false},
 	}
 	for _, tc := range cases {
@@ -286,7 +286,7 @@
 	}
 	for _, tc := range cases {
 		is := is.New(t)
-		got, ok := keepAlive(http.Header{"Keep-Alive": {tc.value}})
+		got, ok := keepAliveTimeout(http.Header{"Keep-Alive": {tc.value}})
 		is.Equal(got, tc.want)
 		is.Equal(ok, tc.ok)
 	}
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -12,114 +12,110 @@
 )
 
 const (
-	// readerSize is the read buffer of a connection in bytes. It holds a usual
-	// answer's header; larger reads of the body bypass it.
+	// readerSize is the size of a connection's read buffer in bytes.
 	readerSize = 4 << 10
 
-	// maxHead bounds an answer's header in bytes; net/http's server has the same
-	// bound for requests.
-	maxHead = 1 << 20
+	// maxHeaderBytes is the maximum size of a response header.
+	maxHeaderBytes = 1 << 20
 
-	// maxInformational bounds the 1xx answers to one request; servers send one
-	// or two.
+	// maxInformational is the number of responses read in search of a final one.
 	maxInformational = 16
 
-	// maxDropped bounds the body of an answer, in bytes, that belongs to another
-	// request and is read to reach ours; beyond it a new connection is cheaper.
-	maxDropped = 64 << 10
+	// maxDiscarded is the maximum body size, in bytes, of a discarded response.
+	maxDiscarded = 64 << 10
 )
 
 var (
-	errHeadTooLong   = errors.New("the answer's header is too long")
-	errInformational = errors.New("too many 1xx answers")
-	errSwitched      = errors.New("the other side has switched protocols unasked")
-	errCrossed       = errors.New("the answer belongs to another request")
+	errHeaderTooLong        = errors.New("response header is longer than 1 MiB")
+	errTooManyInformational = errors.New("too many 1xx responses")
+	errProtocolSwitch       = errors.New("server switched protocols without an upgrade request")
+	errMismatch             = errors.New("response belongs to another request")
 )
 
-// conn is one connection. Between take or open and put it belongs to one exchange.
+// conn is one connection. Between acquire or connect and release it belongs to one exchange.
 type conn struct {
-	pool     *Pool
-	addr     string
-	nc       net.Conn
-	reader   *bufio.Reader
-	headLeft int64 // bytes that may still be read
-	wrote    int64 // bytes of the current request that the kernel has taken
-	writeErr error // why the kernel took no more of them
-	reused   bool
-	hadHead  bool      // it has carried a HEAD request
-	busy     bool      // it may be silent for longer than one at rest
-	until    time.Time // when it has rested for long enough; held by pool.mu
-	closed   bool      // held by pool.mu
+	pool       *Pool
+	addr       string
+	nc         net.Conn
+	reader     *bufio.Reader
+	headerLeft int64 // bytes of a header that may still be read
+	written    int64 // bytes of the current request accepted by the kernel
+	writeErr   error // the last write error
+	reused     bool
+	sentHEAD   bool      // it has carried a HEAD request
+	extended   bool      // its TCP user timeout differs from the dialer's
+	expiresAt  time.Time // end of its idle time; guarded by pool.mu
+	closed     bool      // held by pool.mu
 }
 
 func newConn(p *Pool, addr string, nc net.Conn) *conn {
 	c := &conn{
-		pool:     p,
-		addr:     addr,
-		nc:       nc,
-		headLeft: math.MaxInt64,
+		pool:       p,
+		addr:       addr,
+		nc:         nc,
+		headerLeft: math.MaxInt64,
 	}
 	c.reader = bufio.NewReaderSize(c, readerSize)
 	return c
 }
 
-// Read reads from the connection while the bound of a header allows.
+// Read reads from the connection, up to the limit of a header.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.headLeft <= 0 {
-		return 0, errHeadTooLong
+	if c.headerLeft <= 0 {
+		return 0, errHeaderTooLong
 	}
 	n, err := c.nc.Read(p)
 	if n > 0 {
-		c.pool.heard.note(c.addr)
+		c.pool.activity.record(c.addr)
 	}
-	c.headLeft -= int64(n)
+	c.headerLeft -= int64(n)
 	return n, err
 }
 
-// Write writes to the connection, counts what was taken and notes a failure.
+// Write writes to the connection and records the bytes written and any error.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.nc.Write(p)
-	c.wrote += int64(n)
+	c.written += int64(n)
 	if err != nil {
 		c.writeErr = err
 	}
 	return n, err
 }
 
-// close closes the connection for good. It may be called at any time, by several
-// goroutines and more than once.
+// close removes the connection from the pool and closes it. It is idempotent and safe
+// for concurrent use.
 func (c *conn) close() {
-	if !c.pool.forget(c) {
+	if !c.pool.remove(c) {
 		return
 	}
-	_ = c.nc.Close() // given up: whatever the error, nothing is done with it again
+	_ = c.nc.Close()
 }
 
-// bear has the connection bear a peer that acknowledges nothing for d.
-func (c *conn) limitUnacked(d time.Duration) {
-	limitUnacked(c.nc, d)
-	c.busy = true
+// setUserTimeout sets the TCP user timeout to d.
+func (c *conn) setUserTimeout(d time.Duration) {
+	setConnUserTimeout(c.nc, d)
+	c.extended = true
 }
 
-// calm has it bear no more than the dialer allows.
-func (c *conn) calm() {
-	if c.busy {
-		limitUnacked(c.nc, userTimeout)
-		c.busy = false
+// resetUserTimeout has it bear no more than the dialer allows.
+func (c *conn) resetUserTimeout() {
+	if c.extended {
+		setConnUserTimeout(c.nc, userTimeout)
+		c.extended = false
 	}
 }
 
-// answer reads the header of the answer that belongs to req. It skips 1xx answers
-// and one answer to another request, if that one has a definite length.
-func (c *conn) answer(req *Request) (*http.Response, Stage, error) {
-	dropped := false
+// readResponse reads the header of the readResponse that belongs to req. It skips 1xx answers
+// and one readResponse to another request, if that one has a definite length.
+func (c *conn) readResponse(req *Request) (*http.Response, Stage, error) {
+	discarded := false
 	for range maxInformational {
-		resp, err := c.readHead(req.Method)
+		resp, err := c.readHeader(req.Method)
 		if err != nil {
 			return nil, Response, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, Response, errSwitched
+			return nil, Response, errProtocolSwitch
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
@@ -127,30 +123,30 @@
 		if req.Owns == nil || req.Owns(resp.Header) {
 			return resp, Response, nil
 		}
-		if dropped || !c.drop(resp) {
-			return nil, Crossed, errCrossed
+		if discarded || !c.discardBody(resp) {
+			return nil, Crossed, errMismatch
 		}
-		dropped = true
+		discarded = true
 	}
-	return nil, Response, errInformational
+	return nil, Response, errTooManyInformational
 }
 
-// readHead reads the header of one answer, within its bound.
-func (c *conn) readHead(method string) (*http.Response, error) {
-	c.headLeft = maxHead
-	defer func() { c.headLeft = math.MaxInt64 }()
+// readHeader reads the header of one response, up to maxHeaderBytes.
+func (c *conn) readHeader(method string) (*http.Response, error) {
+	c.headerLeft = maxHeaderBytes
+	defer func() { c.headerLeft = math.MaxInt64 }()
 	return http.ReadResponse(c.reader, &http.Request{
 		Method: method,
 	})
 }
 
-// drop reads the body of an answer to another request, and says whether the next
-// answer follows it. After a HEAD request the length of an answer's body is in
-// doubt, since nobody knows which request it belongs to.
-func (c *conn) drop(resp *http.Response) bool {
-	if c.hadHead || resp.Close {
+// discardBody reads the body of a response to another request, and reports whether another
+// response can follow. After a HEAD request the length of the body is unknown, since the
+// response may belong to that request.
+func (c *conn) discardBody(resp *http.Response) bool {
+	if c.sentHEAD || resp.Close {
 		return false
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDropped+1))
-	return err == nil && n <= maxDropped
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded+1))
+	return err == nil && n <= maxDiscarded
 }
--- a/exchange/errors.go
+++ b/exchange/errors.go
@@ -4,18 +4,18 @@
 	"fmt"
 )
 
-// Stage is the step of an exchange at which it failed.
+// Stage is the step at which an exchange failed.
 type Stage int
 
 // The stages of an exchange.
 const (
-	Dial     Stage = iota // no connection could be made
+	Dial     Stage = iota // no connection could be established
 	Write                 // the request could not be written
-	Response              // no complete header of an answer came
-	Crossed               // the answer belongs to another request
+	Response              // no complete response header was received
+	Crossed               // the response belongs to another request
 )
 
-// String returns the stage's name.
+// String returns the name of the stage.
 func (s Stage) String() string {
 	switch s {
 	case Dial:
@@ -30,26 +30,26 @@
 	return fmt.Sprintf("stage %d", int(s))
 }
 
-// Error is the failure of an exchange before the header of its answer was read.
+// Error is the failure of an exchange before the response header was read.
 type Error struct {
 	stage Stage
 	sent  bool
 	err   error
 }
 
-// Error says where the exchange failed, and why.
+// Error returns the failed stage and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("exchange: %s: %v", e.stage, e.err)
 }
 
-// Unwrap returns the cause. It is the context's error when the context ended. A
-// dial that timed out by itself also matches context.DeadlineExceeded.
+// Unwrap returns the cause, which is the context's error if the context ended. A dial
+// timeout also matches context.DeadlineExceeded.
 func (e *Error) Unwrap() error {
 	return e.err
 }
 
-// Sent says whether any byte of the request may have reached the other side.
-// When it is false, the request has certainly not run.
+// Sent reports whether any byte of the request may have reached the server. If not, the
+// request has not been executed.
 func (e *Error) Sent() bool {
 	return e.sent
 }
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,9 +1,8 @@
-// Package exchange carries one HTTP/1.1 request over one TCP connection and
-// knows whether any byte of it may have reached the other side.
+// Package exchange is an HTTP/1.1 client that reports whether any byte of a failed
+// request may have reached the server.
 //
-// It keeps its own connections alive between requests. Unlike http.Transport it
-// never sends a request a second time, but for one case that is safe: a kept
-// connection that took no byte at all of the request.
+// It has its own connection pool. Unlike http.Transport it retries a request in one case
+// only: when a reused connection accepted no byte of it.
 package exchange
 
 import (
@@ -16,45 +15,43 @@
 )
 
 const (
-	// defaultDialTimeout bounds connecting; the boxes and upstreams of a region
-	// are a few milliseconds apart, so one lost SYN is already a bad sign.
+	// defaultDialTimeout is shorter than the first SYN retransmission of TCP.
 	defaultDialTimeout = 500 * time.Millisecond
 
-	// inlineBody is the longest body, in bytes, that is written before the answer
-	// is read. With its head it fits the send buffer of any idle Linux socket (16 KiB
-	// by default), so that the write can't wait for the other side.
-	inlineBody = 8 << 10
+	// maxInlineBody is the longest body, in bytes, that is written before the response
+	// is read. With its header it fits an idle socket's send buffer, so that the write
+	// doesn't block.
+	maxInlineBody = 8 << 10
 )
 
 var (
-	errMethod = errors.New("the method is not a token")
-	errTarget = errors.New("the request target is empty or holds a space or a control byte")
+	errMethod = errors.New("request method is not a token")
+	errTarget = errors.New("request target is empty or contains a space or control character")
 )
 
-// Request is what one exchange sends. Do doesn't modify it; Header and Body must
-// stay unchanged until the answer is closed, or Do has failed.
+// Request is the request of one exchange. Header and Body must stay unchanged until the
+// response is closed or Do has failed.
 type Request struct {
 	Addr   string      // host:port to connect to
 	Method string      // GET when empty
 	Target string      // raw request target, sent unchanged
 	Host   string      // value of the Host field; Addr when empty
-	Header http.Header // sent as it is, without a User-Agent of our own
+	Header http.Header // sent as is, without a default User-Agent
 	Body   []byte      // none when empty
 
-	// Owns says whether an answer with these header fields belongs to this
-	// request. When it is nil, every answer does.
+	// Owns reports whether a response with these header fields belongs to this request.
+	// If nil, every response does.
 	Owns func(h http.Header) bool
 
-	// Begin is called, where it is not nil, just before the request is written to a
-	// connection: twice when a kept one took no byte of it. unread may be called at any
-	// time until Do has failed or the answer is closed; it says whether the other side
-	// has sent what this one has not read yet.
+	// Begin, if not nil, is called before each write of the request to a connection, so
+	// twice on a retry. unread reports whether the connection has received bytes that are
+	// not read yet; it may be called until Do has failed or the response is closed.
 	Begin func(unread func() bool)
 
 	DialTimeout time.Duration // 500 ms when 0
 }
 
-// prepare fills defaults in and refuses what can't be sent unchanged.
+// prepare sets defaults and validates the request line.
 func (r *Request) prepare() error {
 	if r.Method == "" {
 		r.Method = http.MethodGet
@@ -68,14 +65,14 @@
 	if !isToken(r.Method) {
 		return errMethod
 	}
-	if r.Target == "" || strings.ContainsFunc(r.Target, breaksLine) {
+	if r.Target == "" || strings.ContainsFunc(r.Target, isSpaceOrControl) {
 		return errTarget
 	}
 	return nil
 }
 
-// lastOne says whether the request asks the other side to close the connection.
-func (r *Request) lastOne() bool {
+// wantsClose reports whether the request has Connection: close.
+func (r *Request) wantsClose() bool {
 	for _, line := range r.Header.Values("Connection") {
 		for option := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(option), "close") {
@@ -86,13 +83,13 @@
 	return false
 }
 
-// breaksLine says whether c would end a field of the request line.
-func breaksLine(c rune) bool {
+// isSpaceOrControl reports whether c is not allowed in a request target.
+func isSpaceOrControl(c rune) bool {
 	const del = 0x7f
 	return c <= ' ' || c == del
 }
 
-// isToken says whether s is a token as RFC 9110, section 5.6.2, defines it.
+// isToken reports whether s is a token (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
 	const marks = "!#$%&'*+-.^_`|~"
 	outside := func(c rune) bool {
@@ -103,9 +100,9 @@
 	return s != "" && !strings.ContainsFunc(s, outside)
 }
 
-// Do sends the request and returns as soon as the header of its answer is read.
-// The caller must close the answer. A failure is an *Error. The end of ctx closes
-// the connection at once, also while the answer's body is read.
+// Do sends the request and returns once the response header is read. The caller must
+// close the response. Errors are of type *Error. The end of ctx closes the connection,
+// also while the body is read.
 func (p *Pool) Do(ctx context.Context, req Request) (*Answer, error) {
 	if err := req.prepare(); err != nil {
 		return nil, &Error{
@@ -119,64 +116,64 @@
 			err:   err,
 		}
 	}
-	if c := p.take(req.Addr); c != nil {
-		a, fault := carry(ctx, &req, c)
+	if c := p.acquire(req.Addr); c != nil {
+		a, fault := roundTrip(ctx, &req, c)
 		if fault == nil {
 			return a, nil
 		}
 		if fault.sent || ctx.Err() != nil {
 			return nil, fault
 		}
-		// The kept connection took no byte of the request: a fresh one may.
+		// The reused connection accepted no byte of the request: retry on a new one.
 	}
-	c, err := p.open(ctx, &req)
+	c, err := p.connect(ctx, &req)
 	if err != nil {
 		return nil, &Error{
 			stage: Dial,
-			err:   ended(ctx, err),
+			err:   contextErrOr(ctx, err),
 		}
 	}
-	a, fault := carry(ctx, &req, c)
+	a, fault := roundTrip(ctx, &req, c)
 	if fault != nil {
 		return nil, fault
 	}
 	return a, nil
 }
 
-// carry sends the request on c and reads the header of its answer. After a
-// failure c is closed and nothing writes to it any more.
-func carry(ctx context.Context, req *Request, c *conn) (*Answer, *Error) {
+// roundTrip sends the request on c and reads the response header. After a failure c is
+// closed and the request's body is no longer read.
+func roundTrip(ctx context.Context, req *Request, c *conn) (*Answer, *Error) {
 	stop := context.AfterFunc(ctx, c.close)
 	if req.Begin != nil {
-		req.Begin(func() bool { return unread(c.nc) })
+		req.Begin(func() bool { return hasUnread(c.nc) })
 	}
 	s := c.send(req)
 	stage := Write
-	err := s.early
+	err := s.immediateErr
 	var resp *http.Response
 	if err == nil {
-		resp, stage, err = c.answer(req)
+		resp, stage, err = c.readResponse(req)
 	}
 	if err != nil {
 		stop()
 		c.close()
 		<-s.done
-		sent := c.wrote > 0
+		sent := c.written > 0
 		if !sent {
 			stage = Write
 		}
 		return nil, &Error{
 			stage: stage,
 			sent:  sent,
-			err:   ended(ctx, err),
+			err:   contextErrOr(ctx, err),
 		}
 	}
-	return newAnswer(ctx, stop, req, c, s, resp), nil
+	return newResponse(ctx, stop, req, c, s, resp), nil
 }
 
-// ended returns the error of ctx when it has one, for that is then why the
-// connection failed, and err otherwise.
-func ended(ctx context.Context, err error) error {
+// contextErrOr returns the error of ctx if it has ended, which closes the connection, and
+// err otherwise.
+func contextErrOr(ctx context.Context, err error) error {
 	if cause := ctx.Err(); cause != nil {
 		return cause
 	}
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -13,76 +13,72 @@
 )
 
 const (
-	// defaultIdleLimit is how many unused connections are kept to an address;
-	// about the requests that one replica runs at once.
+	// defaultIdleLimit is the maximum number of idle connections per address.
 	defaultIdleLimit = 64
 
-	// defaultIdleTime is how long an unused connection is kept. The usual servers
-	// of models (uvicorn, Node) close theirs after 5 s.
+	// defaultIdleTime is shorter than the idle timeout of uvicorn and Node, 5 s.
 	defaultIdleTime = 4 * time.Second
 )
 
-var errPoolClosed = errors.New("the pool is closed")
+var errPoolClosed = errors.New("connection pool is closed")
 
-// Pool holds connections by address. It is safe for use by several goroutines.
+// Pool is a pool of connections by address. It is safe for concurrent use.
 type Pool struct {
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	onDial      func(addr string)
 	idleLimit   int
 	idleTime    time.Duration
-	busyTimeout time.Duration // 0 for that of the dialer
-	heard       heard
+	busyTimeout time.Duration // TCP user timeout of a busy connection; 0 for the dialer's
+	activity    activity
 
 	mu      sync.Mutex
-	addrs   map[string]*members
-	timer   *time.Timer // runs sweep; nil until a connection first rests
-	sweepAt time.Time   // when sweep runs next; zero for not at all
+	addrs   map[string]*addrConns
+	timer   *time.Timer // runs sweep; nil until a connection becomes idle
+	sweepAt time.Time   // when sweep runs next; zero if not scheduled
 	closed  bool
 }
 
-// members are the open connections to one address.
-type members struct {
+// addrConns contains the open connections to one address.
+type addrConns struct {
 	all  map[*conn]struct{}
-	idle []*conn // in the order in which they came to rest
+	idle []*conn // least recently used first
 }
 
-// Option changes a pool under construction.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithDial sets how connections are made.
+// WithDial sets the dial function.
 func WithDial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) Option {
 	return func(p *Pool) {
 		p.dial = dial
 	}
 }
 
-// WithIdleLimit sets how many unused connections are kept to one address.
+// WithIdleLimit sets the maximum number of idle connections per address.
 func WithIdleLimit(perAddr int) Option {
 	return func(p *Pool) {
 		p.idleLimit = perAddr
 	}
 }
 
-// WithIdleTime sets how long an unused connection is kept at most. The other
-// side's Keep-Alive field may shorten it.
+// WithIdleTime sets the maximum time that a connection stays idle. The server's Keep-Alive
+// header may shorten it.
 func WithIdleTime(d time.Duration) Option {
 	return func(p *Pool) {
 		p.idleTime = d
 	}
 }
 
-// WithBusyTimeout sets how long a connection that carries a request waits for a peer which
-// acknowledges nothing; one at rest keeps the time of NewDialer. A request has its own
-// time, and where it can't be sent again nothing is gained by an end before that: the
-// link of this side may be full.
+// WithBusyTimeout sets the TCP user timeout of connections that carry a request; idle ones
+// have that of NewDialer. A longer timeout keeps requests that can't be retried alive while
+// the link of this box is congested.
 func WithBusyTimeout(d time.Duration) Option {
 	return func(p *Pool) {
 		p.busyTimeout = d
 	}
 }
 
-// WithOnDial sets a function that is called before each attempt to connect, by
-// the goroutine that wants the connection.
+// WithOnDial sets a function that is called before each dial, by the dialing goroutine.
 func WithOnDial(f func(addr string)) Option {
 	return func(p *Pool) {
 		p.onDial = f
@@ -96,7 +92,7 @@
 		onDial:    func(string) {},
 		idleLimit: defaultIdleLimit,
 		idleTime:  defaultIdleTime,
-		addrs:     make(map[string]*members),
+		addrs:     make(map[string]*addrConns),
 	}
 	for _, opt := range opts {
 		opt(p)
@@ -104,7 +100,7 @@
 	return p
 }
 
-// Open returns how many connections to addr are open, both busy and unused.
+// Open returns the number of open connections to addr, both busy and idle.
 func (p *Pool) Open(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,8 +111,8 @@
 	return len(m.all)
 }
 
-// CloseAddr closes all connections to addr, also those that carry a request. Use
-// it when the other side is known to be dead.
+// CloseAddr closes all connections to addr, also those that carry a request. Use it when
+// the server is known to be dead.
 func (p *Pool) CloseAddr(addr string) {
 	for _, c := range p.conns(addr) {
 		c.close()
@@ -140,18 +136,17 @@
 	}
 }
 
-// Reach makes a connection to addr, whatever others are kept, and keeps it for the
-// next request there. Its error says that addr, or the way to it, answers nobody
-// within the limit.
+// Reach opens a new connection to addr within the limit and adds it to the pool. It serves
+// as a reachability probe.
 func (p *Pool) Reach(ctx context.Context, addr string, limit time.Duration) error {
-	c, err := p.open(ctx, &Request{
+	c, err := p.connect(ctx, &Request{
 		Addr:        addr,
 		DialTimeout: limit,
 	})
 	if err != nil {
 		return err
 	}
-	p.put(c, p.idleTime)
+	p.release(c, p.idleTime)
 	return nil
 }
 
@@ -170,8 +165,8 @@
 	return list
 }
 
-// open makes a connection for the request.
-func (p *Pool) open(ctx context.Context, req *Request) (*conn, error) {
+// connect opens a connection for the request.
+func (p *Pool) connect(ctx context.Context, req *Request) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, req.DialTimeout)
 	defer cancel()
 	p.onDial(req.Addr)
@@ -179,17 +174,17 @@
 	if err != nil {
 		return nil, err
 	}
-	p.heard.note(req.Addr)
+	p.activity.record(req.Addr)
 	c := newConn(p, req.Addr, nc)
 	if !p.add(c) {
-		_ = nc.Close() // never used: nothing can be lost on it
+		_ = nc.Close()
 		return nil, errPoolClosed
 	}
-	p.use(c)
+	p.extendTimeout(c)
 	return c, nil
 }
 
-// add takes a new connection in. It says false when the pool is closed.
+// add registers a new connection. It returns false if the pool is closed.
 func (p *Pool) add(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +193,7 @@
 	}
 	m := p.addrs[c.addr]
 	if m == nil {
-		m = &members{
+		m = &addrConns{
 			all: make(map[*conn]struct{}),
 		}
 		p.addrs[c.addr] = m
@@ -207,32 +202,32 @@
 	return true
 }
 
-// take returns a kept connection to addr that another request may use, or nil.
-func (p *Pool) take(addr string) *conn {
+// acquire returns a usable idle connection to addr, or nil.
+func (p *Pool) acquire(addr string) *conn {
 	for {
-		c, fresh := p.pop(addr)
+		c, usable := p.popIdle(addr)
 		if c == nil {
 			return nil
 		}
-		if fresh && quiet(c.nc) {
+		if usable && isHealthy(c.nc) {
 			c.reused = true
-			p.use(c)
+			p.extendTimeout(c)
 			return c
 		}
 		c.close()
 	}
 }
 
-// use has a connection bear silence for as long as a request may take.
-func (p *Pool) use(c *conn) {
+// extendTimeout sets the TCP user timeout of a connection that is about to carry a request.
+func (p *Pool) extendTimeout(c *conn) {
 	if p.busyTimeout > 0 {
-		c.limitUnacked(p.busyTimeout)
+		c.setUserTimeout(p.busyTimeout)
 	}
 }
 
-// pop takes the connection out that came to rest last, since it is the likeliest
-// to be still open, and says whether it may be used at this time.
-func (p *Pool) pop(addr string) (c *conn, fresh bool) {
+// popIdle removes the most recently used idle connection, the likeliest to be still open,
+// and reports whether its idle time has not expired.
+func (p *Pool) popIdle(addr string) (c *conn, usable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.addrs[addr]
@@ -241,22 +236,22 @@
 	}
 	last := len(m.idle) - 1
 	c = m.idle[last]
-	m.idle[last] = nil // so that the slice doesn't hold it in memory
+	m.idle[last] = nil // allow garbage collection
 	m.idle = m.idle[:last]
-	return c, clock.Now().Before(c.until)
+	return c, clock.Now().Before(c.expiresAt)
 }
 
-// put keeps the connection for another request for at most the time of rest.
-func (p *Pool) put(c *conn, rest time.Duration) {
-	c.calm()
-	if surplus := p.keep(c, rest); surplus != nil {
+// release returns the connection to the pool for at most idleTime.
+func (p *Pool) release(c *conn, idleTime time.Duration) {
+	c.resetUserTimeout()
+	if surplus := p.addIdle(c, idleTime); surplus != nil {
 		surplus.close()
 	}
 }
 
-// keep lets c rest and returns the connection, if any, that is one too many: the
-// one that has rested longest, or c itself when none is kept.
-func (p *Pool) keep(c *conn, rest time.Duration) *conn {
+// addIdle marks c idle and returns the connection, if any, that exceeds the idle limit: the
+// least recently used one, or c itself if the pool retains none.
+func (p *Pool) addIdle(c *conn, idleTime time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.closed {
@@ -266,9 +261,9 @@
 		return c
 	}
 	m := p.addrs[c.addr]
-	c.until = clock.Now().Add(rest)
+	c.expiresAt = clock.Now().Add(idleTime)
 	m.idle = append(m.idle, c)
-	p.schedule(c.until)
+	p.schedule(c.expiresAt)
 	if len(m.idle) <= p.idleLimit {
 		return nil
 	}
@@ -277,9 +272,8 @@
 	return surplus
 }
 
-// forget takes the connection out of the pool. It says false when that was done
-// before.
-func (p *Pool) forget(c *conn) bool {
+// remove removes the connection from the pool. It returns false if it was removed before.
+func (p *Pool) remove(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.closed {
@@ -297,8 +291,7 @@
 	return true
 }
 
-// schedule sees to it that sweep runs at the given time at the latest. It is
-// called with mu held.
+// schedule makes sweep run at the given time at the latest. The caller holds p.mu.
 func (p *Pool) schedule(at time.Time) {
 	if !p.sweepAt.IsZero() && !at.Before(p.sweepAt) {
 		return
@@ -311,15 +304,15 @@
 	p.timer.Reset(clock.Until(at))
 }
 
-// sweep closes the connections that have rested for long enough.
+// sweep closes the connections whose idle time has expired.
 func (p *Pool) sweep() {
 	for _, c := range p.expired() {
 		c.close()
 	}
 }
 
-// expired takes the connections out that have rested for long enough, and
-// schedules the next sweep when others still rest.
+// expired removes the connections whose idle time has expired, and schedules the next
+// sweep if others are still idle.
 func (p *Pool) expired() []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -331,8 +324,8 @@
 	var out []*conn
 	for _, m := range p.addrs {
 		m.idle = slices.DeleteFunc(m.idle, func(c *conn) bool {
-			if now.Before(c.until) {
-				p.schedule(c.until)
+			if now.Before(c.expiresAt) {
+				p.schedule(c.expiresAt)
 				return false
 			}
 			out = append(out, c)
--- a/exchange/pool_test.go
+++ b/exchange/pool_test.go
@@ -155,7 +155,7 @@
 	_, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
 	p.mu.Lock()
-	p.addrs[s.addr].idle[0].until = time.Now()
+	p.addrs[s.addr].idle[0].expiresAt = time.Now()
 	p.mu.Unlock()
 	a, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -12,25 +12,23 @@
 )
 
 const (
-	// writerSize is a writer's buffer in bytes; a usual request without a long
-	// body fits, and leaves in one packet's write.
+	// writerSize is the size of a write buffer in bytes.
 	writerSize = 4 << 10
 
-	// answerGrace is how long an answer may still take to come once the request
-	// could not be written to its end. What the other side sent is then already
-	// here, so it only has to be read.
-	answerGrace = 500 * time.Millisecond
+	// responseGrace is the time left to read a response after the request failed to be
+	// written in full.
+	responseGrace = 500 * time.Millisecond
 )
 
-// sending is the writing of one request.
-type sending struct {
-	done  chan struct{} // closed when nothing is written any more
-	err   error         // the outcome; to be read after done
-	early error         // the outcome when it was known before the answer is read
+// requestWrite is the state of the write of one request.
+type requestWrite struct {
+	done         chan struct{} // closed when the write has ended
+	err          error         // the outcome; valid once done is closed
+	immediateErr error         // the outcome of a write that ended before the response is read
 }
 
-// wholly says whether the request is written to its end by now.
-func (s *sending) wholly() bool {
+// complete reports whether the request has been written in full.
+func (s *requestWrite) complete() bool {
 	select {
 	case <-s.done:
 		return s.err == nil
@@ -39,21 +37,21 @@
 	}
 }
 
-// send writes the request. A long body is written by a goroutine, since the other
-// side may answer without having read it. The goroutine ends at the latest when
-// the connection is closed.
-func (c *conn) send(req *Request) *sending {
-	s := &sending{
+// send writes the request. A long body is written by a goroutine, since the server may
+// respond without reading it. The goroutine ends at the latest when the connection is
+// closed.
+func (c *conn) send(req *Request) *requestWrite {
+	s := &requestWrite{
 		done: make(chan struct{}),
 	}
-	c.wrote = 0
+	c.written = 0
 	c.writeErr = nil
 	if req.Method == http.MethodHead {
-		c.hadHead = true
+		c.sentHEAD = true
 	}
-	if len(req.Body) <= inlineBody {
+	if len(req.Body) <= maxInlineBody {
 		s.err = c.write(req)
-		s.early = s.err
+		s.immediateErr = s.err
 		close(s.done)
 		return s
 	}
@@ -61,8 +59,8 @@
 		defer close(s.done)
 		s.err = c.write(req)
 		if s.err != nil {
-			// It fails only on a closed connection, which no reader waits on.
-			_ = c.nc.SetReadDeadline(time.Now().Add(answerGrace))
+			// The call fails only on a closed connection, which has no reader.
+			_ = c.nc.SetReadDeadline(time.Now().Add(responseGrace))
 		}
 	}()
 	return s
@@ -70,11 +68,11 @@
 
 // write writes the request to the connection.
 func (c *conn) write(req *Request) error {
-	w := writers.Get().(*writer)
+	w := writerPool.Get().(*requestWriter)
 	w.reset(c)
 	defer func() {
 		w.reset(nil)
-		writers.Put(w)
+		writerPool.Put(w)
 	}()
 	line := []string{req.Method, " ", req.Target, " HTTP/1.1\r\n"}
 	for _, part := range line {
@@ -82,24 +80,24 @@
 			return err
 		}
 	}
-	if err := req.format().Write(w); err != nil {
+	if err := req.httpRequest().Write(w); err != nil {
 		if c.writeErr != nil {
-			return c.writeErr // net/http wraps it in an error that hides it
+			return c.writeErr // net/http hides it in its own error
 		}
 		return err
 	}
 	return w.buf.Flush()
 }
 
-// format returns the request as net/http writes it. The target in it stands for
-// the one that the writer has put in its place.
-func (r *Request) format() *http.Request {
+// httpRequest converts the request for net/http. Its target is a placeholder, since write
+// writes the request line.
+func (r *Request) httpRequest() *http.Request {
 	header := maps.Clone(r.Header)
 	if header == nil {
 		header = make(http.Header)
 	}
 	if _, ok := header["User-Agent"]; !ok {
-		header["User-Agent"] = []string{""} // net/http adds its own when there is none
+		header["User-Agent"] = []string{""} // prevents the default of net/http
 	}
 	out := &http.Request{
 		Method: r.Method,
@@ -116,38 +114,38 @@
 	return out
 }
 
-// writers are for writing requests.
-var writers = sync.Pool{
+// writerPool holds reusable request writers.
+var writerPool = sync.Pool{
 	New: func() any {
-		return &writer{
+		return &requestWriter{
 			buf: bufio.NewWriterSize(nil, writerSize),
 		}
 	},
 }
 
-// writer takes what net/http writes, but for the request line: net/http would put
-// a scheme before a target that begins with two slashes. It deliberately lacks the
-// ReadFrom of its buffer, which would split a long body into parts of its size.
-type writer struct {
-	buf    *bufio.Writer
-	inLine bool // the request line hasn't ended yet
+// requestWriter buffers the output of net/http without its request line, since net/http
+// would put a scheme before a target that begins with two slashes. It has no ReadFrom,
+// which would split a long body into writes of the buffer's size.
+type requestWriter struct {
+	buf           *bufio.Writer
+	inRequestLine bool // the request line has not ended yet
 }
 
-// reset makes the writer ready for a request to out.
-func (w *writer) reset(out io.Writer) {
+// reset prepares the writer for a request to out.
+func (w *requestWriter) reset(out io.Writer) {
 	w.buf.Reset(out)
-	w.inLine = true
+	w.inRequestLine = true
 }
 
-// Write buffers p. What belongs to the request line is left out.
-func (w *writer) Write(p []byte) (int, error) {
+// Write buffers p without the request line.
+func (w *requestWriter) Write(p []byte) (int, error) {
 	skipped := 0
-	if w.inLine {
+	if w.inRequestLine {
 		end := bytes.IndexByte(p, '\n')
 		if end < 0 {
 			return len(p), nil
 		}
-		w.inLine = false
+		w.inRequestLine = false
 		skipped = end + 1
 	}
 	n, err := w.buf.Write(p[skipped:])
@@ -155,15 +153,15 @@
 }
 
 // WriteString buffers s.
-func (w *writer) WriteString(s string) (int, error) {
-	if w.inLine {
+func (w *requestWriter) WriteString(s string) (int, error) {
+	if w.inRequestLine {
 		return w.Write([]byte(s))
 	}
 	return w.buf.WriteString(s)
 }
 
-// WriteByte buffers c. Its presence tells net/http that the writer is buffered.
-func (w *writer) WriteByte(c byte) error {
+// WriteByte buffers c. net/http adds no buffer of its own to an io.ByteWriter.
+func (w *requestWriter) WriteByte(c byte) error {
 	_, err := w.Write([]byte{c})
 	return err
 }
--- a/exchange/socket.go
+++ b/exchange/socket.go
@@ -8,64 +8,60 @@
 )
 
 const (
-	// probeEvery and probeCount are TCP keep-alive's: a peer that falls silent is
+	// keepAliveInterval and probeCount are TCP keep-alive's: a peer that falls silent is
 	// noticed within about 3 s also when we only wait for its answer.
-	probeEvery = time.Second
-	probeCount = 2
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 
-	// userTimeout is how long sent bytes may stay unacknowledged, or be kept back
-	// by a full receive window, until the kernel breaks the connection: as long as
-	// keep-alive's two probes. It also breaks a connection whose live peer leaves
-	// more unread than the socket buffers hold for that long.
+	// userTimeout is how long sent bytes may stay unacknowledged, or the peer's receive
+	// window full, until the kernel closes the connection.
 	userTimeout = 2 * time.Second
 
-	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux; package
-	// syscall doesn't name it.
+	// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 18
 )
 
-// NewDialer returns a dialer whose connections notice a peer that went dark.
+// NewDialer returns a dialer whose connections detect an unreachable peer.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeEvery,
-			Interval: probeEvery,
-			Count:    probeCount,
+			Idle:     keepAliveInterval,
+			Interval: keepAliveInterval,
+			Count:    keepAliveCount,
 		},
-		Control: limitSilence,
+		Control: setDefaultUserTimeout,
 	}
 }
 
-// limitSilence sets the user time-out of a socket before it connects.
-func limitSilence(_, _ string, raw syscall.RawConn) error {
+// setDefaultUserTimeout sets the TCP user timeout of a socket before it connects.
+func setDefaultUserTimeout(_, _ string, raw syscall.RawConn) error {
 	if runtime.GOOS != "linux" {
 		return nil
 	}
 	return raw.Control(func(fd uintptr) { setUserTimeout(fd, userTimeout) })
 }
 
-// setUserTimeout sets for how long a peer may acknowledge nothing, also
-// probes. Without the option the connection works as well; a dark peer is then noticed
-// later, by keep-alive.
+// setUserTimeout sets the TCP user timeout, which also limits unacknowledged keep-alive
+// probes. It ignores errors: keep-alive alone detects an unreachable peer, though later.
 func setUserTimeout(fd uintptr, d time.Duration) {
 	_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 }
 
-// limitUnacked changes for how long a peer may acknowledge nothing before the connection is closed.
-func limitUnacked(nc net.Conn, d time.Duration) {
+// setConnUserTimeout sets the TCP user timeout of an established connection.
+func setConnUserTimeout(nc net.Conn, d time.Duration) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok || runtime.GOOS != "linux" {
 		return
 	}
 	if raw, err := sc.SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { setUserTimeout(fd, d) }) // it fails when the connection is closed already
+		_ = raw.Control(func(fd uintptr) { setUserTimeout(fd, d) }) // fails if the connection is already closed
 	}
 }
 
-// quiet says whether the connection is open and has no unread bytes, as far as the
-// kernel knows. Connections without a descriptor count as quiet.
-func quiet(nc net.Conn) bool {
+// isHealthy says whether the connection is open and has no unread bytes, as far as the
+// kernel knows. Connections without a descriptor count as isHealthy.
+func isHealthy(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return true
@@ -74,17 +70,17 @@
 	if err != nil {
 		return false
 	}
-	var peeked error
+	var peekErr error
 	err = raw.Read(func(fd uintptr) bool {
-		peeked = peek(int(fd))
-		return true // one look is enough: don't wait for bytes
+		peekErr = peek(int(fd))
+		return true // don't wait for bytes
 	})
-	return err == nil && peeked == syscall.EAGAIN
+	return err == nil && peekErr == syscall.EAGAIN
 }
 
-// unread says whether the connection has unread bytes, or its other side has closed it, as
+// hasUnread says whether the connection has hasUnread bytes, or its other side has closed it, as
 // far as the kernel knows. It doesn't wait for a read that is under way, unlike quiet.
-func unread(nc net.Conn) bool {
+func hasUnread(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -93,13 +89,13 @@
 	if err != nil {
 		return false
 	}
-	peeked := error(syscall.EAGAIN)
-	err = raw.Control(func(fd uintptr) { peeked = peek(int(fd)) })
-	return err == nil && peeked == nil
+	peekErr := error(syscall.EAGAIN)
+	err = raw.Control(func(fd uintptr) { peekErr = peek(int(fd)) })
+	return err == nil && peekErr == nil
 }
 
-// peek looks for unread bytes without taking them. It returns EAGAIN when there
-// are none, and nil when there are some or the other side has closed.
+// peek checks for unread bytes without consuming them. It returns EAGAIN if there are
+// none, and nil if there are some or the peer has closed the connection.
 func peek(fd int) error {
 	var buf [1]byte
 	for {
