--- a/exchange/activity.go
+++ b/exchange/activity.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// lastExcept returns when something came last lastExcept any address but one.
+// lastExcept returns the time of the last activity of any address but excluded.
 func (h *activity) lastExcept(excluded string) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/exchange/activity_test.go
+++ b/exchange/activity_test.go
@@ -8,18 +8,18 @@
 	"github.com/matryer/is"
 )
 
-func TestAPoolTellsWhenItHeardAnyOtherAddress(t *testing.T) {
+func TestAPoolRecordsTheLastActivityOfOtherAddresses(t *testing.T) {
 	is := is.New(t)
 	more := make(chan struct{})
 	defer close(more)
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		_, _ = c.request()
-		c.say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
+		c.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
 		<-more
-		c.say("ok")
+		c.send("ok")
 		<-more
 	})
-	other := newServer(t, always(whole))
+	other := newServer(t, respondWith(okResponse))
 	p := newTestPool(t)
 	is.True(p.Heard("").IsZero())
 	began := time.Now()
@@ -27,11 +27,11 @@
 	is.NoErr(err)
 	head := p.Heard("")
 	is.True(head.After(began))
-	is.True(p.Heard(s.addr).IsZero()) // nobody else
+	is.True(p.Heard(s.addr).IsZero()) // no other address
 
 	is.NoErr(p.Reach(t.Context(), other.addr, time.Second))
 	made := p.Heard(s.addr)
-	is.True(made.After(head)) // a connection that is taken counts
+	is.True(made.After(head)) // a new connection counts
 	is.Equal(p.Heard(other.addr), head)
 
 	more <- struct{}{}
@@ -42,17 +42,17 @@
 	is.NoErr(a.Close())
 }
 
-// A box whose processor was behind took an answer that lay in its own socket for silence.
-func TestWhatHasComeAndIsNotReadIsTold(t *testing.T) {
+// Guards against treating a response that waits unread in the socket as a timeout.
+func TestUnreadBytesAreReported(t *testing.T) {
 	is := is.New(t)
 	more := make(chan struct{})
 	defer close(more)
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		_, _ = c.request()
-		c.say("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n")
+		c.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n")
 		for range 2 {
 			<-more
-			c.say("ok")
+			c.send("ok")
 		}
 		<-more
 	})
@@ -63,7 +63,7 @@
 	is.NoErr(err)
 	is.True(!unread())
 	more <- struct{}{}
-	for !unread() { // the package's time-out ends it
+	for !unread() { // limited by the test timeout
 		time.Sleep(time.Millisecond)
 	}
 	_, err = io.ReadFull(a, make([]byte, 2))
@@ -76,7 +76,7 @@
 		read <- err
 	}()
 	time.Sleep(10 * time.Millisecond)
-	is.True(!unread()) // it doesn't wait for the read that is under way
+	is.True(!unread()) // doesn't wait for the concurrent read
 	more <- struct{}{}
 	is.NoErr(<-read)
 	is.NoErr(a.Close())
--- a/exchange/answer.go
+++ b/exchange/answer.go
@@ -31,12 +31,12 @@
 	closed         bool
 }
 
-func newResponse(ctx context.Context, stop func() bool, req *Request, c *conn, write *requestWrite, resp *http.Response) *Answer {
+func newResponse(ctx context.Context, stop func() bool, req *Request, c *conn, rw *requestWrite, resp *http.Response) *Answer {
 	a := &Answer{
 		ctx:            ctx,
 		stop:           stop,
 		conn:           c,
-		write:          write,
+		write:          rw,
 		resp:           resp,
 		closeRequested: req.wantsClose(),
 		reused:         c.reused,
@@ -72,7 +72,7 @@
 
 // LimitUnacked sets the TCP user timeout of the connection for the rest of the response.
 // It is meant for pools without WithBusyTimeout.
-func (a *Answer) LimitUnacked(d time.Duration) { a.conn.setUserTimeout(d) }
+func (a *Answer) LimitUnacked(d time.Duration) { a.conn.setConnTimeout(d) }
 
 // Read reads the body. It returns io.EOF only if the body is complete, the context's
 // error once the context has ended, and another error if the connection breaks.
@@ -129,27 +129,27 @@
 	if !a.complete {
 		a.err = errReadClosed
 	}
-	if idleTime := a.idleTime(); watched && idleTime > 0 && a.reusable() {
-		a.conn.pool.release(a.conn, idleTime)
+	if maxIdle := a.maxIdle(); watched && maxIdle > 0 && a.reusable() {
+		a.conn.pool.release(a.conn, maxIdle)
 		return nil
 	}
 	a.conn.close()
-	<-a.write.done // afterwards the caller may change the request's body
+	<-a.write.done // from here on the caller may change the request's body
 	return nil
 }
 
 // reusable reports whether the connection can carry another request.
 func (a *Answer) reusable() bool {
-	return a.complete && a.write.complete() && !a.closeRequested && !a.resp.Close && a.conn.reader.Buffered() == 0
+	return a.complete && a.write.succeeded() && !a.closeRequested && !a.resp.Close && a.conn.reader.Buffered() == 0
 }
 
-// idleTime returns how long the connection may stay idle.
-func (a *Answer) idleTime() time.Duration {
-	idleTime := a.conn.pool.idleTime
+// maxIdle returns how long the connection may stay idle.
+func (a *Answer) maxIdle() time.Duration {
+	maxIdle := a.conn.pool.idleTime
 	if timeout, ok := keepAliveTimeout(a.resp.Header); ok {
-		idleTime = min(idleTime, timeout-idleMargin)
+		maxIdle = min(maxIdle, timeout-idleMargin)
 	}
-	return idleTime
+	return maxIdle
 }
 
 // keepAliveTimeout returns the timeout parameter of the Keep-Alive header.
--- a/exchange/answer_test.go
+++ b/exchange/answer_test.go
@@ -13,17 +13,17 @@
 	"github.com/matryer/is"
 )
 
-func TestABodyEndsWellOnlyWhenItIsWhole(t *testing.T) {
+func TestABodyEndsWithEOFOnlyWhenItIsComplete(t *testing.T) {
 	const (
 		length  = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n"
 		chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 		endless = "HTTP/1.1 200 OK\r\n\r\n"
 	)
 	cases := []struct {
-		name  string
-		said  string
-		reset bool
-		ok    bool
+		name     string
+		response string
+		reset    bool
+		ok       bool
 	}{
 		{"length", length + "abcdef", false, true},
 		{"length cut", length + "abc", false, false},
@@ -33,18 +33,18 @@
 		{"chunks cut inside", chunked + "3\r\nab", false, false},
 		{"chunks cut before the last line", chunked + "3\r\nabc\r\n0\r\n", false, false},
 		{"chunks reset", chunked + "3\r\nabc\r\n", true, false},
-		{"until the end", endless + "abc", false, true},
-		{"until the end, reset", endless + "abc", true, false},
+		{"until close", endless + "abc", false, true},
+		{"until close, reset", endless + "abc", true, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			read := make(chan struct{})
-			s := newServer(t, func(c *peer) {
+			s := newServer(t, func(c *serverConn) {
 				_, _ = c.request()
-				c.say(tc.said)
+				c.send(tc.response)
 				if tc.reset {
-					<-read // a reset throws away what the client hasn't read
+					<-read // a reset discards what the client hasn't read
 					c.reset()
 				}
 			})
@@ -56,21 +56,21 @@
 			_, err = io.Copy(io.Discard, a)
 			is.Equal(err == nil, tc.ok)
 			_, again := a.Read(make([]byte, 1))
-			is.Equal(again == io.EOF, tc.ok) // it stays so
+			is.Equal(again == io.EOF, tc.ok)
 			is.NoErr(a.Close())
 			is.Equal(a.conn.pool.Open(s.addr) == 1, tc.name == "length" || tc.name == "chunks")
 		})
 	}
 }
 
-// A reset is told either to the goroutine that writes or to the one that reads.
-func TestAResetThatTheWriterIsToldOfIsNoEndOfABody(t *testing.T) {
+// The kernel reports a reset either to the writing or to the reading goroutine.
+func TestAResetReportedToTheWriterIsNotEOF(t *testing.T) {
 	for range 100 {
 		is := is.New(t)
 		read := make(chan struct{})
-		s := newServer(t, func(c *peer) {
+		s := newServer(t, func(c *serverConn) {
 			_, _ = http.ReadRequest(c.in)
-			c.say("HTTP/1.1 200 OK\r\n\r\nabc")
+			c.send("HTTP/1.1 200 OK\r\n\r\nabc")
 			<-read
 			c.reset()
 		})
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestABodyUntilTheEndIsWholeAlsoWhenTheRequestIsNotRead(t *testing.T) {
+func TestABodyEndedByCloseIsCompleteWhenTheRequestIsUnread(t *testing.T) {
 	is := is.New(t)
 	over := make(chan struct{})
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		_, _ = http.ReadRequest(c.in)
-		c.say("HTTP/1.1 200 OK\r\n\r\nabc")
+		c.send("HTTP/1.1 200 OK\r\n\r\nabc")
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
 		<-over
 	})
@@ -106,21 +106,21 @@
 	is.Equal(body, "abc")
 }
 
-func TestAnAnswerMayComeBeforeTheBodyIsRead(t *testing.T) {
+func TestAResponseMayArriveBeforeTheBodyIsRead(t *testing.T) {
 	is := is.New(t)
-	heard := make(chan error, 1)
+	bodyErr := make(chan error, 1)
 	goOn := make(chan struct{})
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		r, err := http.ReadRequest(c.in)
 		if err != nil {
-			heard <- err
+			bodyErr <- err
 			return
 		}
-		c.say("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc")
+		c.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc")
 		<-goOn
 		_, err = io.Copy(io.Discard, r.Body)
-		heard <- err
-		c.say("def")
+		bodyErr <- err
+		c.send("def")
 	})
 	req := get(s.addr)
 	req.Body = make([]byte, 10<<20)
@@ -133,16 +133,16 @@
 	_, err = io.ReadFull(a, b[3:])
 	is.NoErr(err)
 	is.Equal(string(b), "abcdef")
-	is.NoErr(<-heard) // the whole body arrived
+	is.NoErr(<-bodyErr)
 	is.NoErr(a.Close())
 }
 
-func TestAConnectionWhoseRequestIsNotWrittenToItsEndIsClosed(t *testing.T) {
+func TestAConnectionWithAPartlyWrittenRequestIsClosed(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan struct{})
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		_, _ = http.ReadRequest(c.in)
-		c.say(whole)
+		c.send(okResponse)
 		<-gone
 	})
 	p := newTestPool(t)
@@ -152,14 +152,14 @@
 	is.NoErr(err)
 	is.Equal(body, "ok")
 	is.Equal(p.Open(s.addr), 0)
-	<-a.write.done // the goroutine has ended though the other side still holds on
+	<-a.write.done // the write ends though the server keeps the connection open
 	close(gone)
 }
 
 func TestAConnectionIsKeptAfterALongBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newTestPool(t, WithDial(piped(always(whole))))
+		p := newTestPool(t, WithDial(dialPipe(respondWith(okResponse))))
 		req := get("x")
 		req.Body = make([]byte, 1<<20)
 		for i := range 3 {
@@ -175,16 +175,16 @@
 	})
 }
 
-func TestAFailedWriteLeavesTheAnswerAMoment(t *testing.T) {
+func TestAFailedWriteLeavesAGracePeriodForTheResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		left := 9000
-		dial := piped(func(c *peer) {
-			_, _ = io.Copy(io.Discard, c) // never answers, and stays
+		dial := dialPipe(func(c *serverConn) {
+			_, _ = io.Copy(io.Discard, c) // never responds
 		})
 		p := newTestPool(t, WithDial(func(ctx context.Context, network, addr string) (net.Conn, error) {
 			nc, err := dial(ctx, network, addr)
-			return fussy{
+			return limitedConn{
 				Conn: nc,
 				left: &left,
 			}, err
@@ -193,24 +193,24 @@
 		req.Body = make([]byte, 10_000)
 		start := time.Now()
 		_, err := p.Do(t.Context(), req)
-		sent, stage := sentAt(t, err)
+		sent, stage := errorDetails(t, err)
 		is.Equal(sent, true)
 		is.Equal(stage, Response)
 		is.Equal(time.Since(start), responseGrace)
 	})
 }
 
-func TestAnswersWithoutABody(t *testing.T) {
+func TestResponsesWithoutABody(t *testing.T) {
 	cases := []struct {
-		name    string
-		method  string
-		said    string
-		length  int64
-		chunked bool
+		name     string
+		method   string
+		response string
+		length   int64
+		chunked  bool
 	}{
 		{"head", "HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n", 7, false},
 		{"head of chunks", "HEAD", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", -1, true},
-		{"head of nothing", "HEAD", "HTTP/1.1 200 OK\r\n\r\n", -1, false},
+		{"head without length", "HEAD", "HTTP/1.1 200 OK\r\n\r\n", -1, false},
 		{"no content", "GET", "HTTP/1.1 204 No Content\r\n\r\n", 0, false},
 		{"not modified", "GET", "HTTP/1.1 304 Not Modified\r\nContent-Length: 7\r\n\r\n", 0, false},
 		{"empty", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", 0, false},
@@ -218,7 +218,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newServer(t, always(tc.said))
+			s := newServer(t, respondWith(tc.response))
 			p := newTestPool(t)
 			req := get(s.addr)
 			req.Method = tc.method
@@ -229,7 +229,7 @@
 				is.Equal(length, tc.length)
 				is.Equal(chunked, tc.chunked)
 				is.NoErr(a.Close())
-				is.Equal(p.Open(s.addr), 1) // kept, though nothing was read
+				is.Equal(p.Open(s.addr), 1) // idle, though nothing was read
 				_, err = a.Read(make([]byte, 1))
 				is.Equal(err, io.EOF)
 			}
@@ -238,37 +238,37 @@
 	}
 }
 
-func TestInformationalAnswersAreSkipped(t *testing.T) {
+func TestInformationalResponsesAreSkipped(t *testing.T) {
 	const hint = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
 	cases := []struct {
-		name string
-		said string
-		ok   bool
+		name     string
+		response string
+		ok       bool
 	}{
-		{"two", "HTTP/1.1 100 Continue\r\n\r\n" + hint + whole, true},
-		{"too many", strings.Repeat(hint, maxInformational) + whole, false},
-		{"a switch", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", false},
-		{"a long header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxHeaderBytes+readerSize), false},
-		{"no HTTP", "SSH-2.0-x\r\n", false},
+		{"two", "HTTP/1.1 100 Continue\r\n\r\n" + hint + okResponse, true},
+		{"too many", strings.Repeat(hint, maxInformational) + okResponse, false},
+		{"protocol switch", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", false},
+		{"long header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxHeaderBytes+readerSize), false},
+		{"not HTTP", "SSH-2.0-x\r\n", false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newServer(t, always(tc.said))
+			s := newServer(t, respondWith(tc.response))
 			_, body, err := fetch(newTestPool(t), get(s.addr))
 			if tc.ok {
 				is.NoErr(err)
 				is.Equal(body, "ok")
 				return
 			}
-			sent, stage := sentAt(t, err)
+			sent, stage := errorDetails(t, err)
 			is.Equal(sent, true)
 			is.Equal(stage, Response)
 		})
 	}
 }
 
-func TestAKeepAliveFieldIsRead(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	cases := []struct {
 		value string
 		want  time.Duration
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -45,7 +45,7 @@
 	sentHEAD   bool      // it has carried a HEAD request
 	extended   bool      // its TCP user timeout differs from the dialer's
 	expiresAt  time.Time // end of its idle time; guarded by pool.mu
-	closed     bool      // held by pool.mu
+	closed     bool      // guarded by pool.mu
 }
 
 func newConn(p *Pool, addr string, nc net.Conn) *conn {
@@ -91,22 +91,22 @@
 	_ = c.nc.Close()
 }
 
-// setUserTimeout sets the TCP user timeout to d.
-func (c *conn) setUserTimeout(d time.Duration) {
-	setConnUserTimeout(c.nc, d)
+// setConnTimeout sets the TCP user timeout to d.
+func (c *conn) setConnTimeout(d time.Duration) {
+	setConnTimeout(c.nc, d)
 	c.extended = true
 }
 
-// resetUserTimeout has it bear no more than the dialer allows.
+// resetUserTimeout restores the dialer's TCP user timeout.
 func (c *conn) resetUserTimeout() {
 	if c.extended {
-		setConnUserTimeout(c.nc, userTimeout)
+		setConnTimeout(c.nc, userTimeout)
 		c.extended = false
 	}
 }
 
-// readResponse reads the header of the readResponse that belongs to req. It skips 1xx answers
-// and one readResponse to another request, if that one has a definite length.
+// readResponse reads the header of the response to req. It skips 1xx responses and one
+// response to another request, if its body has a definite length.
 func (c *conn) readResponse(req *Request) (*http.Response, Stage, error) {
 	discarded := false
 	for range maxInformational {
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -15,7 +15,6 @@
 )
 
 const (
-	// defaultDialTimeout is shorter than the first SYN retransmission of TCP.
 	defaultDialTimeout = 500 * time.Millisecond
 
 	// maxInlineBody is the longest body, in bytes, that is written before the response
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -38,9 +38,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			got := make([]byte, len(tc.want))
-			s := newServer(t, func(c *peer) {
+			s := newServer(t, func(c *serverConn) {
 				_, _ = io.ReadFull(c, got)
-				c.say(whole)
+				c.send(okResponse)
 			})
 			tc.req.Addr = s.addr
 			tc.req.Host = "h"
@@ -49,7 +49,7 @@
 			is.NoErr(err)
 			is.Equal(body, "ok")
 			is.Equal(string(got), tc.want)
-			is.Equal(tc.req.Header, before) // the caller's header is left alone
+			is.Equal(tc.req.Header, before) // the caller's header is not modified
 		})
 	}
 }
@@ -65,7 +65,7 @@
 		is := is.New(t)
 		p := newTestPool(t, WithOnDial(func(string) { t.Error("dialled") }))
 		_, err := p.Do(t.Context(), req)
-		sent, stage := sentAt(t, err)
+		sent, stage := errorDetails(t, err)
 		is.Equal(sent, false)
 		is.Equal(stage, Write)
 	}
@@ -77,7 +77,7 @@
 		return nil, errBroken
 	}))
 	_, err := p.Do(t.Context(), get("x"))
-	sent, stage := sentAt(t, err)
+	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
 	is.Equal(stage, Dial)
 	is.True(errors.Is(err, errBroken))
@@ -94,7 +94,7 @@
 		start := time.Now()
 		_, err := p.Do(t.Context(), get("x"))
 		is.Equal(time.Since(start), 500*time.Millisecond)
-		sent, stage := sentAt(t, err)
+		sent, stage := errorDetails(t, err)
 		is.Equal(sent, false)
 		is.Equal(stage, Dial)
 	})
@@ -103,7 +103,7 @@
 func TestARequestThatIsReadAndDroppedArrivesOnce(t *testing.T) {
 	is := is.New(t)
 	var arrived atomic.Int32
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		for {
 			r, err := c.request()
 			if err != nil {
@@ -113,7 +113,7 @@
 				arrived.Add(1)
 				return
 			}
-			c.say(whole)
+			c.send(okResponse)
 		}
 	})
 	p := newTestPool(t)
@@ -122,23 +122,23 @@
 	req := get(s.addr)
 	req.Target = "/drop"
 	_, _, err = fetch(p, req)
-	sent, stage := sentAt(t, err)
+	sent, stage := errorDetails(t, err)
 	is.Equal(sent, true)
 	is.Equal(stage, Response)
-	_, _, err = fetch(p, get(s.addr)) // so that a second arrival would have been seen
+	_, _, err = fetch(p, get(s.addr)) // a retry would have arrived by now
 	is.NoErr(err)
 	is.Equal(arrived.Load(), int32(1))
 	is.Equal(s.conns.Load(), int32(2))
 }
 
-// fussy is a connection whose writes fail once it has taken a number of bytes. It
-// has no descriptor to look into.
-type fussy struct {
+// limitedConn is a connection whose writes fail after a number of bytes. It exposes no file
+// descriptor.
+type limitedConn struct {
 	net.Conn
 	left *int
 }
 
-func (f fussy) Write(p []byte) (int, error) {
+func (f limitedConn) Write(p []byte) (int, error) {
 	n := min(len(p), *f.left)
 	*f.left -= n
 	n, err := f.Conn.Write(p[:n])
@@ -148,8 +148,8 @@
 	return n, err
 }
 
-// dialFussy connects by TCP. The first connection takes what left says.
-func dialFussy(left *int) func(context.Context, string, string) (net.Conn, error) {
+// dialLimited connects by TCP. The first connection accepts *left bytes.
+func dialLimited(left *int) func(context.Context, string, string) (net.Conn, error) {
 	first := true
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := NewDialer().DialContext(ctx, network, addr)
@@ -157,19 +157,19 @@
 			return nc, err
 		}
 		first = false
-		return fussy{
+		return limitedConn{
 			Conn: nc,
 			left: left,
 		}, nil
 	}
 }
 
-func TestAKeptConnectionThatTakesNothingIsReplaced(t *testing.T) {
+func TestAReusedConnectionThatAcceptsNoByteIsReplaced(t *testing.T) {
 	for _, size := range []int{0, 100, 100_000} {
 		is := is.New(t)
-		s := newServer(t, always(whole))
+		s := newServer(t, respondWith(okResponse))
 		left := 1 << 20
-		p := newTestPool(t, WithDial(dialFussy(&left)))
+		p := newTestPool(t, WithDial(dialLimited(&left)))
 		_, _, err := fetch(p, get(s.addr))
 		is.NoErr(err)
 		left = 0
@@ -183,35 +183,35 @@
 	}
 }
 
-func TestAKeptConnectionThatTookAByteIsNotReplaced(t *testing.T) {
+func TestAReusedConnectionThatAcceptedAByteIsNotReplaced(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	left := 1 << 20
-	p := newTestPool(t, WithDial(dialFussy(&left)))
+	p := newTestPool(t, WithDial(dialLimited(&left)))
 	_, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
 	left = 1
 	_, _, err = fetch(p, get(s.addr))
-	sent, stage := sentAt(t, err)
+	sent, stage := errorDetails(t, err)
 	is.Equal(sent, true)
 	is.Equal(stage, Write)
 	is.Equal(s.conns.Load(), int32(1))
 	is.Equal(p.Open(s.addr), 0)
 }
 
-func TestAFreshConnectionThatTakesNothingIsNotReplaced(t *testing.T) {
+func TestANewConnectionThatAcceptsNoByteIsNotReplaced(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	left := 0
-	p := newTestPool(t, WithDial(dialFussy(&left)))
+	p := newTestPool(t, WithDial(dialLimited(&left)))
 	_, _, err := fetch(p, get(s.addr))
-	sent, stage := sentAt(t, err)
+	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
 	is.Equal(stage, Write)
 	is.True(errors.Is(err, errBroken))
 }
 
-func TestAnswersToOthersAreDroppedOrEndTheConnection(t *testing.T) {
+func TestResponsesToOtherRequestsAreDiscardedOrCloseTheConnection(t *testing.T) {
 	const (
 		ours    = "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\nme"
 		late    = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 5\r\n\r\nother"
@@ -233,13 +233,13 @@
 		{"no length", "GET", endless, false},
 		{"too long", "GET", long + ours, false},
 		{"two", "GET", late + late + ours, false},
-		{"last", "GET", last, false},
-		{"method without body", "HEAD", late + ours, false},
+		{"connection close", "GET", last, false},
+		{"head", "HEAD", late + ours, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newServer(t, always(tc.answer))
+			s := newServer(t, respondWith(tc.answer))
 			p := newTestPool(t)
 			req := get(s.addr)
 			req.Method = tc.method
@@ -251,7 +251,7 @@
 				is.Equal(p.Open(s.addr), 1)
 				return
 			}
-			sent, stage := sentAt(t, err)
+			sent, stage := errorDetails(t, err)
 			is.Equal(sent, true)
 			is.Equal(stage, Crossed)
 			is.Equal(p.Open(s.addr), 0)
@@ -259,28 +259,28 @@
 	}
 }
 
-func TestAnEndOfTheContextEndsAnExchangeAtOnce(t *testing.T) {
+func TestTheEndOfTheContextEndsAnExchangeAtOnce(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"
 	for _, size := range []int{0, 10 << 20} {
 		is := is.New(t)
 		gone := make(chan struct{})
-		asked := make(chan struct{})
-		s := newServer(t, func(c *peer) {
+		received := make(chan struct{})
+		s := newServer(t, func(c *serverConn) {
 			_, _ = http.ReadRequest(c.in)
-			close(asked)
+			close(received)
 			_, _ = io.Copy(io.Discard, c.in)
 			close(gone)
 		})
 		p := newTestPool(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			<-asked
+			<-received
 			cancel()
 		}()
 		req := get(s.addr)
 		req.Body = make([]byte, size)
 		_, err := p.Do(ctx, req)
-		sent, stage := sentAt(t, err)
+		sent, stage := errorDetails(t, err)
 		is.Equal(sent, true)
 		is.Equal(stage, Response)
 		is.True(errors.Is(err, context.Canceled))
@@ -290,9 +290,9 @@
 
 	is := is.New(t)
 	gone := make(chan struct{})
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		_, _ = c.request()
-		c.say(head + "abc")
+		c.send(head + "abc")
 		_, _ = io.Copy(io.Discard, c.in)
 		close(gone)
 	})
@@ -302,7 +302,7 @@
 	is.NoErr(err)
 	_, err = io.ReadFull(a, make([]byte, 3))
 	is.NoErr(err)
-	go cancel() // before the read or during it: the verdict is the same
+	go cancel() // before or during the read
 	_, err = a.Read(make([]byte, 1))
 	is.Equal(err, context.Canceled)
 	<-gone
@@ -314,21 +314,21 @@
 
 func TestAnEndedContextSendsNothing(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := newTestPool(t).Do(ctx, get(s.addr))
-	sent, stage := sentAt(t, err)
+	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
 	is.Equal(stage, Dial)
 	is.True(errors.Is(err, context.Canceled))
 }
 
-func TestTheBeginOfARequestIsTold(t *testing.T) {
+func TestBeginIsCalledBeforeEachWrite(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		c.request()
-		c.say(whole)
+		c.send(okResponse)
 	})
 	begun := 0
 	_, _, err := fetch(newTestPool(t), Request{
@@ -339,7 +339,7 @@
 	is.NoErr(err)
 	is.Equal(begun, 1)
 	_, _, err = fetch(newTestPool(t), Request{
-		Addr:   "127.0.0.1:1", // nobody listens there
+		Addr:   "127.0.0.1:1", // no listener
 		Target: "/",
 		Begin:  func(func() bool) { begun++ },
 	})
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -14,20 +14,23 @@
 	"pgregory.net/rapid"
 )
 
-// deeds are what the server does with a request, by the first part of its path.
-var deeds = map[string]func(c *peer, id string) (goOn bool){
-	"answer":  func(c *peer, id string) bool { c.say(idAnswer(id)); return true },
-	"chunks":  func(c *peer, id string) bool { c.say(idChunks(id, true)); return true },
-	"cut":     func(c *peer, id string) bool { c.say(idChunks(id, false)); return false },
-	"end":     func(c *peer, id string) bool { c.say("HTTP/1.1 200 OK\r\nId: " + id + "\r\n\r\n" + id); return false },
-	"drop":    func(*peer, string) bool { return false },
-	"reset":   func(c *peer, _ string) bool { c.reset(); return false },
-	"leave":   func(c *peer, id string) bool { c.say(idAnswer(id)); return false },
-	"twice":   func(c *peer, id string) bool { c.say(idAnswer(id) + idAnswer(id)); return true },
-	"crossed": func(c *peer, id string) bool { c.say(idAnswer("0") + idAnswer(id)); return true },
+// behaviours are the server's reactions to a request, by the first segment of its path.
+var behaviours = map[string]func(c *serverConn, id string) (goOn bool){
+	"answer": func(c *serverConn, id string) bool { c.send(idResponse(id)); return true },
+	"chunks": func(c *serverConn, id string) bool { c.send(idChunks(id, true)); return true },
+	"cut":    func(c *serverConn, id string) bool { c.send(idChunks(id, false)); return false },
+	"end": func(c *serverConn, id string) bool {
+		c.send("HTTP/1.1 200 OK\r\nId: " + id + "\r\n\r\n" + id)
+		return false
+	},
+	"drop":    func(*serverConn, string) bool { return false },
+	"reset":   func(c *serverConn, _ string) bool { c.reset(); return false },
+	"leave":   func(c *serverConn, id string) bool { c.send(idResponse(id)); return false },
+	"twice":   func(c *serverConn, id string) bool { c.send(idResponse(id) + idResponse(id)); return true },
+	"crossed": func(c *serverConn, id string) bool { c.send(idResponse("0") + idResponse(id)); return true },
 }
 
-func idAnswer(id string) string {
+func idResponse(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(id), id)
 }
 
@@ -39,28 +42,28 @@
 	return s
 }
 
-// ledger counts the arrivals of each request.
-type ledger struct {
-	mu      sync.Mutex
-	arrived map[string]int
+// arrivals counts how often each request has arrived.
+type arrivals struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (l *ledger) serve(c *peer) {
+func (l *arrivals) serve(c *serverConn) {
 	for {
 		r, err := http.ReadRequest(c.in)
 		if err != nil {
 			return
 		}
-		deed, id, _ := strings.Cut(strings.TrimPrefix(r.RequestURI, "/"), "/")
+		behaviour, id, _ := strings.Cut(strings.TrimPrefix(r.RequestURI, "/"), "/")
 		l.mu.Lock()
-		l.arrived[id]++
+		l.counts[id]++
 		l.mu.Unlock()
 		if r.Header.Get("Unread") == "" {
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
 		}
-		if !deeds[deed](c, id) {
+		if !behaviours[behaviour](c, id) {
 			return
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -69,14 +72,14 @@
 	}
 }
 
-// Whatever the other side does, a request arrives at most once, one that arrived
-// is never said to be unsent, and a body that ends well is the request's own.
+// Whatever the server does, a request arrives at most once, Sent is true for each one that
+// arrived, and a body that ends with io.EOF belongs to the request.
 func TestARequestArrivesAtMostOnce(t *testing.T) {
-	l := &ledger{
-		arrived: make(map[string]int),
+	l := &arrivals{
+		counts: make(map[string]int),
 	}
 	s := newServer(t, l.serve)
-	names := slices.Sorted(maps.Keys(deeds))
+	names := slices.Sorted(maps.Keys(behaviours))
 	next := 0
 	var unsent, sent []string
 	rapid.Check(t, func(t *rapid.T) {
@@ -85,17 +88,17 @@
 		for range rapid.IntRange(1, 20).Draw(t, "requests") {
 			next++
 			id := fmt.Sprint(next)
-			deed := rapid.SampledFrom(names).Draw(t, "deed")
+			behaviour := rapid.SampledFrom(names).Draw(t, "deed")
 			req := get(s.addr)
-			req.Target = "/" + deed + "/" + id
+			req.Target = "/" + behaviour + "/" + id
 			req.Body = make([]byte, rapid.SampledFrom([]int{0, 10, 50_000, 1_000_000}).Draw(t, "size"))
 			if rapid.Bool().Draw(t, "unread") {
 				req.Header = http.Header{"Unread": {"yes"}}
 			}
 			req.Owns = func(h http.Header) bool { return h.Get("Id") == id }
 			_, body, err := fetch(p, req)
-			if err == nil && (body != id || deed == "cut" || deed == "drop" || deed == "reset") {
-				t.Fatalf("%s: body %q taken for whole", req.Target, body)
+			if err == nil && (body != id || behaviour == "cut" || behaviour == "drop" || behaviour == "reset") {
+				t.Fatalf("%s: body %q accepted as complete", req.Target, body)
 			}
 			if e, ok := err.(*Error); ok && !e.Sent() {
 				unsent = append(unsent, id)
@@ -108,10 +111,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, id := range unsent {
-		is.Equal(l.arrived[id], 0)
+		is.Equal(l.counts[id], 0)
 	}
 	for _, id := range sent {
-		is.True(l.arrived[id] <= 1)
+		is.True(l.counts[id] <= 1)
 	}
 	is.True(len(sent) > 0)
 }
--- a/exchange/idle_test.go
+++ b/exchange/idle_test.go
@@ -6,12 +6,12 @@
 	"github.com/matryer/is"
 )
 
-// A replica that had started again behind a cut got requests on connections to the
-// process before. Each was reset after it was sent, and those that may run once were lost.
-func TestConnectionsAtRestAreClosedAndBusyOnesGoOn(t *testing.T) {
+// Guards against requests that are sent to a restarted replica on connections to its
+// previous process, and reset.
+func TestCloseRestingLeavesBusyConnectionsOpen(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
-	other := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
+	other := newServer(t, respondWith(okResponse))
 	p := newTestPool(t)
 	busy, err := p.Do(t.Context(), get(s.addr))
 	is.NoErr(err)
@@ -19,9 +19,9 @@
 		_, _, err = fetch(p, get(addr))
 		is.NoErr(err)
 	}
-	is.Equal(p.Open(s.addr), 2) // one busy, one at rest
+	is.Equal(p.Open(s.addr), 2) // one busy, one idle
 	p.CloseResting(s.addr)
-	p.CloseResting("127.0.0.1:9") // nothing is there
+	p.CloseResting("127.0.0.1:9") // no connections
 	is.Equal(p.Open(s.addr), 1)
 	is.Equal(p.Open(other.addr), 1)
 	is.NoErr(busy.Close())
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -221,7 +221,7 @@
 // extendTimeout sets the TCP user timeout of a connection that is about to carry a request.
 func (p *Pool) extendTimeout(c *conn) {
 	if p.busyTimeout > 0 {
-		c.setUserTimeout(p.busyTimeout)
+		c.setConnTimeout(p.busyTimeout)
 	}
 }
 
--- a/exchange/pool_test.go
+++ b/exchange/pool_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-func TestAKeptConnectionIsUsedAgain(t *testing.T) {
+func TestAnIdleConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	dials := 0
 	p := newTestPool(t, WithOnDial(func(addr string) {
 		is.Equal(addr, s.addr)
@@ -33,53 +33,53 @@
 	is.Equal(dials, 1)
 }
 
-func TestAConnectionIsNotKeptWhenSomethingIsLeftOnIt(t *testing.T) {
+func TestAConnectionWithAnUnfinishedExchangeIsNotReused(t *testing.T) {
 	cases := []struct {
-		name  string
-		said  string
-		read  int
-		asked string // the request's Connection field
+		name       string
+		response   string
+		read       int
+		connection string // the request's Connection header
 	}{
-		{"the body is not read", whole, 1, ""},
-		{"bytes follow", whole + "x", 2, ""},
-		{"the other side closes", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 2, ""},
+		{"the body is not read", okResponse, 1, ""},
+		{"bytes follow", okResponse + "x", 2, ""},
+		{"the response has connection close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", 2, ""},
 		{"an old version", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok", 2, ""},
-		{"we asked for it", whole, 2, "x, Close"},
-		{"no time to rest", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", 2, ""},
+		{"the request has connection close", okResponse, 2, "x, Close"},
+		{"no idle time", "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok", 2, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newServer(t, always(tc.said))
+			s := newServer(t, respondWith(tc.response))
 			p := newTestPool(t)
 			req := get(s.addr)
-			if tc.asked != "" {
-				req.Header = map[string][]string{"Connection": {tc.asked}}
+			if tc.connection != "" {
+				req.Header = map[string][]string{"Connection": {tc.connection}}
 			}
 			a, err := p.Do(t.Context(), req)
 			is.NoErr(err)
 			_, err = io.ReadFull(a, make([]byte, tc.read))
 			is.NoErr(err)
 			is.NoErr(a.Close())
-			is.NoErr(a.Close()) // once more does nothing
+			is.NoErr(a.Close()) // idempotent
 			is.Equal(p.Open(s.addr), 0)
 		})
 	}
 }
 
-func TestAConnectionWithNewsIsNotUsedAgain(t *testing.T) {
-	for _, extra := range []string{"", whole} { // closed, or one answer too many
+func TestAnIdleConnectionWithUnreadBytesIsNotReused(t *testing.T) {
+	for _, extra := range []string{"", okResponse} { // closed, or an unexpected response
 		is := is.New(t)
 		release := make(chan struct{})
-		s := newServer(t, func(c *peer) {
-			if c.n > 0 {
-				always(whole)(c)
+		s := newServer(t, func(c *serverConn) {
+			if c.index > 0 {
+				respondWith(okResponse)(c)
 				return
 			}
 			_, _ = c.request()
-			c.say(whole)
+			c.send(okResponse)
 			<-release
-			c.say(extra)
+			c.send(extra)
 			if extra != "" {
 				_, _ = io.Copy(io.Discard, c)
 			}
@@ -88,7 +88,7 @@
 		_, _, err := fetch(p, get(s.addr))
 		is.NoErr(err)
 		close(release)
-		awaitNews(t, p, s.addr)
+		awaitUnread(t, p, s.addr)
 		a, body, err := fetch(p, get(s.addr))
 		is.NoErr(err)
 		is.Equal(body, "ok")
@@ -97,30 +97,30 @@
 	}
 }
 
-func TestARestingConnectionIsClosedInTime(t *testing.T) {
+func TestAnIdleConnectionIsClosedAfterItsIdleTime(t *testing.T) {
 	const short = "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\nContent-Length: 2\r\n\r\nok"
 	cases := []struct {
-		name string
-		said string
-		rest time.Duration
+		name     string
+		response string
+		idleTime time.Duration
 	}{
-		{"as we like", whole, 10 * time.Second},
-		{"as the other side says", short, 1500 * time.Millisecond},
+		{"idle time of the pool", okResponse, 10 * time.Second},
+		{"idle time of the server", short, 1500 * time.Millisecond},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				p := newTestPool(t, WithDial(piped(always(tc.said))), WithIdleTime(10*time.Second))
+				p := newTestPool(t, WithDial(dialPipe(respondWith(tc.response))), WithIdleTime(10*time.Second))
 				_, _, err := fetch(p, get("x"))
 				is.NoErr(err)
-				time.Sleep(tc.rest - time.Millisecond)
+				time.Sleep(tc.idleTime - time.Millisecond)
 				a, _, err := fetch(p, get("x"))
 				is.NoErr(err)
 				is.True(a.Reused())
-				time.Sleep(tc.rest - time.Millisecond)
+				time.Sleep(tc.idleTime - time.Millisecond)
 				synctest.Wait()
-				is.Equal(p.Open("x"), 1) // the time counts anew from each use
+				is.Equal(p.Open("x"), 1) // each use restarts the idle time
 				time.Sleep(time.Millisecond)
 				synctest.Wait()
 				is.Equal(p.Open("x"), 0)
@@ -132,7 +132,7 @@
 func TestOneTimerClosesAllConnectionsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newTestPool(t, WithDial(piped(always(whole))), WithIdleTime(10*time.Second))
+		p := newTestPool(t, WithDial(dialPipe(respondWith(okResponse))), WithIdleTime(10*time.Second))
 		for _, addr := range []string{"a", "b", "c"} {
 			_, _, err := fetch(p, get(addr))
 			is.NoErr(err)
@@ -148,9 +148,9 @@
 	})
 }
 
-func TestAnExpiredConnectionIsNotUsedEvenBeforeTheTimer(t *testing.T) {
+func TestAnExpiredConnectionIsNotReusedBeforeTheSweep(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	p := newTestPool(t, WithIdleTime(time.Hour))
 	_, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
@@ -166,7 +166,7 @@
 func TestNoMoreConnectionsAreKeptThanTheLimit(t *testing.T) {
 	for _, limit := range []int{0, 2} {
 		is := is.New(t)
-		s := newServer(t, always(whole))
+		s := newServer(t, respondWith(okResponse))
 		p := newTestPool(t, WithIdleLimit(limit))
 		var answers []*Answer
 		for range 5 {
@@ -184,10 +184,10 @@
 	}
 }
 
-func TestClosingAnAddressEndsWhatRunsThere(t *testing.T) {
+func TestCloseAddrFailsRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	asked := make(chan struct{})
-	s := newServer(t, func(c *peer) {
+	s := newServer(t, func(c *serverConn) {
 		for {
 			r, err := c.request()
 			if err != nil {
@@ -197,10 +197,10 @@
 				close(asked)
 				continue
 			}
-			c.say(whole)
+			c.send(okResponse)
 		}
 	})
-	other := newServer(t, always(whole))
+	other := newServer(t, respondWith(okResponse))
 	p := newTestPool(t)
 	a, err := p.Do(t.Context(), get(s.addr))
 	is.NoErr(err)
@@ -208,7 +208,7 @@
 		_, _, err = fetch(p, get(addr))
 		is.NoErr(err)
 	}
-	is.Equal(p.Open(s.addr), 2) // one busy, one at rest
+	is.Equal(p.Open(s.addr), 2) // one busy, one idle
 	failed := make(chan error)
 	go func() {
 		req := get(s.addr)
@@ -218,11 +218,11 @@
 	}()
 	<-asked
 	p.CloseAddr(s.addr)
-	sent, stage := sentAt(t, <-failed)
+	sent, stage := errorDetails(t, <-failed)
 	is.Equal(sent, true)
 	is.Equal(stage, Response)
 	is.Equal(p.Open(s.addr), 0)
-	is.NoErr(a.Close()) // is not kept
+	is.NoErr(a.Close()) // doesn't return to the pool
 	is.Equal(p.Open(s.addr), 0)
 	is.Equal(p.Open(other.addr), 1)
 	_, _, err = fetch(p, get(s.addr)) // the address may be used again
@@ -231,32 +231,25 @@
 
 func TestAClosedPoolSendsNothing(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	p := NewPool()
 	_, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
 	p.Close()
 	is.Equal(p.Open(s.addr), 0)
 	_, err = p.Do(t.Context(), get(s.addr))
-	sent, stage := sentAt(t, err)
+	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
 	is.Equal(stage, Dial)
 	is.True(errors.Is(err, errPoolClosed))
 	p.Close()
 }
 
-// A stream that can't be resumed was cut 3.0 s after its replica's last byte, of the 12 s that its
-// caller would have waited, by the probes of its connection:
-//
-//	3.920 s  its run ends: 200 crashed
-//	6.922 s  the connection is closed in the middle of the answer (200)
-//
-// and a request that was written to a connection had its 502 after 2000 ms, by the user time-out. A
-// full link of this box's own is as silent: what is sent waits in it, and so do the
-// acknowledgements. Nothing is gained by that for a request that can't be sent again.
-func TestSilenceEndsNoRequestButAConnectionAtRest(t *testing.T) {
+// Guards against a congested link that ends requests before their own timeout: the TCP user
+// timeout is short only for idle connections.
+func TestABusyConnectionHasALongerUserTimeout(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	var nc net.Conn
 	dial := func(ctx context.Context, network, addr string) (c net.Conn, err error) {
 		c, err = NewDialer().DialContext(ctx, network, addr)
@@ -275,7 +268,7 @@
 		is.NoErr(err)
 		return value
 	}
-	for range 2 { // on a new connection, and on one that had rested
+	for range 2 { // on a new connection, and on a reused one
 		a, err := p.Do(t.Context(), Request{
 			Addr:   s.addr,
 			Target: "/",
@@ -290,9 +283,9 @@
 	is.Equal(s.conns.Load(), int32(1))
 }
 
-func TestADialledSocketNoticesADarkPeer(t *testing.T) {
+func TestADialledSocketDetectsAnUnreachablePeer(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, always(whole))
+	s := newServer(t, respondWith(okResponse))
 	nc, err := NewDialer().DialContext(t.Context(), "tcp", s.addr)
 	is.NoErr(err)
 	defer func() { _ = nc.Close() }()
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -27,8 +27,8 @@
 	immediateErr error         // the outcome of a write that ended before the response is read
 }
 
-// complete reports whether the request has been written in full.
-func (s *requestWrite) complete() bool {
+// succeeded reports whether the request has been written in full.
+func (s *requestWrite) succeeded() bool {
 	select {
 	case <-s.done:
 		return s.err == nil
--- a/exchange/server_test.go
+++ b/exchange/server_test.go
@@ -15,17 +15,17 @@
 	_ "github.com/havenrudder/havenrudder/internal/fixed"
 )
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// peer is the server's end of one connection.
-type peer struct {
+// serverConn is the server's end of a connection.
+type serverConn struct {
 	net.Conn
-	in *bufio.Reader
-	n  int // which connection of the server it is, from 0
+	in    *bufio.Reader
+	index int // number of the connection, from 0
 }
 
-// request reads a whole request.
-func (c *peer) request() (*http.Request, error) {
+// request reads a complete request.
+func (c *serverConn) request() (*http.Request, error) {
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
 		return nil, err
@@ -34,24 +34,24 @@
 	return r, err
 }
 
-// say writes s.
-func (c *peer) say(s string) {
-	_, _ = io.WriteString(c, s) // the client may have closed; it tells the verdict
+// send writes s, and ignores errors since the client may have closed the connection.
+func (c *serverConn) send(s string) {
+	_, _ = io.WriteString(c, s)
 }
 
-// reset closes the connection in such a way that the client is told of a reset.
-func (c *peer) reset() {
+// reset closes the connection with a TCP reset.
+func (c *serverConn) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// server runs a script on each connection and closes it afterwards.
+// server runs a script on each connection and then closes it.
 type server struct {
 	addr  string
 	conns atomic.Int32
 }
 
-func newServer(t testing.TB, script func(c *peer)) *server {
+func newServer(t testing.TB, script func(c *serverConn)) *server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,10 +67,10 @@
 			if err != nil {
 				return
 			}
-			c := &peer{
-				Conn: nc,
-				in:   bufio.NewReader(nc),
-				n:    int(s.conns.Add(1)) - 1,
+			c := &serverConn{
+				Conn:  nc,
+				in:    bufio.NewReader(nc),
+				index: int(s.conns.Add(1)) - 1,
 			}
 			all.Go(func() {
 				defer func() { _ = nc.Close() }()
@@ -85,22 +85,22 @@
 	return s
 }
 
-// newTestPool returns a pool that is closed before the test's servers are.
+// newTestPool returns a pool that is closed before the servers of the test.
 func newTestPool(t testing.TB, opts ...Option) *Pool {
 	p := NewPool(opts...)
 	t.Cleanup(p.Close)
 	return p
 }
 
-// piped returns a dial function whose connections are pipes to the script.
-func piped(script func(c *peer)) func(context.Context, string, string) (net.Conn, error) {
+// dialPipe returns a dial function that connects to the script by in-memory pipes.
+func dialPipe(script func(c *serverConn)) func(context.Context, string, string) (net.Conn, error) {
 	n := 0
 	return func(context.Context, string, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
-		c := &peer{
-			Conn: theirs,
-			in:   bufio.NewReader(theirs),
-			n:    n,
+		c := &serverConn{
+			Conn:  theirs,
+			in:    bufio.NewReader(theirs),
+			index: n,
 		}
 		n++
 		go func() {
@@ -111,19 +111,19 @@
 	}
 }
 
-// always answers each request with the same bytes.
-func always(answer string) func(c *peer) {
-	return func(c *peer) {
+// respondWith sends the same response to each request.
+func respondWith(answer string) func(c *serverConn) {
+	return func(c *serverConn) {
 		for {
 			if _, err := c.request(); err != nil {
 				return
 			}
-			c.say(answer)
+			c.send(answer)
 		}
 	}
 }
 
-// get returns a plain request to addr.
+// get returns a GET request to addr.
 func get(addr string) Request {
 	return Request{
 		Addr:   addr,
@@ -132,7 +132,7 @@
 	}
 }
 
-// fetch carries the request and reads its answer to the end.
+// fetch sends the request and reads the response body.
 func fetch(p *Pool, req Request) (a *Answer, body string, err error) {
 	a, err = p.Do(context.Background(), req)
 	if err != nil {
@@ -143,8 +143,8 @@
 	return a, string(b), err
 }
 
-// sentAt returns what a failure says of itself.
-func sentAt(t testing.TB, err error) (sent bool, stage Stage) {
+// errorDetails returns the details of an *Error.
+func errorDetails(t testing.TB, err error) (sent bool, stage Stage) {
 	t.Helper()
 	var e *Error
 	if !errors.As(err, &e) {
@@ -153,9 +153,8 @@
 	return e.Sent(), e.Stage()
 }
 
-// awaitNews waits until the only resting connection to addr has bytes or its end to
-// read.
-func awaitNews(t testing.TB, p *Pool, addr string) {
+// awaitUnread waits until the only idle connection to addr has unread bytes or is closed.
+func awaitUnread(t testing.TB, p *Pool, addr string) {
 	t.Helper()
 	p.mu.Lock()
 	nc := p.addrs[addr].idle[0].nc
--- a/exchange/socket.go
+++ b/exchange/socket.go
@@ -8,8 +8,7 @@
 )
 
 const (
-	// keepAliveInterval and probeCount are TCP keep-alive's: a peer that falls silent is
-	// noticed within about 3 s also when we only wait for its answer.
+	// TCP keep-alive detects an unreachable peer within some 3 s.
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 
@@ -48,8 +47,8 @@
 	_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 }
 
-// setConnUserTimeout sets the TCP user timeout of an established connection.
-func setConnUserTimeout(nc net.Conn, d time.Duration) {
+// setConnTimeout sets the TCP user timeout of an established connection.
+func setConnTimeout(nc net.Conn, d time.Duration) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok || runtime.GOOS != "linux" {
 		return
@@ -59,8 +58,8 @@
 	}
 }
 
-// isHealthy says whether the connection is open and has no unread bytes, as far as the
-// kernel knows. Connections without a descriptor count as isHealthy.
+// isHealthy reports whether the connection is open and has no unread bytes. Connections
+// without a file descriptor count as healthy.
 func isHealthy(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -78,8 +77,8 @@
 	return err == nil && peekErr == syscall.EAGAIN
 }
 
-// hasUnread says whether the connection has hasUnread bytes, or its other side has closed it, as
-// far as the kernel knows. It doesn't wait for a read that is under way, unlike quiet.
+// hasUnread reports whether the connection has unread bytes or was closed by the peer.
+// Unlike isHealthy it doesn't wait for a concurrent read.
 func hasUnread(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
--- a/exchange/suspend_test.go
+++ b/exchange/suspend_test.go
@@ -11,12 +11,12 @@
 	"github.com/havenrudder/havenrudder/internal/boot"
 )
 
-// The other side closed the connection while the machine was suspended; Go's clock doesn't
-// show that its time at rest is over.
-func TestAConnectionThatRestedWhileTheMachineWasSuspendedIsNotUsedAgain(t *testing.T) {
+// Guards against reuse of a connection that expired during a suspend, in which Go's
+// monotonic clock stands still.
+func TestAConnectionIdleDuringASuspendIsNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newTestPool(t, WithDial(piped(always(whole))), WithIdleTime(4*time.Second))
+		p := newTestPool(t, WithDial(dialPipe(respondWith(okResponse))), WithIdleTime(4*time.Second))
 		_, _, err := fetch(p, get("x"))
 		is.NoErr(err)
 		boot.Skip((8 * time.Second).Nanoseconds())
