--- a/exchange/activity_test.go
+++ b/exchange/activity_test.go
@@ -12,7 +12,7 @@
 	is := is.New(t)
 	more := make(chan struct{})
 	defer close(more)
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		_, _ = c.request()
 		c.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n")
 		<-more
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	more := make(chan struct{})
 	defer close(more)
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		_, _ = c.request()
 		c.send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n")
 		for range 2 {
--- a/exchange/answer_test.go
+++ b/exchange/answer_test.go
@@ -40,7 +40,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			read := make(chan struct{})
-			s := newServer(t, func(c *serverConn) {
+			s := newServer(t, func(c *peer) {
 				_, _ = c.request()
 				c.send(tc.response)
 				if tc.reset {
@@ -68,7 +68,7 @@
 	for range 100 {
 		is := is.New(t)
 		read := make(chan struct{})
-		s := newServer(t, func(c *serverConn) {
+		s := newServer(t, func(c *peer) {
 			_, _ = http.ReadRequest(c.in)
 			c.send("HTTP/1.1 200 OK\r\n\r\nabc")
 			<-read
@@ -92,7 +92,7 @@
 func TestABodyEndedByCloseIsCompleteWhenTheRequestIsUnread(t *testing.T) {
 	is := is.New(t)
 	over := make(chan struct{})
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		_, _ = http.ReadRequest(c.in)
 		c.send("HTTP/1.1 200 OK\r\n\r\nabc")
 		_ = c.Conn.(*net.TCPConn).CloseWrite()
@@ -110,7 +110,7 @@
 	is := is.New(t)
 	bodyErr := make(chan error, 1)
 	goOn := make(chan struct{})
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		r, err := http.ReadRequest(c.in)
 		if err != nil {
 			bodyErr <- err
@@ -140,7 +140,7 @@
 func TestAConnectionWithAPartlyWrittenRequestIsClosed(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan struct{})
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		_, _ = http.ReadRequest(c.in)
 		c.send(okResponse)
 		<-gone
@@ -179,7 +179,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		left := 9000
-		dial := dialPipe(func(c *serverConn) {
+		dial := dialPipe(func(c *peer) {
 			_, _ = io.Copy(io.Discard, c) // never responds
 		})
 		p := newTestPool(t, WithDial(func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/exchange/example_test.go
+++ b/exchange/example_test.go
@@ -19,7 +19,7 @@
 
 	pool := exchange.NewPool()
 	defer pool.Close()
-	answer, err := pool.Do(context.Background(), exchange.Request{
+	response, err := pool.Do(context.Background(), exchange.Request{
 		Addr:   srv.Listener.Addr().String(),
 		Method: http.MethodGet,
 		Target: "//models?all",
@@ -28,15 +28,15 @@
 		fmt.Println(err)
 		return
 	}
-	defer func() { _ = answer.Close() }()
-	body, err := io.ReadAll(answer)
-	fmt.Println(answer.Status(), string(body), err)
+	defer func() { _ = response.Close() }()
+	body, err := io.ReadAll(response)
+	fmt.Println(response.Status(), string(body), err)
 	// Output: 200 you asked for //models?all <nil>
 }
 
 func ExampleError_Sent() {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		panic(http.ErrAbortHandler) // closes the connection without an answer
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}))
 	defer srv.Close()
 
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -38,7 +38,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			got := make([]byte, len(tc.want))
-			s := newServer(t, func(c *serverConn) {
+			s := newServer(t, func(c *peer) {
 				_, _ = io.ReadFull(c, got)
 				c.send(okResponse)
 			})
@@ -103,7 +103,7 @@
 func TestARequestThatIsReadAndDroppedArrivesOnce(t *testing.T) {
 	is := is.New(t)
 	var arrived atomic.Int32
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		for {
 			r, err := c.request()
 			if err != nil {
@@ -222,10 +222,10 @@
 	long := "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)
 	fits := "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536)
 	cases := []struct {
-		name   string
-		method string
-		answer string
-		ok     bool
+		name     string
+		method   string
+		response string
+		ok       bool
 	}{
 		{"length", "GET", late + ours, true},
 		{"chunks", "GET", chunked + ours, true},
@@ -239,7 +239,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s := newServer(t, respondWith(tc.answer))
+			s := newServer(t, respondWith(tc.response))
 			p := newTestPool(t)
 			req := get(s.addr)
 			req.Method = tc.method
@@ -265,7 +265,7 @@
 		is := is.New(t)
 		gone := make(chan struct{})
 		received := make(chan struct{})
-		s := newServer(t, func(c *serverConn) {
+		s := newServer(t, func(c *peer) {
 			_, _ = http.ReadRequest(c.in)
 			close(received)
 			_, _ = io.Copy(io.Discard, c.in)
@@ -290,7 +290,7 @@
 
 	is := is.New(t)
 	gone := make(chan struct{})
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		_, _ = c.request()
 		c.send(head + "abc")
 		_, _ = io.Copy(io.Discard, c.in)
@@ -326,7 +326,7 @@
 
 func TestBeginIsCalledBeforeEachWrite(t *testing.T) {
 	is := is.New(t)
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		c.request()
 		c.send(okResponse)
 	})
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -15,19 +15,16 @@
 )
 
 // behaviours are the server's reactions to a request, by the first segment of its path.
-var behaviours = map[string]func(c *serverConn, id string) (goOn bool){
-	"answer": func(c *serverConn, id string) bool { c.send(idResponse(id)); return true },
-	"chunks": func(c *serverConn, id string) bool { c.send(idChunks(id, true)); return true },
-	"cut":    func(c *serverConn, id string) bool { c.send(idChunks(id, false)); return false },
-	"end": func(c *serverConn, id string) bool {
-		c.send("HTTP/1.1 200 OK\r\nId: " + id + "\r\n\r\n" + id)
-		return false
-	},
-	"drop":    func(*serverConn, string) bool { return false },
-	"reset":   func(c *serverConn, _ string) bool { c.reset(); return false },
-	"leave":   func(c *serverConn, id string) bool { c.send(idResponse(id)); return false },
-	"twice":   func(c *serverConn, id string) bool { c.send(idResponse(id) + idResponse(id)); return true },
-	"crossed": func(c *serverConn, id string) bool { c.send(idResponse("0") + idResponse(id)); return true },
+var behaviours = map[string]func(c *peer, id string) (keepOpen bool){
+	"answer":  func(c *peer, id string) bool { c.send(idResponse(id)); return true },
+	"chunks":  func(c *peer, id string) bool { c.send(idChunks(id, true)); return true },
+	"cut":     func(c *peer, id string) bool { c.send(idChunks(id, false)); return false },
+	"end":     func(c *peer, id string) bool { c.send("HTTP/1.1 200 OK\r\nId: " + id + "\r\n\r\n" + id); return false },
+	"drop":    func(*peer, string) bool { return false },
+	"reset":   func(c *peer, _ string) bool { c.reset(); return false },
+	"leave":   func(c *peer, id string) bool { c.send(idResponse(id)); return false },
+	"twice":   func(c *peer, id string) bool { c.send(idResponse(id) + idResponse(id)); return true },
+	"crossed": func(c *peer, id string) bool { c.send(idResponse("0") + idResponse(id)); return true },
 }
 
 func idResponse(id string) string {
@@ -48,7 +45,7 @@
 	counts map[string]int
 }
 
-func (l *arrivals) serve(c *serverConn) {
+func (l *arrivals) serve(c *peer) {
 	for {
 		r, err := http.ReadRequest(c.in)
 		if err != nil {
--- a/exchange/pool_test.go
+++ b/exchange/pool_test.go
@@ -71,8 +71,8 @@
 	for _, extra := range []string{"", okResponse} { // closed, or an unexpected response
 		is := is.New(t)
 		release := make(chan struct{})
-		s := newServer(t, func(c *serverConn) {
-			if c.index > 0 {
+		s := newServer(t, func(c *peer) {
+			if c.n > 0 {
 				respondWith(okResponse)(c)
 				return
 			}
@@ -187,7 +187,7 @@
 func TestCloseAddrFailsRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	asked := make(chan struct{})
-	s := newServer(t, func(c *serverConn) {
+	s := newServer(t, func(c *peer) {
 		for {
 			r, err := c.request()
 			if err != nil {
--- a/exchange/server_test.go
+++ b/exchange/server_test.go
@@ -17,15 +17,15 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// serverConn is the server's end of a connection.
-type serverConn struct {
+// peer is the server's end of a connection.
+type peer struct {
 	net.Conn
-	in    *bufio.Reader
-	index int // number of the connection, from 0
+	in *bufio.Reader
+	n  int // number of the connection, from 0
 }
 
 // request reads a complete request.
-func (c *serverConn) request() (*http.Request, error) {
+func (c *peer) request() (*http.Request, error) {
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
 		return nil, err
@@ -35,12 +35,12 @@
 }
 
 // send writes s, and ignores errors since the client may have closed the connection.
-func (c *serverConn) send(s string) {
+func (c *peer) send(s string) {
 	_, _ = io.WriteString(c, s)
 }
 
 // reset closes the connection with a TCP reset.
-func (c *serverConn) reset() {
+func (c *peer) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
@@ -51,7 +51,7 @@
 	conns atomic.Int32
 }
 
-func newServer(t testing.TB, script func(c *serverConn)) *server {
+func newServer(t testing.TB, script func(c *peer)) *server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,10 +67,10 @@
 			if err != nil {
 				return
 			}
-			c := &serverConn{
-				Conn:  nc,
-				in:    bufio.NewReader(nc),
-				index: int(s.conns.Add(1)) - 1,
+			c := &peer{
+				Conn: nc,
+				in:   bufio.NewReader(nc),
+				n:    int(s.conns.Add(1)) - 1,
 			}
 			all.Go(func() {
 				defer func() { _ = nc.Close() }()
@@ -93,14 +93,14 @@
 }
 
 // dialPipe returns a dial function that connects to the script by in-memory pipes.
-func dialPipe(script func(c *serverConn)) func(context.Context, string, string) (net.Conn, error) {
+func dialPipe(script func(c *peer)) func(context.Context, string, string) (net.Conn, error) {
 	n := 0
 	return func(context.Context, string, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
-		c := &serverConn{
-			Conn:  theirs,
-			in:    bufio.NewReader(theirs),
-			index: n,
+		c := &peer{
+			Conn: theirs,
+			in:   bufio.NewReader(theirs),
+			n:    n,
 		}
 		n++
 		go func() {
@@ -112,13 +112,13 @@
 }
 
 // respondWith sends the same response to each request.
-func respondWith(answer string) func(c *serverConn) {
-	return func(c *serverConn) {
+func respondWith(response string) func(c *peer) {
+	return func(c *peer) {
 		for {
 			if _, err := c.request(); err != nil {
 				return
 			}
-			c.send(answer)
+			c.send(response)
 		}
 	}
 }
