--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -26,7 +26,7 @@
 )
 
 var (
-	errHeaderTooLong        = errors.New("response header is longer than 1 MiB")
+	errHeaderTooLong        = errors.New("response header is too long")
 	errTooManyInformational = errors.New("too many 1xx responses")
 	errProtocolSwitch       = errors.New("server switched protocols without an upgrade request")
 	errMismatch             = errors.New("response belongs to another request")
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,6 +1,5 @@
-// Package routing decides where a request goes. It is pure: it does no I/O,
-// reads no clock and draws no random numbers, so the same view and request
-// always give the same choice, and every choice can be explained.
+// Package routing selects the replica for a request. It is deterministic: it does no I/O,
+// reads no clock and uses no random numbers.
 package routing
 
 import (
@@ -10,104 +9,103 @@
 	"github.com/havenrudder/havenrudder/common/rendezvous"
 )
 
-// Reason says why a replica was not chosen.
+// Reason is the reason why a replica was rejected.
 type Reason string
 
-// Reasons.
+// Reasons for a rejection.
 const (
-	Leaving Reason = "leaving" // it takes no new work
-	Out     Reason = "out"     // it failed several times in a row
-	Tried   Reason = "tried"   // this request was there before
-	Full    Reason = "full"    // its limit is reached
-	Late    Reason = "late"    // the first token would come after the contract
-	Slower  Reason = "slower"  // another is expected to answer sooner
+	Leaving Reason = "leaving" // it is draining and accepts no new requests
+	Out     Reason = "out"     // it is ejected after consecutive failures
+	Tried   Reason = "tried"   // an earlier attempt of this request used it
+	Full    Reason = "full"    // its running and waiting requests reach its limit
+	Late    Reason = "late"    // the expected time to first token exceeds the request's bound
+	Slower  Reason = "slower"  // another has a lower cost
 )
 
-// Replica is one candidate, as believed now.
+// Replica is the recorded state of a candidate.
 type Replica struct {
 	Name    string
-	Load    int           // requests running and waiting there
-	Slots   int           // requests it runs at once
-	Pending time.Duration // prompts to be computed there before a new one
-	Slow    float64       // how much longer than expected it takes; 1 for as expected
-	Hold    time.Duration // smoothed time a request holds a slot; 0 when not known
-	Warm    bool          // it holds the request's prefix, as far as is known
+	Load    int           // running and waiting requests
+	Slots   int           // maximum of concurrently running requests
+	Pending time.Duration // prefill time of the requests ahead of a new one
+	Slow    float64       // observed latency over expected latency; 0 counts as 1
+	Hold    time.Duration // smoothed time that a request occupies a slot; 0 if unknown
+	Warm    bool          // the request's prefix is recorded as cached
 	Leaving bool
 	Out     bool
 	Tried   bool
 }
 
-// Request is what a decision needs of a request.
+// Request contains the properties of a request that a decision depends on.
 type Request struct {
-	Affinity string        // key of the prompt's prefix; empty for none
-	Spread   string        // key of the request itself, by which it draws among all replicas
-	Prefill  time.Duration // expected time to compute the prompt when it is not cached
-	Bound    time.Duration // latest first token; 0 for none
-	Queue    float64       // requests that may wait at a replica, as a share of its slots
+	Affinity string        // routing key of the prompt's prefix; empty for none
+	Spread   string        // routing key of the request itself, for candidates beyond those of Affinity
+	Prefill  time.Duration // expected prefill time without a cache
+	Bound    time.Duration // maximum expected time to first token; 0 for none
+	Queue    float64       // maximum of waiting requests at a replica, as a share of its slots
 }
 
-// Rejected names a replica that was not chosen, and why.
+// Rejected is a replica that was not chosen, and the reason.
 type Rejected struct {
 	Name   string `json:"name"`
 	Reason Reason `json:"reason"`
 }
 
-// Choice is the outcome of a decision. Name is empty when there is none; then
-// Wait says when a slot is expected to be free.
+// Choice is the outcome of a decision. If no replica is usable, Name is empty and Wait is
+// the expected time until one is.
 type Choice struct {
 	Name     string        `json:"name"`
 	Warm     bool          `json:"warm"`
 	Expect   time.Duration `json:"expect_ns"` // expected time to the first token
-	Usual    time.Duration `json:"usual_ns"`  // the same of a replica that is not slow
+	Usual    time.Duration `json:"usual_ns"`  // the same without the factor Slow
 	Wait     time.Duration `json:"wait_ns"`
 	Rejected []Rejected    `json:"rejected,omitempty"`
 }
 
 const (
-	defaultHold = 500 * time.Millisecond // until a replica's own is known
-	base        = 20 * time.Millisecond  // of a first token whose prompt is cached and that waits for nothing
-	warmShare   = 0.1                    // of a prompt that has to be computed where its prefix is cached
-	crowding    = 0.2                    // share of a request's hold that joining a full replica costs
-	sharing     = 0.25                   // how much of a slot's wait the running requests cost another
-	coldCost    = 0.5                    // what computing a prompt anew costs others, in its own time
-	firstBias   = 0.3                    // what going to the first in rank is worth, in time to compute the prompt
-	crowdedFrom = 0.8                    // load over slots from which more replicas are looked at
-	maxRank     = 8                      // replicas compared for one key
+	defaultHold         = 500 * time.Millisecond // if unknown for all replicas
+	baseLatency         = 20 * time.Millisecond  // time to first token without prefill and queueing
+	cachedPrefillShare  = 0.1                    // share of the prefill that remains if the prefix is cached
+	occupancyWeight     = 0.2                    // cost of joining a fully occupied replica, as a share of Hold
+	batchingShare       = 0.25                   // slowdown by requests that run in the same batch, as a share of a slot's wait
+	uncachedCostShare   = 0.5                    // cost of an uncached prefill to other requests, as a share of it
+	preferredBonusShare = 0.3                    // bonus of the top-ranked replica, as a share of the prefill
+	crowdedThreshold    = 0.8                    // occupancy above which more replicas are evaluated
+	maxCandidates       = 8                      // replicas evaluated per routing key
 )
 
-// Decide returns the replica with the least cost: the expected time to the first
-// token, and what the request costs others there. With explain it also says why
-// each other was rejected.
+// Decide returns the replica with the lowest cost, which is the expected time to first
+// token plus the interference cost to other requests. With explain it also returns why
+// each other replica was rejected.
 //
-// Only the first few in the rank of the prefix are compared, and those known to be
-// warm; when all of these are crowded, a few more that the request draws by its
-// own key; and all of them when none of these will do. Beliefs are old, so boxes
-// that compared all replicas would go to the same one; so they spread, and a
-// prefix in demand warms as many as it needs.
+// It evaluates the top-ranked replicas for Affinity and those that have the prefix cached;
+// if these are crowded, also the top-ranked ones for Spread; and if none of these is
+// usable, all replicas. The restriction keeps boxes with the same outdated state from
+// choosing the same replica.
 func Decide(req Request, replicas []Replica, explain bool) Choice {
 	d := decision{
-		req:     req,
-		best:    -1,
-		explain: explain,
-		seen:    make([]bool, len(replicas)),
+		req:       req,
+		best:      -1,
+		explain:   explain,
+		evaluated: make([]bool, len(replicas)),
 	}
-	d.learn(replicas)
-	d.considerFirst(req.Affinity, true, replicas)
+	d.computeMeanHold(replicas)
+	d.evaluateTopRanked(req.Affinity, true, replicas)
 	for i := range replicas {
 		if replicas[i].Warm {
-			d.consider(i, -1, &replicas[i])
+			d.evaluate(i, -1, &replicas[i])
 		}
 	}
 	if d.crowded() {
-		d.considerFirst(req.Spread, false, replicas)
+		d.evaluateTopRanked(req.Spread, false, replicas)
 	}
 	if d.best < 0 {
 		for i := range replicas {
-			d.consider(i, -1, &replicas[i])
+			d.evaluate(i, -1, &replicas[i])
 		}
 	}
 	if d.best < 0 {
-		d.choice.Wait = d.soonest
+		d.choice.Wait = d.minWait
 		return d.choice
 	}
 	d.choice.Name = replicas[d.best].Name
@@ -116,42 +114,42 @@
 	return d.choice
 }
 
-// considerFirst looks at the first replicas in the rank of key.
-func (d *decision) considerFirst(key string, favour bool, replicas []Replica) {
+// evaluateTopRanked evaluates the replicas with the highest rendezvous scores for key.
+func (d *decision) evaluateTopRanked(key string, preferFirst bool, replicas []Replica) {
 	if key == "" {
 		return
 	}
-	order, n := d.first(key, replicas)
+	order, n := d.topRanked(key, replicas)
 	for rank, i := range order[:n] {
-		if !favour {
+		if !preferFirst {
 			rank = -1
 		}
-		d.consider(i, rank, &replicas[i])
+		d.evaluate(i, rank, &replicas[i])
 	}
 }
 
-// crowded says whether even the best so far has few slots free.
-func (d *decision) crowded() bool { return d.best < 0 || d.full > crowdedFrom }
+// crowded reports whether the best replica so far is nearly full or there is none.
+func (d *decision) crowded() bool { return d.best < 0 || d.occupancy > crowdedThreshold }
 
 type decision struct {
-	req     Request
-	seen    []bool        // replicas looked at
-	hold    time.Duration // mean time a request holds a slot
-	best    int
-	cost    time.Duration
-	full    float64       // load over slots of the best
-	soonest time.Duration // soonest expected answer among the rejected
-	explain bool
-	choice  Choice
+	req       Request
+	evaluated []bool        // by index of the replica
+	meanHold  time.Duration // mean of the known values of Replica.Hold
+	best      int
+	cost      time.Duration
+	occupancy float64       // load over slots of the best replica
+	minWait   time.Duration // minimum expected wait among the rejected replicas
+	explain   bool
+	choice    Choice
 }
 
-// first returns the usable replicas with the highest weights for a key that were
-// not looked at yet, and their number.
-func (d *decision) first(key string, replicas []Replica) (order [maxRank]int, n int) {
-	var top [maxRank]uint64
+// topRanked returns the indices of the usable, not yet evaluated replicas with the highest
+// rendezvous scores for key, and their number.
+func (d *decision) topRanked(key string, replicas []Replica) (order [maxCandidates]int, n int) {
+	var top [maxCandidates]uint64
 	for i := range replicas {
 		r := &replicas[i]
-		if d.seen[i] || unusable(r) != "" {
+		if d.evaluated[i] || unusableReason(r) != "" {
 			continue
 		}
 		score := rendezvous.Score(key, r.Name)
@@ -159,10 +157,10 @@
 		for at > 0 && score > top[at-1] {
 			at--
 		}
-		if at == maxRank {
+		if at == maxCandidates {
 			continue
 		}
-		n = min(n+1, maxRank)
+		n = min(n+1, maxCandidates)
 		copy(top[at+1:n], top[at:])
 		copy(order[at+1:n], order[at:])
 		top[at] = score
@@ -171,9 +169,8 @@
 	return order, n
 }
 
-// learn finds the mean that stands for what is not known of a replica, so that a
-// new one looks neither fast nor slow.
-func (d *decision) learn(replicas []Replica) {
+// computeMeanHold sets the default for replicas whose Hold is unknown.
+func (d *decision) computeMeanHold(replicas []Replica) {
 	var sum time.Duration
 	n := 0
 	for i := range replicas {
@@ -182,69 +179,68 @@
 			n++
 		}
 	}
-	d.hold = cmp.Or(sum/time.Duration(max(n, 1)), defaultHold)
+	d.meanHold = cmp.Or(sum/time.Duration(max(n, 1)), defaultHold)
 }
 
-func (d *decision) consider(i, rank int, r *Replica) {
-	if d.seen[i] {
+func (d *decision) evaluate(i, rank int, r *Replica) {
+	if d.evaluated[i] {
 		return
 	}
-	d.seen[i] = true
-	if reason := unusable(r); reason != "" {
+	d.evaluated[i] = true
+	if reason := unusableReason(r); reason != "" {
 		d.reject(r, reason)
 		return
 	}
-	queueing := Queueing(r, cmp.Or(r.Hold, d.hold))
-	usual := base + queueing + r.Pending + d.prefill(r)
-	expect := time.Duration(cmp.Or(r.Slow, 1) * float64(usual))
+	queueing := Queueing(r, cmp.Or(r.Hold, d.meanHold))
+	typical := baseLatency + queueing + r.Pending + d.prefill(r)
+	expect := time.Duration(cmp.Or(r.Slow, 1) * float64(typical))
 	if r.Load >= Limit(r.Slots, d.req.Queue) {
-		d.rejectFor(r, Full, queueing)
+		d.rejectWithWait(r, Full, queueing)
 		return
 	}
 	if d.req.Bound > 0 && expect > d.req.Bound {
-		d.rejectFor(r, Late, expect-d.req.Bound)
+		d.rejectWithWait(r, Late, expect-d.req.Bound)
 		return
 	}
-	cost := expect + d.burden(rank, r)
+	cost := expect + d.interferenceCost(rank, r)
 	if d.best < 0 || cost < d.cost {
 		d.best = i
 		d.cost = cost
-		d.full = full(r)
+		d.occupancy = occupancy(r)
 		d.choice.Expect = expect
-		d.choice.Usual = usual
+		d.choice.Usual = typical
 	}
 }
 
-// burden returns what the request costs others at r. A prompt computed anew
-// delays them and takes room in the cache; the first in rank is favoured, so that
-// all boxes warm the same replica. Joining a replica whose slots are nearly all
-// taken slows its batch and makes the next one wait: that cost rises steeply, so
-// that the tail is kept even where a cache is given up for it.
-func (d *decision) burden(rank int, r *Replica) time.Duration {
+// interferenceCost returns the cost of the request to other requests at r. An uncached
+// prefill delays them and evicts cached prefixes. The top-ranked replica has a bonus, so
+// that all boxes prefer the same one. The cost of a nearly full replica rises steeply, to
+// limit tail latency at the expense of cache hits.
+func (d *decision) interferenceCost(rank int, r *Replica) time.Duration {
 	share := 0.0
 	if !r.Warm {
-		share += coldCost
+		share += uncachedCostShare
 	}
 	if rank == 0 {
-		share -= firstBias
+		share -= preferredBonusShare
 	}
 	prompt := share * cmp.Or(r.Slow, 1) * float64(d.req.Prefill)
-	f := full(r)
-	crowd := crowding * f * f * f * f * f * float64(cmp.Or(r.Hold, d.hold))
+	f := occupancy(r)
+	crowd := occupancyWeight * f * f * f * f * f * float64(cmp.Or(r.Hold, d.meanHold))
 	return time.Duration(prompt + crowd)
 }
 
-func full(r *Replica) float64 { return float64(r.Load) / float64(max(r.Slots, 1)) }
+func occupancy(r *Replica) float64 { return float64(r.Load) / float64(max(r.Slots, 1)) }
 
-// prefill returns the time that computing the prompt takes at r.
+// prefill returns the expected prefill time at r.
 func (d *decision) prefill(r *Replica) time.Duration {
 	if r.Warm {
-		return time.Duration(warmShare * float64(d.req.Prefill))
+		return time.Duration(cachedPrefillShare * float64(d.req.Prefill))
 	}
 	return d.req.Prefill
 }
 
-func unusable(r *Replica) Reason {
+func unusableReason(r *Replica) Reason {
 	switch {
 	case r.Leaving:
 		return Leaving
@@ -265,9 +261,9 @@
 	}
 }
 
-func (d *decision) rejectFor(r *Replica, reason Reason, wait time.Duration) {
-	if d.soonest == 0 || wait < d.soonest {
-		d.soonest = wait
+func (d *decision) rejectWithWait(r *Replica, reason Reason, wait time.Duration) {
+	if d.minWait == 0 || wait < d.minWait {
+		d.minWait = wait
 	}
 	d.reject(r, reason)
 }
@@ -276,31 +272,31 @@
 	if !d.explain {
 		return
 	}
-	named := make(map[string]bool, len(replicas))
+	listed := make(map[string]bool, len(replicas))
 	for _, r := range d.choice.Rejected {
-		named[r.Name] = true
+		listed[r.Name] = true
 	}
 	for i := range replicas {
 		r := &replicas[i]
-		if i != d.best && !named[r.Name] {
-			d.reject(r, cmp.Or(unusable(r), Slower))
+		if i != d.best && !listed[r.Name] {
+			d.reject(r, cmp.Or(unusableReason(r), Slower))
 		}
 	}
 }
 
-// Limit returns how many requests a replica with slots is given at most.
+// Limit returns the maximum of running and waiting requests at a replica.
 func Limit(slots int, queue float64) int {
 	return slots + int(queue*float64(slots))
 }
 
-// Queueing returns the expected wait for a slot at r, where a request holds one
-// for so long. Below its slots it still grows a little with load, for requests
-// share the replica's steps.
+// Queueing returns the expected wait for a slot at r, where each request occupies one for
+// hold. It is positive also while slots are free, since requests in one batch slow each
+// other down.
 func Queueing(r *Replica, hold time.Duration) time.Duration {
 	slots := max(r.Slots, 1)
 	if r.Load < slots {
 		share := float64(r.Load) / float64(slots)
-		return time.Duration(sharing * share * float64(hold) / float64(slots))
+		return time.Duration(batchingShare * share * float64(hold) / float64(slots))
 	}
 	ahead := float64(r.Load-slots+1) / float64(slots)
 	return time.Duration(ahead * float64(hold))
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -24,7 +24,7 @@
 	// Output: warm [{cold slower} {leaving leaving}]
 }
 
-func draw(t *rapid.T) []Replica {
+func drawReplicas(t *rapid.T) []Replica {
 	n := rapid.IntRange(0, 30).Draw(t, "replicas")
 	out := make([]Replica, n)
 	for i := range out {
@@ -44,11 +44,11 @@
 	return out
 }
 
-// TestADecisionIsAllowedRepeatableAndExplained holds decisions against what the
-// view alone permits.
+// TestADecisionIsAllowedRepeatableAndExplained guards against a choice of an unusable
+// replica, a nondeterministic choice and a rejection without a reason.
 func TestADecisionIsAllowedRepeatableAndExplained(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		replicas := draw(t)
+		replicas := drawReplicas(t)
 		req := Request{
 			Affinity: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "affinity"),
 			Spread:   rapid.SampledFrom([]string{"", "x"}).Draw(t, "spread"),
@@ -59,7 +59,7 @@
 		c := Decide(req, replicas, true)
 		again := Decide(req, replicas, true)
 		if c.Name != again.Name || c.Expect != again.Expect {
-			t.Fatalf("%v, then %v", c, again)
+			t.Fatalf("nondeterministic choice: %v, then %v", c, again)
 		}
 		reasons := make(map[string]Reason)
 		for _, r := range c.Rejected {
@@ -71,7 +71,7 @@
 		for _, r := range replicas {
 			usable := !r.Leaving && !r.Out && !r.Tried && r.Load < Limit(r.Slots, req.Queue)
 			if r.Name == c.Name && (!usable || (req.Bound > 0 && c.Expect > req.Bound)) {
-				t.Fatalf("%+v was chosen, expected after %s", r, c.Expect)
+				t.Fatalf("%+v was chosen with an expected time to first token of %s", r, c.Expect)
 			}
 			if r.Name != c.Name && reasons[r.Name] == "" {
 				t.Fatalf("%s was rejected without a reason", r.Name)
