--- a/routing/routing.go
+++ b/routing/routing.go
@@ -134,7 +134,7 @@
 type decision struct {
 	req       Request
 	evaluated []bool        // by index of the replica
-	meanHold  time.Duration // mean of the known values of Replica.Hold
+	hold      time.Duration // mean of the known values of Replica.Hold
 	best      int
 	cost      time.Duration
 	occupancy float64       // load over slots of the best replica
@@ -179,7 +179,7 @@
 			n++
 		}
 	}
-	d.meanHold = cmp.Or(sum/time.Duration(max(n, 1)), defaultHold)
+	d.hold = cmp.Or(sum/time.Duration(max(n, 1)), defaultHold)
 }
 
 func (d *decision) evaluate(i, rank int, r *Replica) {
@@ -191,7 +191,7 @@
 		d.reject(r, reason)
 		return
 	}
-	queueing := Queueing(r, cmp.Or(r.Hold, d.meanHold))
+	queueing := Queueing(r, cmp.Or(r.Hold, d.hold))
 	typical := baseLatency + queueing + r.Pending + d.prefill(r)
 	expect := time.Duration(cmp.Or(r.Slow, 1) * float64(typical))
 	if r.Load >= Limit(r.Slots, d.req.Queue) {
@@ -226,7 +226,7 @@
 	}
 	prompt := share * cmp.Or(r.Slow, 1) * float64(d.req.Prefill)
 	f := occupancy(r)
-	crowd := occupancyWeight * f * f * f * f * f * float64(cmp.Or(r.Hold, d.meanHold))
+	crowd := occupancyWeight * f * f * f * f * f * float64(cmp.Or(r.Hold, d.hold))
 	return time.Duration(prompt + crowd)
 }
 
