--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries JSON-RPC between boxes over TCP and counts what it
-// carries.
+// Package peer implements JSON-RPC between boxes over TCP and counts the bytes sent and
+// received.
 package peer
 
 import (
@@ -15,49 +15,48 @@
 	"github.com/havenrudder/havenrudder/common/sleep"
 )
 
-// Method names a message between boxes.
+// Method is the JSON-RPC method of a message between boxes.
 type Method string
 
-// Methods between boxes.
+// JSON-RPC methods, with the types of their parameters and results.
 const (
-	Heartbeat Method = "hb"       // wire.Heartbeat, no answer
-	Fleet     Method = "fleet"    // wire.FleetUpdate, no answer
-	Floor     Method = "floor"    // wire.FloorRequest, answered by wire.Floor
-	Part      Method = "part"     // wire.PartRequest, answered by wire.Part
-	Announce  Method = "announce" // wire.Announce, answered by wire.Announced
-	Seal      Method = "seal"     // wire.Seal, answered by wire.Sealed
-	Catalog   Method = "catalog"  // answered by catalog.EncodedNews
-	Policy    Method = "policy"   // answered by catalog.PolicyNews
-	Quota     Method = "quota"    // quota.Ask of a box, answered by quota.Grant
-	Demand    Method = "demand"   // what callers of a region ask for, by organisation
-	Proof     Method = "proof"    // how long ago the policy surely was the newest, answered by a version and an age
+	Heartbeat Method = "hb"       // wire.Heartbeat; notification
+	Fleet     Method = "fleet"    // wire.FleetUpdate; notification
+	Floor     Method = "floor"    // wire.FloorRequest; returns wire.Floor
+	Part      Method = "part"     // wire.PartRequest; returns wire.Part
+	Announce  Method = "announce" // wire.Announce; returns wire.Announced
+	Seal      Method = "seal"     // wire.Seal; returns wire.Sealed
+	Catalog   Method = "catalog"  // returns catalog.EncodedNews
+	Policy    Method = "policy"   // returns catalog.PolicyNews
+	Quota     Method = "quota"    // quota.Ask; returns quota.Grant
+	Demand    Method = "demand"   // demand of a region's callers, by organisation
+	Proof     Method = "proof"    // freshness proof of the policy; returns a version and an age
 )
 
-// Handler answers one message; its answer is left out for a notification.
+// Handler handles one message. For a notification its result is discarded.
 type Handler func(ctx context.Context, m Method, params json.RawMessage) (any, error)
 
-// envelope is what JSON-RPC and the length prefix add to the parameters of a
-// message, in bytes; TestEnvelopeIsMeasured holds it to what is sent.
-const envelope = 43
+// envelopeBytes is the overhead of JSON-RPC and the length prefix per message; see
+// TestEnvelopeIsMeasured.
+const envelopeBytes = 43
 
-// codec frames messages by their length and bounds them.
+// codec frames messages by a length prefix and limits their size.
 type codec = jsonrpc2.VarintObjectCodec
 
-// Counter is told of the bytes of each message, sent or received.
+// Counter is called with the size of each message, sent or received.
 type Counter func(m Method, bytes int)
 
-// Back-off after a connection could not be accepted, as when the process has too
-// many files open: a box does not end for that.
+// Back-off after a failed accept, such as one for lack of file descriptors.
 const (
-	firstBackOff = 5 * time.Millisecond
-	maxBackOff   = time.Second
+	minBackOff = 5 * time.Millisecond
+	maxBackOff = time.Second
 )
 
-// Serve answers the boxes that connect to l until ctx ends or l is closed.
+// Serve accepts connections from l and handles their messages until ctx ends or l is closed.
 func Serve(ctx context.Context, l net.Listener, h Handler, count Counter) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
-	backOff := firstBackOff
+	backOff := minBackOff
 	for {
 		conn, err := l.Accept()
 		switch {
@@ -70,7 +69,7 @@
 			backOff = min(2*backOff, maxBackOff)
 			continue
 		}
-		backOff = firstBackOff
+		backOff = minBackOff
 		serveConn(ctx, conn, h, count)
 	}
 }
@@ -84,7 +83,7 @@
 			}
 		}
 		m := Method(r.Method)
-		count(m, len(*r.Params)+envelope)
+		count(m, len(*r.Params)+envelopeBytes)
 		out, err := h(ctx, m, *r.Params)
 		if err != nil || r.Notif {
 			return nil, err
@@ -93,17 +92,17 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "peer")
 		}
-		count(m, len(data)+envelope)
+		count(m, len(data)+envelopeBytes)
 		return json.RawMessage(data), nil
 	}
 	async := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(handle).SuppressErrClosed())
 	stream := jsonrpc2.NewBufferedStream(conn, codec{})
-	c := jsonrpc2.NewConn(ctx, stream, async, jsonrpc2.SetLogger(quiet{}))
-	closeWith(ctx, c)
+	c := jsonrpc2.NewConn(ctx, stream, async, jsonrpc2.SetLogger(discardLogger{}))
+	closeOnDone(ctx, c)
 }
 
-// closeWith closes c when ctx ends and lets go of ctx when c closes first.
-func closeWith(ctx context.Context, c *jsonrpc2.Conn) {
+// closeOnDone closes c when ctx ends. Its goroutine ends when c is closed.
+func closeOnDone(ctx context.Context, c *jsonrpc2.Conn) {
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -113,18 +112,18 @@
 	}()
 }
 
-// quiet drops the library's own log; its errors come back from calls.
-type quiet struct{}
+// discardLogger discards the log of jsonrpc2, whose errors calls return.
+type discardLogger struct{}
 
-var _ jsonrpc2.Logger = quiet{}
+var _ jsonrpc2.Logger = discardLogger{}
 
-// Printf drops what it is given.
-func (quiet) Printf(string, ...any) {}
+// Printf discards its arguments.
+func (discardLogger) Printf(string, ...any) {}
 
 // Dial opens a connection to an address.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Pool holds one connection to each peer.
+// Pool has one connection to each peer.
 type Pool struct {
 	ctx   context.Context
 	dial  Dial
@@ -133,7 +132,7 @@
 	conns map[string]*jsonrpc2.Conn
 }
 
-// NewPool returns a pool whose connections end with ctx.
+// NewPool returns a pool whose connections are closed when ctx ends.
 func NewPool(ctx context.Context, dial Dial, count Counter) *Pool {
 	return &Pool{
 		ctx:   ctx,
@@ -146,7 +145,7 @@
 const dialTimeout = time.Second
 
 func (p *Pool) conn(ctx context.Context, addr string) (*jsonrpc2.Conn, error) {
-	if c := p.held(addr); c != nil {
+	if c := p.existing(addr); c != nil {
 		return c, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -156,15 +155,15 @@
 		return nil, errors.Wrap(err, "peer")
 	}
 	handle := func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-		return nil, errors.New("peer: calls go one way")
+		return nil, errors.New("peer: method calls by the server are not supported")
 	}
 	stream := jsonrpc2.NewBufferedStream(raw, codec{})
-	c := jsonrpc2.NewConn(p.ctx, stream, jsonrpc2.HandlerWithError(handle), jsonrpc2.SetLogger(quiet{}))
-	closeWith(p.ctx, c)
-	return p.keep(addr, c), nil
+	c := jsonrpc2.NewConn(p.ctx, stream, jsonrpc2.HandlerWithError(handle), jsonrpc2.SetLogger(discardLogger{}))
+	closeOnDone(p.ctx, c)
+	return p.add(addr, c), nil
 }
 
-func (p *Pool) held(addr string) *jsonrpc2.Conn {
+func (p *Pool) existing(addr string) *jsonrpc2.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c, ok := p.conns[addr]
@@ -180,8 +179,8 @@
 	}
 }
 
-// keep puts c in the pool unless another was there first; that one is used.
-func (p *Pool) keep(addr string, c *jsonrpc2.Conn) *jsonrpc2.Conn {
+// add adds c to the pool and returns it, or closes it and returns an existing connection.
+func (p *Pool) add(addr string, c *jsonrpc2.Conn) *jsonrpc2.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old, ok := p.conns[addr]; ok {
@@ -192,7 +191,7 @@
 	return c
 }
 
-func (p *Pool) drop(addr string) {
+func (p *Pool) remove(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c, ok := p.conns[addr]; ok {
@@ -201,13 +200,12 @@
 	}
 }
 
-// retireFor is how long a connection that is not used again stays open for the calls
-// that still wait on it: longer than any of them may take.
-const retireFor = 10 * time.Second
+// retireDelay is the time after which a retired connection is closed: longer than the calls
+// that still wait on it.
+const retireDelay = 10 * time.Second
 
-// retire has later calls use a new connection: this one left a call without an answer,
-// and may have fallen silent for good. Without that all calls to the peer would wait
-// for their time-outs.
+// retire removes a connection on which a call has timed out, so that later calls don't wait
+// on a connection that may be dead.
 func (p *Pool) retire(addr string, c *jsonrpc2.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,24 +213,24 @@
 		return
 	}
 	delete(p.conns, addr)
-	time.AfterFunc(retireFor, func() { _ = c.Close() }) // it fails when closed already
+	time.AfterFunc(retireDelay, func() { _ = c.Close() }) // fails if already closed
 }
 
-// Notify sends a message that has no answer.
+// Notify sends a notification.
 func (p *Pool) Notify(ctx context.Context, addr string, m Method, params any) error {
 	data, c, err := p.prepare(ctx, addr, m, params)
 	if err != nil {
 		return err
 	}
 	if err := c.Notify(ctx, string(m), data); err != nil {
-		p.drop(addr)
+		p.remove(addr)
 		return errors.Wrap(err, "peer")
 	}
 	return nil
 }
 
-// Call sends a message and decodes its answer into out. When it fails the
-// message may have arrived all the same.
+// Call sends a message and decodes its result into out. If it fails, the message may still
+// have arrived.
 func (p *Pool) Call(ctx context.Context, addr string, m Method, params, out any) error {
 	data, c, err := p.prepare(ctx, addr, m, params)
 	if err != nil {
@@ -242,13 +240,13 @@
 	if err := c.Call(ctx, string(m), data, &raw); err != nil {
 		switch {
 		case ctx.Err() == nil:
-			p.drop(addr)
+			p.remove(addr)
 		case errors.Is(ctx.Err(), context.DeadlineExceeded):
 			p.retire(addr, c)
 		}
 		return errors.Wrap(err, "peer")
 	}
-	p.count(m, len(raw)+envelope)
+	p.count(m, len(raw)+envelopeBytes)
 	return errors.Wrap(json.Unmarshal(raw, out), "peer")
 }
 
@@ -261,6 +259,6 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	p.count(m, len(data)+envelope)
+	p.count(m, len(data)+envelopeBytes)
 	return data, c, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -18,19 +18,19 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// countingConn counts what crosses a connection.
+// countingConn counts the bytes written to a connection.
 type countingConn struct {
 	net.Conn
 	n *atomic.Int64
 }
 
-// Write counts and writes.
+// Write implements net.Conn.
 func (c countingConn) Write(p []byte) (int, error) {
 	c.n.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
-func pair(t *testing.T, h Handler, f func(ctx context.Context, is *is.I, p *Pool, addr string, sent *atomic.Int64, counted *atomic.Int64)) {
+func withServer(t *testing.T, h Handler, f func(ctx context.Context, is *is.I, p *Pool, addr string, sent *atomic.Int64, counted *atomic.Int64)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := fakes.NewNetwork()
 		l, err := n.Listen("server")("tcp", "")
@@ -57,7 +57,7 @@
 
 func TestEnvelopeIsMeasured(t *testing.T) {
 	handler := func(context.Context, Method, json.RawMessage) (any, error) { return nil, nil }
-	pair(t, handler, func(ctx context.Context, is *is.I, p *Pool, addr string, sent, counted *atomic.Int64) {
+	withServer(t, handler, func(ctx context.Context, is *is.I, p *Pool, addr string, sent, counted *atomic.Int64) {
 		for range 10 {
 			is.NoErr(p.Notify(ctx, addr, Heartbeat, wire.Heartbeat{
 				Box: "box",
@@ -66,24 +66,24 @@
 			}))
 		}
 		synctest.Wait()
-		off := float64(counted.Load())/float64(sent.Load()) - 1
-		is.True(off > -0.05 && off < 0.05) // what is counted is what is sent, within a twentieth
+		deviation := float64(counted.Load())/float64(sent.Load()) - 1
+		is.True(deviation > -0.05 && deviation < 0.05) // the counted and the sent bytes differ by less than 5 %
 	})
 }
 
-func TestAnswersBelongToTheirCallsHoweverTheyCross(t *testing.T) {
+func TestResultsMatchTheirCallsInAnyOrder(t *testing.T) {
 	handler := func(_ context.Context, _ Method, params json.RawMessage) (any, error) {
 		var r wire.PartRequest
 		if err := json.Unmarshal(params, &r); err != nil {
 			return nil, err
 		}
-		time.Sleep(time.Duration('z'-r.Hash[0]) * time.Millisecond) // the first is answered last
+		time.Sleep(time.Duration('z'-r.Hash[0]) * time.Millisecond) // the first call returns last
 		return wire.Part{
 			Found: true,
 			Data:  r.Hash,
 		}, nil
 	}
-	pair(t, handler, func(ctx context.Context, is *is.I, p *Pool, addr string, _, _ *atomic.Int64) {
+	withServer(t, handler, func(ctx context.Context, is *is.I, p *Pool, addr string, _, _ *atomic.Int64) {
 		var wg sync.WaitGroup
 		for _, first := range "bcdefgh" {
 			wg.Go(func() {
@@ -99,14 +99,14 @@
 	})
 }
 
-// failing is a listener that fails a few times, as one without files left does.
-type failing struct {
+// failingListener is a listener that fails a few times, like one without free file descriptors.
+type failingListener struct {
 	net.Listener
 	left int
 }
 
-// Accept fails, or accepts.
-func (l *failing) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.left > 0 {
 		l.left--
 		return nil, errors.New("too many open files")
@@ -114,7 +114,7 @@
 	return l.Listener.Accept()
 }
 
-func TestABoxGoesOnWhenItCantAcceptForAWhile(t *testing.T) {
+func TestServeContinuesAfterFailedAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakes.NewNetwork()
@@ -125,7 +125,7 @@
 		echo := func(_ context.Context, _ Method, params json.RawMessage) (any, error) { return params, nil }
 		done := make(chan error, 1)
 		go func() {
-			done <- Serve(ctx, &failing{
+			done <- Serve(ctx, &failingListener{
 				Listener: l,
 				left:     5,
 			}, echo, count)
@@ -140,26 +140,26 @@
 	})
 }
 
-func TestAMessageThatDoesNotCheckIsAnError(t *testing.T) {
+func TestAnInvalidMessageIsAnError(t *testing.T) {
 	handler := func(_ context.Context, _ Method, params json.RawMessage) (any, error) {
 		var r wire.PartRequest
 		return wire.Part{}, json.Unmarshal(params, &r)
 	}
-	pair(t, handler, func(ctx context.Context, is *is.I, p *Pool, addr string, _, _ *atomic.Int64) {
+	withServer(t, handler, func(ctx context.Context, is *is.I, p *Pool, addr string, _, _ *atomic.Int64) {
 		var out wire.Part
 		is.True(p.Call(ctx, addr, Part, wire.PartRequest{}, &out) != nil)
 		is.True(!errors.Is(ctx.Err(), context.Canceled))
 	})
 }
 
-// mute accepts connections: the first is read and never answered, as one that has gone
-// silent without a reset, and the others reach the server behind it.
-type mute struct {
+// unresponsiveListener reads its first connection without ever responding, and returns the
+// others from Accept.
+type unresponsiveListener struct {
 	net.Listener
 	first atomic.Bool
 }
 
-func (l *mute) Accept() (net.Conn, error) {
+func (l *unresponsiveListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err != nil || l.first.Swap(true) {
@@ -169,28 +169,28 @@
 	}
 }
 
-func TestAConnectionThatFellSilentIsNotUsedAgain(t *testing.T) {
+func TestAnUnresponsiveConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	l := &mute{
+	l := &unresponsiveListener{
 		Listener: inner,
 	}
 	answer := func(context.Context, Method, json.RawMessage) (any, error) { return 7, nil }
 	go func() { _ = Serve(ctx, l, answer, func(Method, int) {}) }()
 	var dialer net.Dialer
 	p := NewPool(ctx, dialer.DialContext, func(Method, int) {})
-	ask := func(limit time.Duration) (out int, err error) {
+	call := func(limit time.Duration) (out int, err error) {
 		ctx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
 		err = p.Call(ctx, l.Addr().String(), Catalog, 1, &out)
 		return out, err
 	}
-	_, err = ask(50 * time.Millisecond)
+	_, err = call(50 * time.Millisecond)
 	is.True(err != nil)
-	out, err := ask(10 * time.Second)
+	out, err := call(10 * time.Second)
 	is.NoErr(err)
 	is.Equal(out, 7)
 }
