--- a/exchange/activity_test.go
+++ b/exchange/activity_test.go
@@ -22,23 +22,23 @@
 	other := newServer(t, respondWith(okResponse))
 	p := newTestPool(t)
 	is.True(p.Heard("").IsZero())
-	began := time.Now()
+	start := time.Now()
 	a, err := p.Do(t.Context(), get(s.addr))
 	is.NoErr(err)
 	head := p.Heard("")
-	is.True(head.After(began))
+	is.True(head.After(start))
 	is.True(p.Heard(s.addr).IsZero()) // no other address
 
 	is.NoErr(p.Reach(t.Context(), other.addr, time.Second))
-	made := p.Heard(s.addr)
-	is.True(made.After(head)) // a new connection counts
+	connected := p.Heard(s.addr)
+	is.True(connected.After(head)) // a new connection counts
 	is.Equal(p.Heard(other.addr), head)
 
 	more <- struct{}{}
 	_, err = io.ReadFull(a, make([]byte, 2))
 	is.NoErr(err)
-	is.True(p.Heard(other.addr).After(made)) // bytes of a body
-	is.Equal(p.Heard(s.addr), made)
+	is.True(p.Heard(other.addr).After(connected)) // bytes of a body
+	is.Equal(p.Heard(s.addr), connected)
 	is.NoErr(a.Close())
 }
 
--- a/exchange/answer_test.go
+++ b/exchange/answer_test.go
@@ -109,7 +109,7 @@
 func TestAResponseMayArriveBeforeTheBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	bodyErr := make(chan error, 1)
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	s := newServer(t, func(c *peer) {
 		r, err := http.ReadRequest(c.in)
 		if err != nil {
@@ -117,7 +117,7 @@
 			return
 		}
 		c.send("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nabc")
-		<-goOn
+		<-resume
 		_, err = io.Copy(io.Discard, r.Body)
 		bodyErr <- err
 		c.send("def")
@@ -129,7 +129,7 @@
 	b := make([]byte, 6)
 	_, err = io.ReadFull(a, b[:3])
 	is.NoErr(err)
-	close(goOn)
+	close(resume)
 	_, err = io.ReadFull(a, b[3:])
 	is.NoErr(err)
 	is.Equal(string(b), "abcdef")
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	errHeaderTooLong        = errors.New("response header is too long")
-	errTooManyInformational = errors.New("too many 1xx responses")
+	errHeaderTooLong        = errors.New("the answer's header is too long")
+	errTooManyInformational = errors.New("too many 1xx answers")
 	errProtocolSwitch       = errors.New("server switched protocols without an upgrade request")
 	errMismatch             = errors.New("response belongs to another request")
 )
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -330,19 +330,19 @@
 		c.request()
 		c.send(okResponse)
 	})
-	begun := 0
+	calls := 0
 	_, _, err := fetch(newTestPool(t), Request{
 		Addr:   s.addr,
 		Target: "/",
-		Begin:  func(func() bool) { begun++ },
+		Begin:  func(func() bool) { calls++ },
 	})
 	is.NoErr(err)
-	is.Equal(begun, 1)
+	is.Equal(calls, 1)
 	_, _, err = fetch(newTestPool(t), Request{
 		Addr:   "127.0.0.1:1", // no listener
 		Target: "/",
-		Begin:  func(func() bool) { begun++ },
+		Begin:  func(func() bool) { calls++ },
 	})
 	is.True(err != nil)
-	is.Equal(begun, 1)
+	is.Equal(calls, 1)
 }
--- a/exchange/pool_test.go
+++ b/exchange/pool_test.go
@@ -139,8 +139,8 @@
 			time.Sleep(time.Second)
 		}
 		time.Sleep(6 * time.Second) // 9 s after the first
-		for gone, addr := range []string{"a", "b", "c"} {
-			is.Equal(p.Open("a")+p.Open("b")+p.Open("c"), 3-gone)
+		for expired, addr := range []string{"a", "b", "c"} {
+			is.Equal(p.Open("a")+p.Open("b")+p.Open("c"), 3-expired)
 			time.Sleep(time.Second)
 			synctest.Wait()
 			is.Equal(p.Open(addr), 0)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -155,7 +155,7 @@
 		return nil, errors.Wrap(err, "peer")
 	}
 	handle := func(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) (any, error) {
-		return nil, errors.New("peer: method calls by the server are not supported")
+		return nil, errors.New("peer: calls go one way")
 	}
 	stream := jsonrpc2.NewBufferedStream(raw, codec{})
 	c := jsonrpc2.NewConn(p.ctx, stream, jsonrpc2.HandlerWithError(handle), jsonrpc2.SetLogger(discardLogger{}))
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -169,6 +169,7 @@
 	}
 }
 
+// Guards against calls that wait for their timeouts on a connection that is dead but not reset.
 func TestAnUnresponsiveConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
