--- a/exchange/activity.go
+++ b/exchange/activity.go
@@ -12,16 +12,14 @@
 type activity struct {
 	mu       sync.Mutex
 	last     receipt
-	previous receipt // from another address
+	previous receipt
 }
 
-// receipt is an address and the time of its last activity.
 type receipt struct {
 	addr string
 	at   time.Time
 }
 
-// record records activity of addr at the current time.
 func (h *activity) record(addr string) {
 	now := clock.Now()
 	h.mu.Lock()
--- a/exchange/answer.go
+++ b/exchange/answer.go
@@ -26,8 +26,8 @@
 	resp           *http.Response
 	closeRequested bool // the request has Connection: close
 	reused         bool
-	complete       bool  // the body was read to its end
-	err            error // returned by further reads
+	complete       bool
+	err            error
 	closed         bool
 }
 
@@ -59,8 +59,7 @@
 }
 
 // Framed returns the Content-Length, -1 if absent, and whether the body is chunked.
-// With neither, the body ends with the connection. For HEAD it describes the omitted
-// body.
+// With neither, the body ends with the connection. For HEAD both describe the omitted body.
 func (a *Answer) Framed() (length int64, chunked bool) {
 	return a.resp.ContentLength, len(a.resp.TransferEncoding) > 0
 }
@@ -162,7 +161,7 @@
 		}
 		n, err := strconv.Atoi(strings.Trim(value, `"`))
 		if err != nil || n < 0 {
-			return 0, false // ignore an invalid timeout
+			return 0, false
 		}
 		return time.Duration(min(n, day)) * time.Second, true
 	}
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -12,10 +12,8 @@
 )
 
 const (
-	// readerSize is the size of a connection's read buffer in bytes.
 	readerSize = 4 << 10
 
-	// maxHeaderBytes is the maximum size of a response header.
 	maxHeaderBytes = 1 << 20
 
 	// maxInformational is the number of responses read in search of a final one.
@@ -40,9 +38,9 @@
 	reader     *bufio.Reader
 	headerLeft int64 // bytes of a header that may still be read
 	written    int64 // bytes of the current request accepted by the kernel
-	writeErr   error // the last write error
+	writeErr   error
 	reused     bool
-	sentHEAD   bool      // it has carried a HEAD request
+	sentHEAD   bool
 	extended   bool      // its TCP user timeout differs from the dialer's
 	expiresAt  time.Time // end of its idle time; guarded by pool.mu
 	closed     bool      // guarded by pool.mu
@@ -91,13 +89,11 @@
 	_ = c.nc.Close()
 }
 
-// setConnTimeout sets the TCP user timeout to d.
 func (c *conn) setConnTimeout(d time.Duration) {
 	setConnTimeout(c.nc, d)
 	c.extended = true
 }
 
-// resetUserTimeout restores the dialer's TCP user timeout.
 func (c *conn) resetUserTimeout() {
 	if c.extended {
 		setConnTimeout(c.nc, userTimeout)
@@ -131,7 +127,6 @@
 	return nil, Response, errTooManyInformational
 }
 
-// readHeader reads the header of one response, up to maxHeaderBytes.
 func (c *conn) readHeader(method string) (*http.Response, error) {
 	c.headerLeft = maxHeaderBytes
 	defer func() { c.headerLeft = math.MaxInt64 }()
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -36,7 +36,7 @@
 	Target string      // raw request target, sent unchanged
 	Host   string      // value of the Host field; Addr when empty
 	Header http.Header // sent as is, without a default User-Agent
-	Body   []byte      // none when empty
+	Body   []byte
 
 	// Owns reports whether a response with these header fields belongs to this request.
 	// If nil, every response does.
@@ -50,7 +50,6 @@
 	DialTimeout time.Duration // 500 ms when 0
 }
 
-// prepare sets defaults and validates the request line.
 func (r *Request) prepare() error {
 	if r.Method == "" {
 		r.Method = http.MethodGet
@@ -70,7 +69,6 @@
 	return nil
 }
 
-// wantsClose reports whether the request has Connection: close.
 func (r *Request) wantsClose() bool {
 	for _, line := range r.Header.Values("Connection") {
 		for option := range strings.SplitSeq(line, ",") {
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -39,7 +39,6 @@
 	return s
 }
 
-// arrivals counts how often each request has arrived.
 type arrivals struct {
 	mu     sync.Mutex
 	counts map[string]int
--- a/exchange/idle.go
+++ b/exchange/idle.go
@@ -9,7 +9,6 @@
 	}
 }
 
-// takeIdle removes the idle connections to addr from the idle list.
 func (p *Pool) takeIdle(addr string) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -13,7 +13,6 @@
 )
 
 const (
-	// defaultIdleLimit is the maximum number of idle connections per address.
 	defaultIdleLimit = 64
 
 	// defaultIdleTime is shorter than the idle timeout of uvicorn and Node, 5 s.
@@ -38,7 +37,6 @@
 	closed  bool
 }
 
-// addrConns contains the open connections to one address.
 type addrConns struct {
 	all  map[*conn]struct{}
 	idle []*conn // least recently used first
@@ -150,7 +148,6 @@
 	return nil
 }
 
-// conns returns the open connections to addr.
 func (p *Pool) conns(addr string) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,7 +162,6 @@
 	return list
 }
 
-// connect opens a connection for the request.
 func (p *Pool) connect(ctx context.Context, req *Request) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, req.DialTimeout)
 	defer cancel()
@@ -236,7 +232,7 @@
 	}
 	last := len(m.idle) - 1
 	c = m.idle[last]
-	m.idle[last] = nil // allow garbage collection
+	m.idle[last] = nil
 	m.idle = m.idle[:last]
 	return c, clock.Now().Before(c.expiresAt)
 }
@@ -304,7 +300,6 @@
 	p.timer.Reset(clock.Until(at))
 }
 
-// sweep closes the connections whose idle time has expired.
 func (p *Pool) sweep() {
 	for _, c := range p.expired() {
 		c.close()
--- a/exchange/send.go
+++ b/exchange/send.go
@@ -12,22 +12,18 @@
 )
 
 const (
-	// writerSize is the size of a write buffer in bytes.
 	writerSize = 4 << 10
 
-	// responseGrace is the time left to read a response after the request failed to be
-	// written in full.
+	// responseGrace is the time left to read a response after a failed write.
 	responseGrace = 500 * time.Millisecond
 )
 
-// requestWrite is the state of the write of one request.
 type requestWrite struct {
-	done         chan struct{} // closed when the write has ended
-	err          error         // the outcome; valid once done is closed
-	immediateErr error         // the outcome of a write that ended before the response is read
+	done         chan struct{}
+	err          error // the outcome; valid once done is closed
+	immediateErr error // the outcome of a write that ended before the response is read
 }
 
-// succeeded reports whether the request has been written in full.
 func (s *requestWrite) succeeded() bool {
 	select {
 	case <-s.done:
@@ -66,7 +62,6 @@
 	return s
 }
 
-// write writes the request to the connection.
 func (c *conn) write(req *Request) error {
 	w := writerPool.Get().(*requestWriter)
 	w.reset(c)
@@ -114,7 +109,6 @@
 	return out
 }
 
-// writerPool holds reusable request writers.
 var writerPool = sync.Pool{
 	New: func() any {
 		return &requestWriter{
@@ -128,10 +122,9 @@
 // which would split a long body into writes of the buffer's size.
 type requestWriter struct {
 	buf           *bufio.Writer
-	inRequestLine bool // the request line has not ended yet
+	inRequestLine bool
 }
 
-// reset prepares the writer for a request to out.
 func (w *requestWriter) reset(out io.Writer) {
 	w.buf.Reset(out)
 	w.inRequestLine = true
@@ -152,7 +145,6 @@
 	return skipped + n, err
 }
 
-// WriteString buffers s.
 func (w *requestWriter) WriteString(s string) (int, error) {
 	if w.inRequestLine {
 		return w.Write([]byte(s))
--- a/exchange/server_test.go
+++ b/exchange/server_test.go
@@ -24,7 +24,6 @@
 	n  int // number of the connection, from 0
 }
 
-// request reads a complete request.
 func (c *peer) request() (*http.Request, error) {
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
@@ -45,7 +44,6 @@
 	_ = c.Close()
 }
 
-// server runs a script on each connection and then closes it.
 type server struct {
 	addr  string
 	conns atomic.Int32
@@ -111,7 +109,6 @@
 	}
 }
 
-// respondWith sends the same response to each request.
 func respondWith(response string) func(c *peer) {
 	return func(c *peer) {
 		for {
@@ -123,7 +120,6 @@
 	}
 }
 
-// get returns a GET request to addr.
 func get(addr string) Request {
 	return Request{
 		Addr:   addr,
@@ -143,7 +139,6 @@
 	return a, string(b), err
 }
 
-// errorDetails returns the details of an *Error.
 func errorDetails(t testing.TB, err error) (sent bool, stage Stage) {
 	t.Helper()
 	var e *Error
--- a/exchange/socket.go
+++ b/exchange/socket.go
@@ -33,7 +33,6 @@
 	}
 }
 
-// setDefaultUserTimeout sets the TCP user timeout of a socket before it connects.
 func setDefaultUserTimeout(_, _ string, raw syscall.RawConn) error {
 	if runtime.GOOS != "linux" {
 		return nil
@@ -47,7 +46,6 @@
 	_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 }
 
-// setConnTimeout sets the TCP user timeout of an established connection.
 func setConnTimeout(nc net.Conn, d time.Duration) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok || runtime.GOOS != "linux" {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -117,7 +117,6 @@
 
 var _ jsonrpc2.Logger = discardLogger{}
 
-// Printf discards its arguments.
 func (discardLogger) Printf(string, ...any) {}
 
 // Dial opens a connection to an address.
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -18,13 +18,11 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// countingConn counts the bytes written to a connection.
 type countingConn struct {
 	net.Conn
 	n *atomic.Int64
 }
 
-// Write implements net.Conn.
 func (c countingConn) Write(p []byte) (int, error) {
 	c.n.Add(int64(len(p)))
 	return c.Conn.Write(p)
@@ -105,7 +103,6 @@
 	left int
 }
 
-// Accept implements net.Listener.
 func (l *failingListener) Accept() (net.Conn, error) {
 	if l.left > 0 {
 		l.left--
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -14,12 +14,12 @@
 
 // Reasons for a rejection.
 const (
-	Leaving Reason = "leaving" // it is draining and accepts no new requests
-	Out     Reason = "out"     // it is ejected after consecutive failures
-	Tried   Reason = "tried"   // an earlier attempt of this request used it
-	Full    Reason = "full"    // its running and waiting requests reach its limit
-	Late    Reason = "late"    // the expected time to first token exceeds the request's bound
-	Slower  Reason = "slower"  // another has a lower cost
+	Leaving Reason = "leaving"
+	Out     Reason = "out"    // it is ejected after consecutive failures
+	Tried   Reason = "tried"  // an earlier attempt of this request used it
+	Full    Reason = "full"   // its running and waiting requests reach its limit
+	Late    Reason = "late"   // the expected time to first token exceeds the request's bound
+	Slower  Reason = "slower" // another has a lower cost
 )
 
 // Replica is the recorded state of a candidate.
@@ -45,7 +45,7 @@
 	Queue    float64       // maximum of waiting requests at a replica, as a share of its slots
 }
 
-// Rejected is a replica that was not chosen, and the reason.
+// Rejected is a replica that was not chosen.
 type Rejected struct {
 	Name   string `json:"name"`
 	Reason Reason `json:"reason"`
@@ -56,7 +56,7 @@
 type Choice struct {
 	Name     string        `json:"name"`
 	Warm     bool          `json:"warm"`
-	Expect   time.Duration `json:"expect_ns"` // expected time to the first token
+	Expect   time.Duration `json:"expect_ns"` // time to first token
 	Usual    time.Duration `json:"usual_ns"`  // the same without the factor Slow
 	Wait     time.Duration `json:"wait_ns"`
 	Rejected []Rejected    `json:"rejected,omitempty"`
@@ -114,7 +114,6 @@
 	return d.choice
 }
 
-// evaluateTopRanked evaluates the replicas with the highest rendezvous scores for key.
 func (d *decision) evaluateTopRanked(key string, preferFirst bool, replicas []Replica) {
 	if key == "" {
 		return
@@ -133,12 +132,12 @@
 
 type decision struct {
 	req       Request
-	evaluated []bool        // by index of the replica
+	evaluated []bool
 	hold      time.Duration // mean of the known values of Replica.Hold
 	best      int
 	cost      time.Duration
 	occupancy float64       // load over slots of the best replica
-	minWait   time.Duration // minimum expected wait among the rejected replicas
+	minWait   time.Duration // among the rejected replicas
 	explain   bool
 	choice    Choice
 }
@@ -232,7 +231,6 @@
 
 func occupancy(r *Replica) float64 { return float64(r.Load) / float64(max(r.Slots, 1)) }
 
-// prefill returns the expected prefill time at r.
 func (d *decision) prefill(r *Replica) time.Duration {
 	if r.Warm {
 		return time.Duration(cachedPrefillShare * float64(d.req.Prefill))
