--- a/exchange/activity.go
+++ b/exchange/activity.go
@@ -12,7 +12,7 @@
 type activity struct {
 	mu       sync.Mutex
 	last     receipt
-	previous receipt
+	previous receipt // from another address than last
 }
 
 type receipt struct {
