--- a/exchange/server_test.go
+++ b/exchange/server_test.go
@@ -15,16 +15,15 @@
 	_ "github.com/havenrudder/havenrudder/internal/fixed"
 )
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// peer is the server's end of one connection.
+// peer is the server's end of a connection.
 type peer struct {
 	net.Conn
 	in *bufio.Reader
-	n  int // which connection of the server it is, from 0
+	n  int // number of the connection, from 0
 }
 
-// request reads a whole request.
 func (c *peer) request() (*http.Request, error) {
 	r, err := http.ReadRequest(c.in)
 	if err != nil {
@@ -34,18 +33,17 @@
 	return r, err
 }
 
-// say writes s.
-func (c *peer) say(s string) {
-	_, _ = io.WriteString(c, s) // the client may have closed; it tells the verdict
+// send writes s, and ignores errors since the client may have closed the connection.
+func (c *peer) send(s string) {
+	_, _ = io.WriteString(c, s)
 }
 
-// reset closes the connection in such a way that the client is told of a reset.
+// reset closes the connection with a TCP reset.
 func (c *peer) reset() {
 	_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// server runs a script on each connection and closes it afterwards.
 type server struct {
 	addr  string
 	conns atomic.Int32
@@ -85,15 +83,15 @@
 	return s
 }
 
-// newTestPool returns a pool that is closed before the test's servers are.
+// newTestPool returns a pool that is closed before the servers of the test.
 func newTestPool(t testing.TB, opts ...Option) *Pool {
 	p := NewPool(opts...)
 	t.Cleanup(p.Close)
 	return p
 }
 
-// piped returns a dial function whose connections are pipes to the script.
-func piped(script func(c *peer)) func(context.Context, string, string) (net.Conn, error) {
+// dialPipe returns a dial function that connects to the script by in-memory pipes.
+func dialPipe(script func(c *peer)) func(context.Context, string, string) (net.Conn, error) {
 	n := 0
 	return func(context.Context, string, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
@@ -111,19 +109,17 @@
 	}
 }
 
-// always answers each request with the same bytes.
-func always(answer string) func(c *peer) {
+func respondWith(response string) func(c *peer) {
 	return func(c *peer) {
 		for {
 			if _, err := c.request(); err != nil {
 				return
 			}
-			c.say(answer)
+			c.send(response)
 		}
 	}
 }
 
-// get returns a plain request to addr.
 func get(addr string) Request {
 	return Request{
 		Addr:   addr,
@@ -132,7 +128,7 @@
 	}
 }
 
-// fetch carries the request and reads its answer to the end.
+// fetch sends the request and reads the response body.
 func fetch(p *Pool, req Request) (a *Answer, body string, err error) {
 	a, err = p.Do(context.Background(), req)
 	if err != nil {
@@ -143,8 +139,7 @@
 	return a, string(b), err
 }
 
-// sentAt returns what a failure says of itself.
-func sentAt(t testing.TB, err error) (sent bool, stage Stage) {
+func errorDetails(t testing.TB, err error) (sent bool, stage Stage) {
 	t.Helper()
 	var e *Error
 	if !errors.As(err, &e) {
@@ -153,9 +148,8 @@
 	return e.Sent(), e.Stage()
 }
 
-// awaitNews waits until the only resting connection to addr has bytes or its end to
-// read.
-func awaitNews(t testing.TB, p *Pool, addr string) {
+// awaitUnread waits until the only idle connection to addr has unread bytes or is closed.
+func awaitUnread(t testing.TB, p *Pool, addr string) {
 	t.Helper()
 	p.mu.Lock()
 	nc := p.addrs[addr].idle[0].nc
