--- a/poison/content.go
+++ b/poison/content.go
@@ -1,6 +1,6 @@
-// Package poison keeps apart requests that end the replicas which run them (poison
-// messages, queries of death). Such a request comes again under other ids, at any box,
-// so that boxes tell each other of it by what it asks.
+// Package poison detects and quarantines requests that crash the replicas which run them
+// (poison messages, queries of death). Retries of such a request arrive under other IDs at any
+// box, so boxes identify it by a digest of its content and gossip its record.
 package poison
 
 import (
@@ -11,28 +11,27 @@
 	"io"
 )
 
-// digestBytes are enough that nobody finds a request with the digest of another's.
+// digestBytes is long enough to make a second preimage infeasible.
 const digestBytes = 16
 
-// Digest stands for all requests of the same content. It tells nothing of the content
-// but to who has it.
+// Digest identifies all requests of the same content without revealing the content.
 type Digest [digestBytes]byte
 
-// String returns the digest as the log and the dump show it.
+// String returns the digest in hexadecimal, as in the log and the dump.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Content is what two requests have in common that are the same to a replica. It belongs
-// to one goroutine.
+// Content is the part of a request that determines what a replica runs. It is not safe for
+// concurrent use.
 type Content struct {
 	Method string
 	Host   string
 	Target string // path and query
-	Caller string // credentials of the caller, so that nobody has another's requests turned away; empty for none
+	Caller string // credentials, so that no caller can quarantine the requests of another; empty for none
 	Body   []byte
-	digest *Digest // nil until it is asked for
+	digest *Digest // nil until computed
 }
 
-// Digest returns the digest of the content.
+// Digest returns the digest of the content and caches it.
 func (c *Content) Digest() Digest {
 	if c.digest != nil {
 		return *c.digest
@@ -45,16 +44,16 @@
 	return d
 }
 
-// Digested says whether the digest was asked for.
+// Digested reports whether the digest has been computed.
 func (c *Content) Digested() bool { return c.digest != nil }
 
-// writeTo writes the content to a hash, each field behind its length, so that no two
-// contents are written alike.
+// writeTo writes the content to a hash. Each field but the last is prefixed with its length,
+// so that different contents have different encodings.
 func (c *Content) writeTo(h hash.Hash) {
 	var size [binary.MaxVarintLen64]byte
 	for _, field := range []string{c.Method, c.Host, c.Target, c.Caller} {
 		n := binary.PutUvarint(size[:], uint64(len(field)))
-		_, _ = h.Write(size[:n]) // a hash takes everything
+		_, _ = h.Write(size[:n]) // a hash never returns an error
 		_, _ = io.WriteString(h, field)
 	}
 	_, _ = h.Write(c.Body)
--- a/poison/datagram.go
+++ b/poison/datagram.go
@@ -7,70 +7,70 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mark is the first byte of a datagram of this package.
+// Mark is the first byte of each datagram of this package.
 const Mark = 4
 
 const (
-	datagramBytes = 1200 // below the usual path MTU (RFC 9000, section 14)
-	headBytes     = 1 + 1
-	sumsBytes     = 2 + parts*sumBytes
-	sumBytes      = 4
-	endBytes      = 8 + binary.MaxVarintLen32
-	recordBytes   = digestBytes + 2 + binary.MaxVarintLen32 // without its ends
-	oldest        = 24 * time.Hour                          // age that is told of what is older
+	datagramBytes  = 1200 // below the common path MTU (RFC 9000, section 14)
+	headerBytes    = 1 + 1
+	checksumsBytes = 2 + partitions*checksumBytes
+	checksumBytes  = 4
+	crashBytes     = 8 + binary.MaxVarintLen32
+	recordBytes    = digestBytes + 2 + binary.MaxVarintLen32 // without its crashes
+	maxAge         = 24 * time.Hour                          // older ages are sent as this
 )
 
-// Bits of the byte after the mark.
+// Bits of the flags byte that follows the mark.
 const (
-	bitCompare = 1 << iota // the sender asks for what the other knows, where the sums differ
-	bitAnswer              // answers such a question
+	bitCompare = 1 << iota // the sender requests the records whose checksums differ
+	bitReply               // a reply to such a request
 )
 
-// The word of a run on trial is told by the two bits above them.
+// The two bits above hold the trial message.
 const (
-	shiftWord = 2
-	maskWord  = 1<<2 - 1
+	shiftTrial = 2
+	maskTrial  = 1<<2 - 1
 )
 
-// Bits of the byte that tells the ends of a record.
+// Bits of the head byte of a record; the lowest hold its number of crashes.
 const (
-	bitAnswered = 1 << 7
-	bitOpen     = 1 << 6
-	bitAlone    = 1 << 5 // behind the ends a byte tells which were on trial, the first by its lowest bit
-	maskEnds    = 1<<4 - 1
+	bitSurvived  = 1 << 7
+	bitPublished = 1 << 6
+	bitTrials    = 1 << 5 // a byte after the crashes marks those on trial, the first in its lowest bit
+	maskCrashes  = 1<<4 - 1
 )
 
-// ErrDatagram is the reason to drop a datagram that no box sends.
+// ErrDatagram reports a malformed datagram.
 var ErrDatagram = errors.New("datagram of poison requests can't be read")
 
-// Datagram is what a box tells another of requests under which replicas ended.
+// Datagram is a gossip message on requests under which replicas crashed.
 type Datagram struct {
-	Compare bool   // asks for the records that all boxes are to know, where the sums differ
-	Answer  bool   // such records, for sums that differed
-	Sums    Sums   // of the sender's records, where it asks or answers
-	Word    word   // of a run on trial
-	Trial   Digest // of the request that the word is of
+	Compare bool         // requests the published records whose checksums differ
+	Answer  bool         // replies to such a request
+	Sums    Sums         // of the sender's records, with Compare or Answer
+	Word    trialMessage // on a run on trial
+	Trial   Digest       // the request on trial
 	Records []Record
 }
 
-// IsDatagram says whether a datagram is one of this package.
+// IsDatagram reports whether a datagram belongs to this package.
 func IsDatagram(buf []byte) bool { return len(buf) > 0 && buf[0] == Mark }
 
-// Encode returns the datagram as it is sent at now.
+// Encode returns the encoded datagram, with ages relative to now.
 func (d *Datagram) Encode(now time.Duration) []byte {
 	var flags byte
 	if d.Compare {
 		flags |= bitCompare
 	}
 	if d.Answer {
-		flags |= bitAnswer
+		flags |= bitReply
 	}
-	flags |= byte(d.Word) << shiftWord
+	flags |= byte(d.Word) << shiftTrial
 	out := append(make([]byte, 0, datagramBytes), Mark, flags)
 	if d.Compare || d.Answer {
 		out = d.Sums.append(out)
 	}
-	if d.Word != noWord {
+	if d.Word != noTrialMessage {
 		out = append(out, d.Trial[:]...)
 	}
 	for i := range d.Records {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// append writes the sums behind out: which of them aren't zero, and these.
+// append appends a mask of the checksums that aren't zero, and these.
 func (s *Sums) append(out []byte) []byte {
 	var mask uint16
 	for i, n := range s {
@@ -96,19 +96,19 @@
 	return out
 }
 
-// append writes the record behind out.
+// append appends the encoded record.
 func (r *Record) append(out []byte, now time.Duration) []byte {
 	out = append(out, r.Digest[:]...)
 	head := byte(len(r.Ends))
 	if r.Answered != never {
-		head |= bitAnswered
+		head |= bitSurvived
 	}
-	if r.open {
-		head |= bitOpen
+	if r.published {
+		head |= bitPublished
 	}
-	alone := r.alone()
+	alone := r.trialBits()
 	if alone != 0 {
-		head |= bitAlone
+		head |= bitTrials
 	}
 	out = append(out, head)
 	if r.Answered != never {
@@ -124,8 +124,8 @@
 	return out
 }
 
-// alone returns the bits of the ends that were on trial.
-func (r *Record) alone() (bits byte) {
+// trialBits returns a mask of the crashes that were on trial.
+func (r *Record) trialBits() (bits byte) {
 	for i, e := range r.Ends {
 		if e.Alone {
 			bits |= 1 << i
@@ -134,28 +134,28 @@
 	return bits
 }
 
-// appendAge writes an age in milliseconds.
+// appendAge appends an age in milliseconds, limited to maxAge.
 func appendAge(out []byte, age time.Duration) []byte {
-	age = min(max(age, 0), oldest)
+	age = min(max(age, 0), maxAge)
 	return binary.AppendUvarint(out, uint64(age.Milliseconds()))
 }
 
-// Decode reads a datagram that came at now.
+// Decode decodes a datagram received at now.
 func Decode(buf []byte, now time.Duration) (Datagram, error) {
 	var d Datagram
-	if !IsDatagram(buf) || len(buf) < headBytes || len(buf) > datagramBytes {
+	if !IsDatagram(buf) || len(buf) < headerBytes || len(buf) > datagramBytes {
 		return d, ErrDatagram
 	}
 	d.Compare = buf[1]&bitCompare != 0
-	d.Answer = buf[1]&bitAnswer != 0
+	d.Answer = buf[1]&bitReply != 0
 	in := reader{
-		rest: buf[headBytes:],
+		rest: buf[headerBytes:],
 		now:  now,
 	}
 	if d.Compare || d.Answer {
-		d.Sums = in.sums()
+		d.Sums = in.checksums()
 	}
-	if d.Word = word(buf[1] >> shiftWord & maskWord); d.Word != noWord {
+	if d.Word = trialMessage(buf[1] >> shiftTrial & maskTrial); d.Word != noTrialMessage {
 		copy(d.Trial[:], in.bytes(digestBytes))
 	}
 	for len(in.rest) > 0 && !in.failed {
@@ -167,39 +167,37 @@
 	return d, nil
 }
 
-// reader reads records.
+// reader decodes the parts of a datagram; failed is set on the first error.
 type reader struct {
 	rest   []byte
 	now    time.Duration
 	failed bool
 }
 
-// sums reads sums.
-func (in *reader) sums() Sums {
+func (in *reader) checksums() Sums {
 	var out Sums
 	mask := binary.LittleEndian.Uint16(in.bytes(2))
 	for i := range out {
 		if mask&(1<<i) != 0 {
-			out[i] = binary.LittleEndian.Uint32(in.bytes(sumBytes))
+			out[i] = binary.LittleEndian.Uint32(in.bytes(checksumBytes))
 		}
 	}
 	return out
 }
 
-// record reads a record.
 func (in *reader) record() Record {
 	r := Record{
 		Answered: never,
 	}
 	copy(r.Digest[:], in.bytes(digestBytes))
 	head := in.bytes(1)[0]
-	r.open = head&bitOpen != 0
-	n := int(head & maskEnds)
-	if n > maxEnds {
+	r.published = head&bitPublished != 0
+	n := int(head & maskCrashes)
+	if n > maxCrashes {
 		in.failed = true
 		return r
 	}
-	if head&bitAnswered != 0 {
+	if head&bitSurvived != 0 {
 		r.Answered = in.now - in.age()
 	}
 	for range n {
@@ -209,20 +207,20 @@
 			At:    in.now - in.age(),
 		})
 	}
-	if head&bitAlone != 0 {
-		r.takeAlone(in.bytes(1)[0])
+	if head&bitTrials != 0 {
+		r.setTrialBits(in.bytes(1)[0])
 	}
 	return r
 }
 
-// takeAlone takes the bits of the ends that were on trial.
-func (r *Record) takeAlone(bits byte) {
+// setTrialBits marks the crashes that were on trial.
+func (r *Record) setTrialBits(bits byte) {
 	for i := range r.Ends {
 		r.Ends[i].Alone = bits&(1<<i) != 0
 	}
 }
 
-// bytes reads n bytes, zeros where there are too few.
+// bytes reads n bytes, and returns zeros if fewer are left.
 func (in *reader) bytes(n int) []byte {
 	if len(in.rest) < n {
 		in.failed = true
@@ -234,10 +232,9 @@
 	return out
 }
 
-// age reads an age.
 func (in *reader) age() time.Duration {
 	ms, n := binary.Uvarint(in.rest)
-	if n <= 0 || ms > uint64(oldest.Milliseconds()) {
+	if n <= 0 || ms > uint64(maxAge.Milliseconds()) {
 		in.failed = true
 		return 0
 	}
@@ -245,17 +242,17 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// size returns the most bytes that the record takes.
-func (r *Record) size() int { return recordBytes + len(r.Ends)*endBytes }
+// size returns the maximum encoded size of the record.
+func (r *Record) size() int { return recordBytes + len(r.Ends)*crashBytes }
 
-// pack puts records into as many datagrams as they need.
+// pack splits records into the contents of single datagrams.
 func pack(records []Record) [][]Record {
 	var out [][]Record
 	left := 0
 	for _, r := range records {
 		if r.size() > left {
 			out = append(out, nil)
-			left = datagramBytes - headBytes - sumsBytes
+			left = datagramBytes - headerBytes - checksumsBytes
 		}
 		left -= r.size()
 		out[len(out)-1] = append(out[len(out)-1], r)
--- a/poison/group.go
+++ b/poison/group.go
@@ -2,13 +2,13 @@
 
 import "github.com/havenrudder/havenrudder/common/rendezvous"
 
-const owners = 3 // boxes that add the ends of a request up; two of them may be lost
+const owners = 3 // boxes that count the crashes of a request; tolerates the loss of two
 
-// group is the boxes that are alive at one moment.
+// group is a snapshot of the boxes that are alive.
 type group struct {
 	self   string
 	others []Box
-	names  []string // of all, this one too
+	names  []string // of all boxes, including self
 	byName map[string]Box
 }
 
@@ -26,8 +26,8 @@
 	return g
 }
 
-// ownersOf returns the other boxes that own a request, and this one's rank among the owners;
-// theirs number where it is none.
+// ownersOf returns the other boxes that own a request, and the rank of this box among the
+// owners, or their number if it isn't one.
 func (g *group) ownersOf(d Digest) (rank int, others []Box) {
 	rank = owners
 	for i, name := range rendezvous.Top(string(d[:]), g.names, owners) {
--- a/poison/beside_test.go
+++ b/poison/innocent_test.go
@@ -23,46 +23,46 @@
 	Target: "/innocent",
 }
 
-// cutBoth has a replica end under the guilty request and an innocent one at a box.
-func (b *boxes) cutBoth(name, replica string) {
-	b.now += 2 * together
+// crashUnderBoth has a replica end under the guilty request and an innocent one at a box.
+func (b *cluster) crashUnderBoth(name, replica string) {
+	b.now += 2 * jointCrashWindow
 	w := b.watches[name]
-	w.Cut(replica, deadly.Digest(), sentBefore, b.now)
+	w.Cut(replica, poisonous.Digest(), sentBefore, b.now)
 	w.Cut(replica, innocent.Digest(), sentBefore, b.now)
 	w.Ended(replica, b.now)
-	b.tell(name)
+	b.sendDue(name)
 }
 
 func TestOfTwoRequestsWithTheSameEndsTheInnocentOneIsNotQuarantined(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	for i := range endsToQuarantine {
-		b.cutBoth(fmt.Sprint("box-", i), fmt.Sprint("replica-", i))
+	b := newCluster(t, 9)
+	for i := range quarantineThreshold {
+		b.crashUnderBoth(fmt.Sprint("box-", i), fmt.Sprint("replica-", i))
 	}
 	b.run(time.Second)
-	is.Equal(b.quarantine(innocent.Digest()), 0)
+	is.Equal(b.countQuarantined(innocent.Digest()), 0)
 	is.True(b.watches["box-5"].Clear(innocent.Digest(), b.now)) // one run alone tells
-	b.tell("box-5")
+	b.sendDue("box-5")
 	b.run(time.Second)
-	is.Equal(b.quarantine(innocent.Digest()), 0)
-	is.Equal(b.quarantine(deadly.Digest()), 9) // nothing else explains the ends
+	is.Equal(b.countQuarantined(innocent.Digest()), 0)
+	is.Equal(b.countQuarantined(poisonous.Digest()), 9) // nothing else explains the ends
 }
 
 func TestARequestWhoseAnswerCameBeforeTheEndWasKnownIsCleared(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 3)
+	b := newCluster(t, 3)
 	w := b.watches["box-0"]
 	w.Cut("replica-0", innocent.Digest(), sentBefore, b.now)
 	b.now += 43 * time.Millisecond
 	is.True(w.Clear(innocent.Digest(), b.now)) // answered by the next replica
-	b.tell("box-0")
+	b.sendDue("box-0")
 	b.now += 9 * time.Millisecond
 	is.Equal(w.Ended("replica-0", b.now), 0)
-	b.tell("box-0")
+	b.sendDue("box-0")
 	b.now += 200 * time.Millisecond
-	b.end("box-1", "replica-1", innocent.Digest())
-	b.end("box-1", "replica-2", innocent.Digest())
-	b.end("box-2", "replica-3", innocent.Digest())
+	b.crash("box-1", "replica-1", innocent.Digest())
+	b.crash("box-1", "replica-2", innocent.Digest())
+	b.crash("box-2", "replica-3", innocent.Digest())
 	b.run(time.Second)
-	is.Equal(b.quarantine(innocent.Digest()), 0)
+	is.Equal(b.countQuarantined(innocent.Digest()), 0)
 }
--- /dev/null
+++ b/poison/interruptions.go
@@ -0,0 +1,176 @@
+package poison
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+const (
+	interruptionTTL  = 10 * time.Second // exceeds the time in which the entry of a crashed replica expires
+	maxInterruptions = 256              // per incarnation
+	maxLoggedDigests = 8                // per incarnation and log line
+	maxIncarnations  = 4096             // with interrupted requests
+
+	jointCrashWindow = 10 * time.Millisecond // between the first interruptions of replicas that crash for one cause; more would join the crashes of several poison requests
+	minJointCrashes  = 3                     // replicas that crash together, such as in one rack; their cause is a request that several of them ran, or none
+)
+
+// Settles is the delay before a crash is counted, in which joint crashes become known.
+const Settles = 50 * time.Millisecond
+
+// interruption holds the requests to which an incarnation gave no complete response.
+type interruption struct {
+	digests map[Digest]bool // true for a request on trial
+	first   time.Duration   // time of the first interruption
+	last    time.Duration   // time of the latest interruption
+	crashed bool            // the incarnation is known to have crashed
+	joint   bool            // several replicas crashed together
+}
+
+// Cuts holds requests without a complete response until it is known whether their replica has
+// crashed. A replica that survives may have interrupted a single response, which is not held
+// against the request.
+type Cuts struct {
+	incarnations map[string]*interruption
+}
+
+// NewCuts returns an empty Cuts.
+func NewCuts() *Cuts {
+	return &Cuts{
+		incarnations: make(map[string]*interruption),
+	}
+}
+
+// Add records that an incarnation gave no complete response to a request, and reports whether
+// the incarnation is known to have crashed and the request may be the cause; alone marks a run
+// on trial. A request sent just after the first interruption can't be the cause, as the
+// process was gone by then.
+func (c *Cuts) Add(start string, d Digest, alone bool, sent, now time.Duration) (ended bool) {
+	k := c.incarnations[start]
+	if k != nil && sent >= k.first && (k.crashed || sent-k.first < dialInterval) {
+		return false
+	}
+	if k == nil {
+		if len(c.incarnations) >= maxIncarnations {
+			return false
+		}
+		k = &interruption{
+			digests: make(map[Digest]bool),
+			first:   now,
+		}
+		c.incarnations[start] = k
+	}
+	if len(k.digests) < maxInterruptions {
+		k.digests[d] = alone
+	}
+	k.last = now
+	return k.crashed && c.mayCause(k, d)
+}
+
+// Clear removes a request that a replica has survived from all incarnations not known to have
+// crashed, and reports whether it was present. Otherwise the response would precede the crash
+// that it clears, and clear nothing.
+func (c *Cuts) Clear(d Digest) (found bool) {
+	for _, k := range c.incarnations {
+		if _, ok := k.digests[d]; ok && !k.crashed {
+			delete(k.digests, d)
+			found = true
+		}
+	}
+	return found
+}
+
+// CutBy returns up to maxLoggedDigests requests that an incarnation interrupted.
+func (c *Cuts) CutBy(start string) []Digest {
+	k := c.incarnations[start]
+	if k == nil {
+		return nil
+	}
+	list := slices.SortedFunc(maps.Keys(k.digests), func(a, b Digest) int { return slices.Compare(a[:], b[:]) })
+	return list[:min(len(list), maxLoggedDigests)]
+}
+
+// Ending is a crash with a request that may be its cause.
+type Ending struct {
+	Digest Digest
+	End    End
+}
+
+// Ended records that an incarnation has crashed, and returns the crash for each request that may
+// be the cause. A crash has the time of its interruption, so that a later response clears it.
+func (c *Cuts) Ended(start string) []Ending {
+	k := c.incarnations[start]
+	if k == nil || k.crashed {
+		return nil
+	}
+	k.crashed = true
+	k.joint = len(c.concurrentWith(k)) >= minJointCrashes
+	out := make([]Ending, 0, len(k.digests))
+	for d, alone := range k.digests {
+		if !c.mayCause(k, d) {
+			continue
+		}
+		out = append(out, Ending{
+			Digest: d,
+			End: End{
+				Start: StartOf(start),
+				At:    k.last,
+				Alone: alone,
+			},
+		})
+	}
+	return out
+}
+
+// mayCause reports whether a request may be the cause of a crash. Of a joint crash, only a
+// request that several of the replicas ran may be.
+func (c *Cuts) mayCause(k *interruption, d Digest) bool {
+	if !k.joint {
+		return true
+	}
+	n := 0
+	for _, other := range c.concurrentWith(k) {
+		if _, ok := other.digests[d]; ok {
+			n++
+		}
+	}
+	return n > 1
+}
+
+// concurrentWith returns the interruptions that began together with k, including k.
+func (c *Cuts) concurrentWith(k *interruption) (out []*interruption) {
+	for _, other := range c.incarnations {
+		if (other.first - k.first).Abs() <= jointCrashWindow {
+			out = append(out, other)
+		}
+	}
+	return out
+}
+
+// Lives records that an incarnation gave a complete response to a request sent at a time.
+func (c *Cuts) Lives(start string, sent time.Duration) {
+	if k := c.incarnations[start]; k != nil && !k.crashed && sent > k.last {
+		delete(c.incarnations, start)
+	}
+}
+
+// Open returns the incarnations that are not known to have crashed.
+func (c *Cuts) Open() []string {
+	var out []string
+	for start, k := range c.incarnations {
+		if !k.crashed {
+			out = append(out, start)
+		}
+	}
+	return out
+}
+
+// Forget drops expired interruptions.
+func (c *Cuts) Forget(now time.Duration) {
+	for start, k := range c.incarnations {
+		if now-k.last > interruptionTTL {
+			delete(c.incarnations, start)
+		}
+	}
+}
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -7,24 +7,22 @@
 )
 
 const (
-	parts       = 16   // of all digests: of 100 records of which one differs some six are told
-	maxRecords  = 8192 // of a ledger, some 1.5 MB
-	recordsLeft = maxRecords * 3 / 4
+	partitions           = 16   // of the digest space
+	maxRecords           = 8192 // per ledger
+	recordsAfterEviction = maxRecords * 3 / 4
 )
 
-// Sums stand for the records that all boxes are to know, each for those of a part of the
-// digests. Boxes with the same sums know the same; else they tell each other only the parts
-// that differ.
-type Sums [parts]uint32
+// Sums are the checksums of the published records, one per partition of the digests. Boxes
+// exchange only the partitions whose checksums differ.
+type Sums [partitions]uint32
 
-// partOf returns the part to which a digest belongs.
-func partOf(d Digest) int { return int(d[0]) % parts }
+// partitionOf returns the partition of a digest.
+func partitionOf(d Digest) int { return int(d[0]) % partitions }
 
-// Ledger is what a box knows of requests under which replicas ended. It belongs to one
-// actor.
+// Ledger holds the records of requests under which replicas crashed. It belongs to one actor.
 type Ledger struct {
-	records map[Digest]*Record
-	weighed *weighed // nil after a change
+	records    map[Digest]*Record
+	assessment *assessment // cached; nil after a change
 }
 
 // NewLedger returns an empty ledger.
@@ -34,13 +32,13 @@
 	}
 }
 
-// Len returns how many requests are known.
+// Len returns the number of recorded requests.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Get returns what is known of a request, nil for nothing.
+// Get returns the record of a request, or nil.
 func (l *Ledger) Get(d Digest) *Record { return l.records[d] }
 
-// All returns all records, in no order.
+// All returns all records in no particular order.
 func (l *Ledger) All() []*Record {
 	out := make([]*Record, 0, len(l.records))
 	for _, r := range l.records {
@@ -49,39 +47,38 @@
 	return out
 }
 
-// Open returns the records that all boxes are to know, in no order.
+// Open returns the published records in no particular order.
 func (l *Ledger) Open() []*Record {
 	var out []*Record
 	for _, r := range l.records {
-		if r.open {
+		if r.published {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// Sums returns what stands for the records that all boxes are to know.
+// Sums returns the checksums of the published records.
 func (l *Ledger) Sums() Sums {
 	var out Sums
 	for _, r := range l.records {
-		if r.open {
-			out[partOf(r.Digest)] ^= r.sum()
+		if r.published {
+			out[partitionOf(r.Digest)] ^= r.checksum()
 		}
 	}
 	return out
 }
 
-// AddEnd notes that a start of a replica ended under a request, and returns whether that
-// was new.
+// AddEnd records that an incarnation crashed under a request, and reports whether that is new.
 func (l *Ledger) AddEnd(d Digest, s Start, at time.Duration) bool {
-	return l.addEnd(d, End{
+	return l.addCrash(d, End{
 		Start: s,
 		At:    at,
 	})
 }
 
-// addEnd is AddEnd, also for ends of runs on trial.
-func (l *Ledger) addEnd(d Digest, e End) bool {
+// addCrash is AddEnd for any crash, including those of runs on trial.
+func (l *Ledger) addCrash(d Digest, e End) bool {
 	return l.Take(Record{
 		Digest:   d,
 		Ends:     []End{e},
@@ -89,9 +86,9 @@
 	}, e.At)
 }
 
-// Clear notes that a replica survived a request that is known, and returns
-// whether that changed anything. Requests that end their replicas are never answered, and
-// a popular one is under way wherever a replica ends for other reasons.
+// Clear records that a replica survived a request with recorded crashes, and reports whether
+// the record changed. Poison requests never complete, while a popular request is under way
+// wherever a replica crashes for other reasons.
 func (l *Ledger) Clear(d Digest, at time.Duration) bool {
 	r := l.records[d]
 	if r == nil || len(r.Ends) == 0 {
@@ -100,8 +97,8 @@
 	return l.Answer(d, at)
 }
 
-// Answer notes that a replica survived a request, also of one that isn't known, and returns
-// whether that changed anything.
+// Answer records that a replica survived a request, whether it has a record or not, and reports
+// whether the record changed.
 func (l *Ledger) Answer(d Digest, at time.Duration) bool {
 	return l.Take(Record{
 		Digest:   d,
@@ -109,15 +106,14 @@
 	}, at)
 }
 
-// Take takes in what another box knows of a request, and returns whether there was news in
-// it.
+// Take merges a record from another box, and reports whether the crashes changed.
 func (l *Ledger) Take(in Record, now time.Duration) bool {
-	if in.isOver(now) {
+	if in.isExpired(now) {
 		return false
 	}
 	r := l.records[in.Digest]
 	if r == nil {
-		l.makeRoom(now)
+		l.evict(now)
 		r = &Record{
 			Digest:   in.Digest,
 			Answered: never,
@@ -126,36 +122,35 @@
 	}
 	news := r.merge(in)
 	if news {
-		l.weighed = nil
+		l.assessment = nil
 	}
-	r.open = r.open || in.open || len(r.Ends) >= endsToTell
+	r.published = r.published || in.published || len(r.Ends) >= publishThreshold
 	return news
 }
 
-// Forget drops the records that say nothing any more.
+// Forget drops expired records.
 func (l *Ledger) Forget(now time.Duration) {
 	for d, r := range l.records {
-		if r.isOver(now) {
+		if r.isExpired(now) {
 			delete(l.records, d)
-			l.weighed = nil
+			l.assessment = nil
 		}
 	}
 }
 
-// makeRoom drops records when there are too many: those with the fewest ends first, of
-// which the oldest, so that a flood of requests that were cut once pushes out none that
-// is quarantined.
-func (l *Ledger) makeRoom(now time.Duration) {
+// evict drops records when the ledger is full: those with the fewest crashes first, the oldest
+// before others, so that a flood of requests interrupted once evicts no quarantined request.
+func (l *Ledger) evict(now time.Duration) {
 	if len(l.records) < maxRecords {
 		return
 	}
 	l.Forget(now)
 	all := l.All()
 	slices.SortFunc(all, func(a, b *Record) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(b.last(), a.last()))
+		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(b.lastChange(), a.lastChange()))
 	})
-	l.weighed = nil
-	for _, r := range all[min(len(all), recordsLeft):] {
+	l.assessment = nil
+	for _, r := range all[min(len(all), recordsAfterEviction):] {
 		delete(l.records, r.Digest)
 	}
 }
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -11,16 +11,16 @@
 func TestAQuarantineLastsTwiceAsLongAfterEachFurtherEnd(t *testing.T) {
 	is := is.New(t)
 	for n, want := range map[int]time.Duration{
-		endsToQuarantine - 1: 0,
-		endsToQuarantine:     quarantinedFor,
-		endsToQuarantine + 1: 2 * quarantinedFor,
-		maxEnds:              quarantinedFor << (maxEnds - endsToQuarantine),
+		quarantineThreshold - 1: 0,
+		quarantineThreshold:     quarantineTTL,
+		quarantineThreshold + 1: 2 * quarantineTTL,
+		maxCrashes:              quarantineTTL << (maxCrashes - quarantineThreshold),
 	} {
-		r := endsUnder(deadly.Digest(), n, start)
-		left, quarantined := r.Quarantined(start)
+		r := recordOfCrashes(poisonous.Digest(), n, testStart)
+		left, quarantined := r.Quarantined(testStart)
 		is.Equal(left, want)
 		is.Equal(quarantined, want > 0)
-		_, quarantined = r.Quarantined(start + want)
+		_, quarantined = r.Quarantined(testStart + want)
 		is.True(!quarantined)
 	}
 }
@@ -28,50 +28,50 @@
 func TestAfterAQuarantineASingleEndIsEnoughForAnother(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
-	l.Take(endsUnder(deadly.Digest(), endsToQuarantine, start), start)
-	now := start + quarantinedFor + time.Second
+	l.Take(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
+	now := testStart + quarantineTTL + time.Second
 	l.Forget(now)
-	_, quarantined := l.Get(deadly.Digest()).Quarantined(now)
+	_, quarantined := l.Get(poisonous.Digest()).Quarantined(now)
 	is.True(!quarantined)
-	is.True(l.AddEnd(deadly.Digest(), 99, now))
-	left, _ := l.Get(deadly.Digest()).Quarantined(now)
-	is.Equal(left, 2*quarantinedFor)
+	is.True(l.AddEnd(poisonous.Digest(), 99, now))
+	left, _ := l.Get(poisonous.Digest()).Quarantined(now)
+	is.Equal(left, 2*quarantineTTL)
 }
 
 func TestSuspectsAndQuarantinesAreForgotten(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
-	l.Take(endsUnder(digestOf(1), 1, start), start)
-	l.Take(endsUnder(digestOf(2), endsToQuarantine, start), start)
-	l.Forget(start + suspectFor)
+	l.Take(recordOfCrashes(digestOf(1), 1, testStart), testStart)
+	l.Take(recordOfCrashes(digestOf(2), quarantineThreshold, testStart), testStart)
+	l.Forget(testStart + suspectTTL)
 	is.Equal(l.Len(), 2)
-	l.Forget(start + suspectFor + 1)
+	l.Forget(testStart + suspectTTL + 1)
 	is.Equal(l.Len(), 1)
-	l.Forget(start + 2*quarantinedFor + 1)
+	l.Forget(testStart + 2*quarantineTTL + 1)
 	is.Equal(l.Len(), 0)
-	is.True(!l.Take(endsUnder(digestOf(1), 1, start), start+suspectFor+1)) // nor taken from others
+	is.True(!l.Take(recordOfCrashes(digestOf(1), 1, testStart), testStart+suspectTTL+1)) // nor taken from others
 	is.Equal(l.Len(), 0)
 }
 
 func TestEndsBeforeAnAnswerAndJustAfterItDoNotCount(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
-	d := deadly.Digest()
-	l.Take(endsUnder(d, endsToQuarantine, start), start)
-	is.True(l.Clear(d, start+1))
-	is.True(!l.AddEnd(d, 7, start))
-	is.True(!l.AddEnd(d, 8, start+1+clearsFor))
-	is.True(l.AddEnd(d, 9, start+2+clearsFor))
+	d := poisonous.Digest()
+	l.Take(recordOfCrashes(d, quarantineThreshold, testStart), testStart)
+	is.True(l.Clear(d, testStart+1))
+	is.True(!l.AddEnd(d, 7, testStart))
+	is.True(!l.AddEnd(d, 8, testStart+1+clearanceWindow))
+	is.True(l.AddEnd(d, 9, testStart+2+clearanceWindow))
 	is.Equal(len(l.Get(d).Ends), 1)
 }
 
 func TestAnAnswerIsNotToldYoungerFromBoxToBox(t *testing.T) {
 	is := is.New(t)
 	a, b := NewLedger(), NewLedger()
-	d := deadly.Digest()
-	a.Take(endsUnder(d, endsToTell, start), start)
-	a.Clear(d, start+time.Second)
-	now := start + time.Second
+	d := poisonous.Digest()
+	a.Take(recordOfCrashes(d, publishThreshold, testStart), testStart)
+	a.Clear(d, testStart+time.Second)
+	now := testStart + time.Second
 	for range 1000 { // each way takes 80 ms, by which the answer seems later
 		pass := func(from, to *Ledger) {
 			sent := Datagram{
@@ -86,23 +86,23 @@
 		pass(a, b)
 		pass(b, a)
 	}
-	is.True(a.Get(d).Answered <= start+time.Second+skew)
+	is.True(a.Get(d).Answered <= testStart+time.Second+maxSkew)
 }
 
 // drawRecord draws a record with whole milliseconds, as they are told.
 func drawRecord(t *rapid.T) Record {
 	age := rapid.Custom(func(t *rapid.T) time.Duration {
-		return start - time.Duration(rapid.IntRange(0, 600_000).Draw(t, "age"))*time.Millisecond
+		return testStart - time.Duration(rapid.IntRange(0, 600_000).Draw(t, "age"))*time.Millisecond
 	})
 	r := Record{
-		Digest:   digestOf(rapid.IntRange(0, 5).Draw(t, "request")),
-		Answered: never,
-		open:     rapid.Bool().Draw(t, "open"),
+		Digest:    digestOf(rapid.IntRange(0, 5).Draw(t, "request")),
+		Answered:  never,
+		published: rapid.Bool().Draw(t, "open"),
 	}
 	if rapid.Bool().Draw(t, "answered") {
 		r.Answered = age.Draw(t, "answer")
 	}
-	for range rapid.IntRange(0, maxEnds).Draw(t, "ends") {
+	for range rapid.IntRange(0, maxCrashes).Draw(t, "ends") {
 		r.Ends = append(r.Ends, End{
 			Start: Start(rapid.Uint64Range(0, 12).Draw(t, "start")),
 			At:    age.Draw(t, "end"),
@@ -120,9 +120,9 @@
 			Records: rapid.SliceOfN(rapid.Custom(drawRecord), 0, 8).Draw(t, "records"),
 		}
 		if d.Compare || d.Answer {
-			d.Sums[rapid.IntRange(0, parts-1).Draw(t, "part")] = rapid.Uint32().Draw(t, "sum")
+			d.Sums[rapid.IntRange(0, partitions-1).Draw(t, "part")] = rapid.Uint32().Draw(t, "sum")
 		}
-		got, err := Decode(d.Encode(start), start)
+		got, err := Decode(d.Encode(testStart), testStart)
 		is.NoErr(err)
 		if len(d.Records) == 0 {
 			d.Records = nil
@@ -134,13 +134,13 @@
 func TestNoDatagramBreaksTheReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		buf := append([]byte{Mark}, rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes")...)
-		d, err := Decode(buf, start)
+		d, err := Decode(buf, testStart)
 		if err != nil {
 			return
 		}
 		w := NewWatch("box")
-		w.spread.Hear(d, "other", start)
-		w.Forget(start)
+		w.spread.Hear(d, "other", testStart)
+		w.Forget(testStart)
 	})
 }
 
@@ -151,15 +151,15 @@
 		for i := range list {
 			list[i].Answered = never // of two answers that are told at nearly the same time the first stays
 			for k := range list[i].Ends {
-				list[i].Ends[k].At = start - time.Duration(list[i].Ends[k].Start)*time.Second // one start ends once
+				list[i].Ends[k].At = testStart - time.Duration(list[i].Ends[k].Start)*time.Second // one start ends once
 			}
 		}
 		a, b := NewLedger(), NewLedger()
 		for _, r := range list {
-			a.Take(r, start)
+			a.Take(r, testStart)
 		}
 		for _, r := range rapid.Permutation(list).Draw(t, "other order") {
-			b.Take(r, start)
+			b.Take(r, testStart)
 		}
 		is.Equal(a.Sums(), b.Sums())
 		for _, r := range a.All() {
@@ -182,7 +182,7 @@
 			for i := range d.Sums {
 				d.Sums[i] = 1
 			}
-			is.True(len(d.Encode(start)) <= datagramBytes)
+			is.True(len(d.Encode(testStart)) <= datagramBytes)
 		}
 		is.Equal(n, len(list))
 	})
--- a/poison/served.go
+++ b/poison/served.go
@@ -7,73 +7,74 @@
 )
 
 const (
-	latelyFor = clearsFor   // a request that a tenth of all callers send is answered ten times by then at each of 390 boxes
-	servedFor = time.Minute // of each generation: for so long at least a request that is quarantined may be tried again
-	maxServed = 8192        // of each generation, some 300 KB
+	recentWindow     = clearanceWindow // long enough that a request of a tenth of the callers is answered several times at each box
+	generationTTL    = time.Minute     // minimum time in which a quarantined request that was served before may be retried
+	maxPerGeneration = 8192
 )
 
-// Served are the requests that replicas survived of late: they answered them whole, or went
-// on answering for long, for callers of this box. It is safe for use by several goroutines. A
-// popular request is under way at most replicas that end, for whatever reason; having been
-// served it isn't suspected.
+// Served holds the requests that replicas survived recently for callers of this box: the
+// responses were complete, or ran for long. A popular request is under way at most replicas
+// that crash for any reason; having been served, it isn't suspected. Served is safe for
+// concurrent use.
 type Served struct {
 	seed maphash.Seed
 
-	mu    sync.Mutex
-	young map[uint64]time.Duration // when that was last, by the print of its content
-	old   map[uint64]time.Duration
-	since time.Duration // of the young
+	mu           sync.Mutex
+	current      map[uint64]time.Duration // time last served by fingerprint
+	previous     map[uint64]time.Duration
+	currentSince time.Duration // start of the current generation
 }
 
 // NewServed returns an empty Served.
 func NewServed() *Served {
 	return &Served{
-		seed:  maphash.MakeSeed(),
-		young: make(map[uint64]time.Duration),
+		seed:    maphash.MakeSeed(),
+		current: make(map[uint64]time.Duration),
 	}
 }
 
-// print stands for a content within this process; it costs a tenth of a digest.
-func (p *Served) print(c *Content) uint64 {
+// fingerprint returns a hash that is valid within this process and cheaper than a digest.
+func (p *Served) fingerprint(c *Content) uint64 {
 	var h maphash.Hash
 	h.SetSeed(p.seed)
 	c.writeTo(&h)
 	return h.Sum64()
 }
 
-// Add notes that a replica survived a request.
+// Add records that a replica survived a request.
 func (p *Served) Add(c *Content, now time.Duration) {
-	key := p.print(c)
+	key := p.fingerprint(c)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now-p.since > servedFor || len(p.young) >= maxServed {
-		p.old = p.young
-		p.young = make(map[uint64]time.Duration)
-		p.since = now
+	if now-p.currentSince > generationTTL || len(p.current) >= maxPerGeneration {
+		p.previous = p.current
+		p.current = make(map[uint64]time.Duration)
+		p.currentSince = now
 	}
-	p.young[key] = now
+	p.current[key] = now
 }
 
-// Lately says whether a request was served so lately that no end counts for it.
+// Lately reports whether a request was served so recently that crashes don't count for it.
 func (p *Served) Lately(c *Content, now time.Duration) bool {
-	at, ok := p.last(c)
-	return ok && now-at <= latelyFor
+	at, ok := p.lastServed(c)
+	return ok && now-at <= recentWindow
 }
 
-// Before says whether a request was served at all: it may be tried again.
+// Before reports whether a request was served within the retained generations, so that it may
+// be retried.
 func (p *Served) Before(c *Content) bool {
-	_, ok := p.last(c)
+	_, ok := p.lastServed(c)
 	return ok
 }
 
-// last returns when a request was served last.
-func (p *Served) last(c *Content) (at time.Duration, ok bool) {
-	key := p.print(c)
+// lastServed returns when a request was last served.
+func (p *Served) lastServed(c *Content) (at time.Duration, ok bool) {
+	key := p.fingerprint(c)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at, ok = p.young[key]; ok {
+	if at, ok = p.current[key]; ok {
 		return at, true
 	}
-	at, ok = p.old[key]
+	at, ok = p.previous[key]
 	return at, ok
 }
--- a/poison/served_test.go
+++ b/poison/served_test.go
@@ -12,26 +12,26 @@
 func TestWhatWasServedIsSoForAWhileAndRememberedLonger(t *testing.T) {
 	is := is.New(t)
 	p := NewServed()
-	is.True(!p.Before(&deadly))
-	p.Add(&deadly, start)
-	is.True(p.Lately(&deadly, start+latelyFor))
-	is.True(!p.Lately(&deadly, start+latelyFor+1))
+	is.True(!p.Before(&poisonous))
+	p.Add(&poisonous, testStart)
+	is.True(p.Lately(&poisonous, testStart+recentWindow))
+	is.True(!p.Lately(&poisonous, testStart+recentWindow+1))
 	other := Content{}
-	p.Add(&other, start+servedFor+1)
-	is.True(p.Before(&deadly))
-	p.Add(&other, start+2*servedFor+2)
-	is.True(!p.Before(&deadly))
+	p.Add(&other, testStart+generationTTL+1)
+	is.True(p.Before(&poisonous))
+	p.Add(&other, testStart+2*generationTTL+2)
+	is.True(!p.Before(&poisonous))
 }
 
 func TestServedIsBounded(t *testing.T) {
 	is := is.New(t)
 	p := NewServed()
-	for i := range 10 * maxServed {
+	for i := range 10 * maxPerGeneration {
 		c := Content{
 			Target: fmt.Sprint(i),
 		}
-		p.Add(&c, start)
-		is.True(len(p.young)+len(p.old) <= 2*maxServed)
+		p.Add(&c, testStart)
+		is.True(len(p.current)+len(p.previous) <= 2*maxPerGeneration)
 	}
 }
 
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -7,113 +7,112 @@
 )
 
 const (
-	announcers   = 2                      // of the owners that tell all boxes; the first may be gone unnoticed
-	tellings     = 3                      // of an end to the owners: one datagram may be lost
-	tellAfter    = 200 * time.Millisecond // between two of them
-	compareEvery = time.Second            // between two comparisons with another box: one that joins, or comes back, knows the same within about that time
-	mostAnswers  = 2                      // datagrams that answer a comparison: 2.4 KB
+	announcers      = 2 // owners that send a record to all boxes; the first may be gone unnoticed
+	sendsToOwners   = 3 // per crash; tolerates loss
+	resendInterval  = 200 * time.Millisecond
+	compareInterval = time.Second // bounds how long a box that joins lacks records
+	maxReplies      = 2           // datagrams per comparison
 )
 
-// Box is a box to which datagrams go.
+// Box is the name and address of a box that receives datagrams.
 type Box struct {
 	Name string
 	Addr string
 }
 
-// Packet is a datagram for an address.
+// Packet is an encoded datagram with its destination.
 type Packet struct {
 	Addr string
 	Buf  []byte
 }
 
-// telling is a record that is on its way to others.
-type telling struct {
-	left int           // times that it goes to the owners
-	next time.Duration // when
-	all  bool          // it goes to all boxes, once, from some of the owners
+// pendingUpdate is a record to be sent to other boxes.
+type pendingUpdate struct {
+	sendsLeft int // remaining sends to the owners
+	nextSend  time.Duration
+	toAll     bool // send once to all boxes, if this box is an announcer
 }
 
-// Spread tells other boxes what the ledger of a box learns. Ends are added up by owners, a
-// few boxes that the digest chooses among those alive, for an end has some 60 requests and
-// most come once: told to all of 390 boxes they would take 390 times as many bytes. All
-// boxes are told of a request from its second end on.
+// Spread gossips the records of a ledger. A crash interrupts many requests, most of which
+// occur once, so that sending each to all boxes would cost too much: only the owners of a
+// request, a few boxes selected by its digest, receive its first crash. From the second on the
+// record goes to all boxes.
 type Spread struct {
-	self     string
-	ledger   *Ledger
-	tellings map[Digest]*telling
-	compare  time.Duration // when this box compares next
+	self        string
+	ledger      *Ledger
+	pending     map[Digest]*pendingUpdate
+	nextCompare time.Duration // time of the next comparison
 }
 
-// NewSpread returns what spreads the ledger of a box.
+// NewSpread returns a Spread for the ledger of a box.
 func NewSpread(self string, ledger *Ledger) *Spread {
 	return &Spread{
-		self:     self,
-		ledger:   ledger,
-		tellings: make(map[Digest]*telling),
+		self:    self,
+		ledger:  ledger,
+		pending: make(map[Digest]*pendingUpdate),
 	}
 }
 
-// Learned notes that this box itself has found something out of a request.
+// Learned schedules an update after this box has changed a record itself.
 func (s *Spread) Learned(d Digest, now time.Duration) {
-	s.tellings[d] = &telling{
-		left: tellings,
-		next: now,
-		all:  true,
+	s.pending[d] = &pendingUpdate{
+		sendsLeft: sendsToOwners,
+		nextSend:  now,
+		toAll:     true,
 	}
 }
 
-// Due returns the datagrams to be sent at now, where the other boxes are those that are
-// alive; rnd draws a number from 0 to n-1.
+// Due returns the datagrams to send at now; others are the boxes alive, and rnd returns a
+// random number from 0 to n-1.
 func (s *Spread) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
 	out := make(map[string][]Record)
 	group := newGroup(s.self, others)
-	for d, t := range s.tellings {
-		s.tell(d, t, group, now, out)
-		if t.left == 0 && !t.all {
-			delete(s.tellings, d)
+	for d, t := range s.pending {
+		s.enqueueDue(d, t, group, now, out)
+		if t.sendsLeft == 0 && !t.toAll {
+			delete(s.pending, d)
 		}
 	}
 	list := s.packets(out, now)
-	if now >= s.compare && len(others) > 0 {
-		s.compare = now + compareEvery
-		list = append(list, s.ask(others[rnd(len(others))], now))
+	if now >= s.nextCompare && len(others) > 0 {
+		s.nextCompare = now + compareInterval
+		list = append(list, s.compareRequest(others[rnd(len(others))], now))
 	}
 	return list
 }
 
-// tell puts a record down for the boxes that are due to hear of it.
-func (s *Spread) tell(d Digest, t *telling, g *group, now time.Duration, out map[string][]Record) {
+// enqueueDue adds a record to the output of each box to which it is due.
+func (s *Spread) enqueueDue(d Digest, t *pendingUpdate, g *group, now time.Duration, out map[string][]Record) {
 	r := s.ledger.Get(d)
 	if r == nil {
-		t.left = 0
-		t.all = false
+		t.sendsLeft = 0
+		t.toAll = false
 		return
 	}
 	rank, near := g.ownersOf(d)
 	told := false
-	if t.all {
-		t.all = false
-		if told = r.open && rank < announcers; told {
-			put(out, r, g.others)
+	if t.toAll {
+		t.toAll = false
+		if told = r.published && rank < announcers; told {
+			enqueue(out, r, g.others)
 		}
 	}
-	if t.left > 0 && now >= t.next {
-		t.left--
-		t.next = now + tellAfter
+	if t.sendsLeft > 0 && now >= t.nextSend {
+		t.sendsLeft--
+		t.nextSend = now + resendInterval
 		if !told {
-			put(out, r, near)
+			enqueue(out, r, near)
 		}
 	}
 }
 
-// put puts a record down for boxes.
-func put(out map[string][]Record, r *Record, boxes []Box) {
+func enqueue(out map[string][]Record, r *Record, boxes []Box) {
 	for _, b := range boxes {
 		out[b.Addr] = append(out[b.Addr], *r)
 	}
 }
 
-// packets returns the datagrams that hold records, by address.
+// packets encodes the records of each address as datagrams.
 func (s *Spread) packets(records map[string][]Record, now time.Duration) []Packet {
 	var out []Packet
 	for addr, list := range records {
@@ -132,8 +131,8 @@
 	return out
 }
 
-// ask asks a box for what it knows, if that differs.
-func (s *Spread) ask(b Box, now time.Duration) Packet {
+// compareRequest requests the records that differ from a box.
+func (s *Spread) compareRequest(b Box, now time.Duration) Packet {
 	d := Datagram{
 		Compare: true,
 		Sums:    s.ledger.Sums(),
@@ -144,8 +143,8 @@
 	}
 }
 
-// Hear takes a datagram from an address in. It returns the datagrams that answer it, and
-// whether there was news in it.
+// Hear processes a datagram from an address. It returns the replies, and whether the ledger
+// changed. Records that this box can clear are returned to the sender.
 func (s *Spread) Hear(d Datagram, from string, now time.Duration) (answers []Packet, news bool) {
 	var better []Record
 	for _, r := range d.Records {
@@ -156,46 +155,46 @@
 			continue
 		}
 		news = true
-		s.passOn(r.Digest, d)
+		s.forward(r.Digest, d)
 	}
 	if own := s.ledger.Sums(); (d.Compare || d.Answer) && d.Sums != own {
-		answers = s.answer(from, d, own, now)
+		answers = s.reply(from, d, own, now)
 	}
 	return append(answers, s.packets(map[string][]Record{from: better}, now)...), news
 }
 
-// passOn has the owners of a request tell all boxes of it, unless all were told: what
-// answers a comparison, they have known before.
-func (s *Spread) passOn(d Digest, in Datagram) {
-	if in.Answer || !s.ledger.Get(d).open {
+// forward schedules a published record for all boxes. The records in a reply to a comparison
+// were published before, and are not forwarded.
+func (s *Spread) forward(d Digest, in Datagram) {
+	if in.Answer || !s.ledger.Get(d).published {
 		return
 	}
-	t := s.tellings[d]
+	t := s.pending[d]
 	if t == nil {
-		t = &telling{}
-		s.tellings[d] = t
+		t = &pendingUpdate{}
+		s.pending[d] = t
 	}
-	t.all = true
+	t.toAll = true
 }
 
-// answer returns the records of the parts in which another box knows other than this one:
-// the latest, for of these one is missing most likely.
-func (s *Spread) answer(to string, in Datagram, own Sums, now time.Duration) []Packet {
+// reply returns the records of the partitions whose checksums differ, limited to the latest,
+// as these are the most likely to be missing.
+func (s *Spread) reply(to string, in Datagram, own Sums, now time.Duration) []Packet {
 	var list []Record
 	for _, r := range s.ledger.Open() {
-		if part := partOf(r.Digest); in.Sums[part] != own[part] {
+		if part := partitionOf(r.Digest); in.Sums[part] != own[part] {
 			list = append(list, *r)
 		}
 	}
 	slices.SortFunc(list, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(b.last(), a.last()), slices.Compare(a.Digest[:], b.Digest[:]))
+		return cmp.Or(cmp.Compare(b.lastChange(), a.lastChange()), slices.Compare(a.Digest[:], b.Digest[:]))
 	})
 	packed := pack(list)
 	if len(packed) == 0 && in.Compare {
-		packed = append(packed, nil) // the other is to tell what it knows
+		packed = append(packed, nil) // prompts the sender for its records
 	}
 	var out []Packet
-	for _, records := range packed[:min(len(packed), mostAnswers)] {
+	for _, records := range packed[:min(len(packed), maxReplies)] {
 		d := Datagram{
 			Answer:  in.Compare,
 			Sums:    own,
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -3,92 +3,92 @@
 import "time"
 
 const (
-	trialFor     = 3 * time.Second        // for which a run on trial keeps others back: 2 s that a replica must survive it, and the ways of the news
-	askEvery     = 100 * time.Millisecond // between two questions of a box for a run of one request
-	ownerAnswers = 250 * time.Millisecond // the way between regions and back, and some; then the next owner is asked
-	grantFor     = time.Second            // for which a box may use what it was granted: its request may have left meanwhile
+	trialTimeout      = 3 * time.Second        // 2 s that a replica must survive the run, and the delay of the gossip
+	trialPollInterval = 100 * time.Millisecond // between two requests of a box for a run of one request
+	ownerTimeout      = 250 * time.Millisecond // above the round trip between regions; then the next owner is asked
+	grantTTL          = time.Second            // after which the waiting request may have left
 )
 
-// word is what a datagram says of a run on trial.
-type word byte
+// trialMessage is the kind of a message on a run on trial.
+type trialMessage byte
 
-// The words.
+// The kinds of trial messages.
 const (
-	noWord  word = iota
-	askWord      // the sender has the request, and asks to run it
-	grant        // the other may run it once
-	deny         // it may not now
+	noTrialMessage trialMessage = iota
+	trialRequest                // requests permission to run
+	trialGrant                  // permits one run
+	trialDenial                 // refuses a run for now
 )
 
-// question is what a box has asked for of a request.
-type question struct {
-	at      time.Duration // when it last asked
-	owner   int           // the rank among the owners that it asked
-	heard   bool          // the owner has answered
-	granted time.Duration // when it said that the request may run; never where it did not
+// trialQuery is the state of the requests of this box for a run on trial.
+type trialQuery struct {
+	lastSent    time.Duration // time of the last request
+	ownerCursor int           // position among the owners
+	replied     bool          // the owner has replied
+	grantedAt   time.Duration // time of an unused grant, or never
 }
 
-// trials are the runs on trial of a box, and those that it allows others as an owner. One
-// owner allows one run of a request at a time; it needs no agreement, for one more run, where
-// boxes differ on who is alive, costs one end more at most.
+// trials holds the runs on trial of a box, and those that it grants as an owner. An owner grants
+// one run of a request at a time without consensus: where boxes differ on who is alive, an
+// additional run costs at most one crash.
 type trials struct {
-	allowed   map[Digest]time.Duration // when this box last allowed a run
-	questions map[Digest]*question
-	runs      map[string]map[Digest]struct{} // that are under way here, by start
+	lastGrant map[Digest]time.Duration // when this box last granted a run
+	queries   map[Digest]*trialQuery
+	runs      map[string]map[Digest]struct{} // under way here by incarnation
 }
 
 func newTrials() trials {
 	return trials{
-		allowed:   make(map[Digest]time.Duration),
-		questions: make(map[Digest]*question),
+		lastGrant: make(map[Digest]time.Duration),
+		queries:   make(map[Digest]*trialQuery),
 		runs:      make(map[string]map[Digest]struct{}),
 	}
 }
 
-// Try says whether a request on trial may run now, and returns the question for its owner
-// where that must be asked; others gives the other boxes that are alive. The caller asks again
-// while its request waits.
+// Try reports whether a request on trial may run now, and returns the message to its owner if
+// one is due; others returns the other boxes alive. It is called repeatedly while the request
+// waits.
 func (w *Watch) Try(d Digest, others func() []Box, now time.Duration) (may bool, asks []Packet) {
-	q := w.trials.questions[d]
+	q := w.trials.queries[d]
 	if q == nil {
-		q = &question{
-			at:      never,
-			granted: never,
+		q = &trialQuery{
+			lastSent:  never,
+			grantedAt: never,
 		}
-		w.trials.questions[d] = q
+		w.trials.queries[d] = q
 	}
-	if now-q.granted <= grantFor {
-		q.granted = never
+	if now-q.grantedAt <= grantTTL {
+		q.grantedAt = never
 		return true, nil
 	}
 	if !q.isDue(now) {
 		return false, nil
 	}
-	if !q.heard && q.at != never {
-		q.owner++ // it may be gone
+	if !q.replied && q.lastSent != never {
+		q.ownerCursor++ // the owner may be gone
 	}
-	q.at = now
+	q.lastSent = now
 	rank, owners := newGroup(w.spread.self, others()).ownersOf(d)
 	if rank == 0 {
-		q.heard = true
-		return w.allow(d, now), nil
+		q.replied = true
+		return w.grantTrial(d, now), nil
 	}
-	q.heard = false
-	return false, w.ask(d, owners[q.owner%len(owners)], now)
+	q.replied = false
+	return false, w.queryOwner(d, owners[q.ownerCursor%len(owners)], now)
 }
 
-// isDue says whether the owner is to be asked again.
-func (q *question) isDue(now time.Duration) bool {
-	if q.heard {
-		return now-q.at >= askEvery
+// isDue reports whether to ask an owner again.
+func (q *trialQuery) isDue(now time.Duration) bool {
+	if q.replied {
+		return now-q.lastSent >= trialPollInterval
 	}
-	return now-q.at >= ownerAnswers
+	return now-q.lastSent >= ownerTimeout
 }
 
-// ask returns the question for an owner, with what this box knows of the request.
-func (w *Watch) ask(d Digest, owner Box, now time.Duration) []Packet {
+// queryOwner requests a run from an owner, and includes the record of this box.
+func (w *Watch) queryOwner(d Digest, owner Box, now time.Duration) []Packet {
 	out := Datagram{
-		Word:  askWord,
+		Word:  trialRequest,
 		Trial: d,
 	}
 	if r := w.ledger.Get(d); r != nil {
@@ -100,48 +100,48 @@
 	}}
 }
 
-// allow says whether a request may run on trial now. Another run of it is waited for, unless
-// news of the request have come since.
-func (w *Watch) allow(d Digest, now time.Duration) bool {
+// grantTrial reports whether a request may run on trial now, and records the grant. A further
+// run must wait for the last one, unless the record has changed since.
+func (w *Watch) grantTrial(d Digest, now time.Duration) bool {
 	v, _ := w.ledger.Verdict(d, now)
-	if v != OnTrial && (v != Quarantined || !w.Untried(d)) { // the other box has served the latter
+	if v != OnTrial && (v != Quarantined || !w.Untried(d)) { // an untried request that the sender has served
 		return false
 	}
 	r := w.ledger.Get(d)
 	if w.ledger.isUnsettled(r, now) {
 		return false
 	}
-	if last, ok := w.trials.allowed[d]; ok && now-last < trialFor && r.last() <= last {
+	if last, ok := w.trials.lastGrant[d]; ok && now-last < trialTimeout && r.lastChange() <= last {
 		return false
 	}
-	w.trials.allowed[d] = now
+	w.trials.lastGrant[d] = now
 	return true
 }
 
-// hearWord takes in what another box says of a run on trial, and returns the answer to a
-// question: with what this box knows, for the other may not have heard that the trial is over.
-func (w *Watch) hearWord(in Datagram, from string, now time.Duration) []Packet {
-	q := w.trials.questions[in.Trial]
+// receiveTrialMessage processes a trial message, and returns the reply to a request. The reply
+// includes the record of this box, as the sender may not know that the trial is over.
+func (w *Watch) receiveTrialMessage(in Datagram, from string, now time.Duration) []Packet {
+	q := w.trials.queries[in.Trial]
 	switch {
-	case in.Word == askWord:
-		return w.answerTrial(in.Trial, from, now)
+	case in.Word == trialRequest:
+		return w.replyToTrialRequest(in.Trial, from, now)
 	case q == nil:
 		return nil
-	case in.Word == grant:
-		q.granted = now
+	case in.Word == trialGrant:
+		q.grantedAt = now
 	}
-	q.heard = true
+	q.replied = true
 	return nil
 }
 
-// answerTrial answers the question for a run on trial.
-func (w *Watch) answerTrial(d Digest, to string, now time.Duration) []Packet {
+// replyToTrialRequest grants or denies a run on trial.
+func (w *Watch) replyToTrialRequest(d Digest, to string, now time.Duration) []Packet {
 	out := Datagram{
-		Word:  deny,
+		Word:  trialDenial,
 		Trial: d,
 	}
-	if w.allow(d, now) {
-		out.Word = grant
+	if w.grantTrial(d, now) {
+		out.Word = trialGrant
 	}
 	if r := w.ledger.Get(d); r != nil {
 		out.Records = append(out.Records, *r)
@@ -152,7 +152,7 @@
 	}}
 }
 
-// BeginTrial notes that a request on trial goes to a start.
+// BeginTrial records that a request on trial is sent to an incarnation.
 func (w *Watch) BeginTrial(start string, d Digest) {
 	if w.trials.runs[start] == nil {
 		w.trials.runs[start] = make(map[Digest]struct{})
@@ -160,7 +160,7 @@
 	w.trials.runs[start][d] = struct{}{}
 }
 
-// EndTrial notes that the run of a request on trial at a start is over.
+// EndTrial records that the run of a request on trial at an incarnation is over.
 func (w *Watch) EndTrial(start string, d Digest) {
 	delete(w.trials.runs[start], d)
 	if len(w.trials.runs[start]) == 0 {
@@ -168,47 +168,48 @@
 	}
 }
 
-// Trials returns the starts at which more than so many requests on trial run here that have as
-// many ends as another. That one goes where the fewest are: of 100 with the same ends a tenth
-// share the next one, where ten replicas are left, and one or two the one after.
+// Trials returns the incarnations at which more than most other requests on trial run that have
+// at least as many crashes as d. Runs go where the fewest such are, so that of 100 requests
+// with the same crashes a tenth share the next one if ten replicas are left, and one or two the
+// one after.
 func (w *Watch) Trials(d Digest, most int) []string {
 	var out []string
 	for start, list := range w.trials.runs {
-		if w.peers(d, list) > most {
+		if w.countPeers(d, list) > most {
 			out = append(out, start)
 		}
 	}
 	return out
 }
 
-// peers returns how many of some requests have as many ends as another, and more.
-func (w *Watch) peers(d Digest, list map[Digest]struct{}) (n int) {
+// countPeers returns how many other requests of a list have at least as many crashes as d.
+func (w *Watch) countPeers(d Digest, list map[Digest]struct{}) (n int) {
 	for other := range list {
-		if other != d && w.endsOf(other) >= w.endsOf(d) {
+		if other != d && w.crashCount(other) >= w.crashCount(d) {
 			n++
 		}
 	}
 	return n
 }
 
-// endsOf returns how many ends of a request are known.
-func (w *Watch) endsOf(d Digest) int {
+// crashCount returns the number of recorded crashes of a request.
+func (w *Watch) crashCount(d Digest) int {
 	if r := w.ledger.Get(d); r != nil {
 		return len(r.Ends)
 	}
 	return 0
 }
 
-// forget drops what is over.
+// forget drops expired grants, and queries of requests without a trial.
 func (t *trials) forget(l *Ledger, now time.Duration) {
-	for d, at := range t.allowed {
-		if now-at > trialFor {
-			delete(t.allowed, d)
+	for d, at := range t.lastGrant {
+		if now-at > trialTimeout {
+			delete(t.lastGrant, d)
 		}
 	}
-	for d := range t.questions {
+	for d := range t.queries {
 		if v, _ := l.Verdict(d, now); v == Free {
-			delete(t.questions, d)
+			delete(t.queries, d)
 		}
 	}
 }
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Verdict is what a box does with a request that comes.
+// Verdict is how a box handles an incoming request.
 type Verdict int
 
 // The verdicts.
 const (
-	Free        Verdict = iota // it goes to replicas as any other does
-	OnTrial                    // one run of it at a time, over all boxes, until it is known whether replicas survive it
-	Quarantined                // it goes to no replica
+	Free        Verdict = iota // routed as any other
+	OnTrial                    // one run at a time over all boxes, until it is known whether replicas survive it
+	Quarantined                // rejected
 )
 
 const (
-	mostTrials = 3                      // runs on trial under which a replica ended, one soon after the other: of an innocent request some may share their replica with the guilty one's
-	allTrials  = 5                      // the same, with those that come later
-	trialsIn   = 5 * time.Second        // from the first end that is kept to the last of mostTrials; else no more are made, so that of a guilty one no more come late
-	settlesIn  = 500 * time.Millisecond // an end is known to all boxes: told twice to the owners, 0.28 s, by these to all, 0.08 s, and two rounds of what is due
+	maxEarlyTrials   = 3                      // crashed runs on trial in close succession; an innocent request may share a replica with the poison one in some
+	maxTrials        = 5                      // crashed runs on trial in all
+	earlyTrialWindow = 5 * time.Second        // from the first kept crash to the last early trial; past it no further run is made
+	settleWindow     = 500 * time.Millisecond // in which a crash becomes known to all boxes: two sends to the owners, one to all, and two rounds of gossip
 )
 
-// Verdict returns what is held of a request, and for how long it is quarantined.
+// Verdict returns how to handle a request, and the time left in quarantine.
 //
-// Three ends are held against a request where nothing else explains them. Another request
-// with three ends explains those that both have: which of the two was the cause, a run of each
-// alone tells. A whole answer clears the innocent one, and then the guilty one has its ends
-// for itself; an end of the run alone is held against the request at once.
+// Three crashes quarantine a request if no other request explains them. Two requests that have
+// three crashes in common each run alone on trial: a complete response clears the innocent
+// one, which leaves the crashes to the poison request; a crash of a run on trial counts against
+// its request at once.
 func (l *Ledger) Verdict(d Digest, now time.Duration) (v Verdict, left time.Duration) {
 	r := l.records[d]
 	if r == nil {
@@ -37,85 +37,86 @@
 	if !listed {
 		return Free, 0
 	}
-	guilt := l.guiltOf(r)
-	if guilt == theCause && !l.isUnsettled(r, now) {
+	guilt := l.attributionOf(r)
+	if guilt == cause && !l.isUnsettled(r, now) {
 		return Quarantined, left
 	}
-	if guilt == explained && now-l.weighed.since[d] > settlesIn {
+	if guilt == explained && now-l.assessment.explainedSince[d] > settleWindow {
 		return Free, 0
 	}
-	if wait := r.untilTrial(now); wait > 0 {
+	if wait := r.trialDelay(now); wait > 0 {
 		return Quarantined, min(wait, left)
 	}
 	return OnTrial, 0
 }
 
-// guilt is what the ends of all requests say of one with three and more.
-type guilt int
+// attribution is whether a request with three or more crashes is their cause, given the crashes
+// of all requests.
+type attribution int
 
 const (
-	unsure    guilt = iota // others have the same
-	theCause               // nothing else explains its own
-	explained              // others explain all of them
+	ambiguous attribution = iota // other requests have the same crashes
+	cause                        // no other request explains its crashes
+	explained                    // other requests explain all its crashes
 )
 
-// weighed is what the ledger's records say of each other; it holds until one changes.
-type weighed struct {
-	times map[Start]int // of how many requests that none exceeds an end is one
-	guilt map[Digest]guilt
-	since map[Digest]time.Duration // when the end came by which another request explains those of one
+// assessment is the attribution of crashes for all records; it is valid until one changes.
+type assessment struct {
+	suspectCount   map[Start]int // how many requests a crash counts for, without those that another exceeds
+	attributions   map[Digest]attribution
+	explainedSince map[Digest]time.Duration // time of the crash that explains those of a request
 }
 
-// guiltOf returns what the ends of all requests say of one.
-func (l *Ledger) guiltOf(r *Record) guilt {
-	if l.weighed == nil {
-		l.weigh()
+// attributionOf returns the attribution of a request.
+func (l *Ledger) attributionOf(r *Record) attribution {
+	if l.assessment == nil {
+		l.assess()
 	}
-	return l.weighed.guilt[r.Digest]
+	return l.assessment.attributions[r.Digest]
 }
 
-// weigh works out what the records say of each other.
-func (l *Ledger) weigh() {
-	w := &weighed{
-		times: make(map[Start]int),
-		guilt: make(map[Digest]guilt),
-		since: make(map[Digest]time.Duration),
+// assess computes the assessment.
+func (l *Ledger) assess() {
+	w := &assessment{
+		suspectCount:   make(map[Start]int),
+		attributions:   make(map[Digest]attribution),
+		explainedSince: make(map[Digest]time.Duration),
 	}
-	l.weighed = w
-	list := l.listed()
+	l.assessment = w
+	list := l.overThreshold()
 	w.findExceeded(list)
 	w.findExplained(list, w.findCauses(list))
 }
 
-// findExceeded finds the requests of which another has all ends, and one on trial beside. Their
-// own ends explain none of another.
-func (w *weighed) findExceeded(list []*Record) {
-	var tried []*Record // few are on trial, where thousands may be listed
+// findExceeded finds the requests whose crashes another has, with one more on trial. Their own
+// crashes don't explain those of others.
+func (w *assessment) findExceeded(list []*Record) {
+	var tried []*Record // few requests are on trial, while the list may hold thousands
 	for _, r := range list {
-		if r.alone() != 0 {
+		if r.trialBits() != 0 {
 			tried = append(tried, r)
 		}
 	}
 	for _, r := range list {
-		if at, ok := exceeded(r, tried); ok {
-			w.guilt[r.Digest] = explained
-			w.since[r.Digest] = at
+		if at, ok := exceededSince(r, tried); ok {
+			w.attributions[r.Digest] = explained
+			w.explainedSince[r.Digest] = at
 			continue
 		}
 		for _, e := range r.Ends {
-			w.times[e.Start]++
+			w.suspectCount[e.Start]++
 		}
 	}
 }
 
-// findCauses finds the requests that are the cause of their ends, and returns these ends.
-func (w *weighed) findCauses(list []*Record) map[Start]bool {
+// findCauses finds the requests that are the cause of their crashes, and returns these.
+func (w *assessment) findCauses(list []*Record) map[Start]bool {
 	caused := make(map[Start]bool)
 	for _, r := range list {
-		if w.guilt[r.Digest] != unsure || !w.isCause(r) {
+		if w.attributions[r.Digest] != ambiguous || !w.isCause(r) {
 			continue
 		}
-		w.guilt[r.Digest] = theCause
+		w.attributions[r.Digest] = cause
 		for _, e := range r.Ends {
 			caused[e.Start] = true
 		}
@@ -123,18 +124,18 @@
 	return caused
 }
 
-// findExplained finds the requests whose ends all have a cause.
-func (w *weighed) findExplained(list []*Record, caused map[Start]bool) {
+// findExplained finds the requests whose crashes all have a cause.
+func (w *assessment) findExplained(list []*Record, caused map[Start]bool) {
 	for _, r := range list {
 		isOpen := slices.ContainsFunc(r.Ends, func(e End) bool { return !caused[e.Start] })
-		if w.guilt[r.Digest] == unsure && !isOpen {
-			w.guilt[r.Digest] = explained
+		if w.attributions[r.Digest] == ambiguous && !isOpen {
+			w.attributions[r.Digest] = explained
 		}
 	}
 }
 
-// exceeded returns since when another record, of those on trial, exceeds one.
-func exceeded(r *Record, tried []*Record) (at time.Duration, ok bool) {
+// exceededSince returns the earliest time at which a tried record exceeds r.
+func exceededSince(r *Record, tried []*Record) (at time.Duration, ok bool) {
 	for _, other := range tried {
 		if end, exceeds := other.exceeds(r); exceeds && (!ok || end.At < at) {
 			at = end.At
@@ -144,22 +145,23 @@
 	return at, ok
 }
 
-// listed returns the records with three ends and more.
-func (l *Ledger) listed() []*Record {
+// overThreshold returns the records with at least quarantineThreshold crashes.
+func (l *Ledger) overThreshold() []*Record {
 	var out []*Record
 	for _, r := range l.records {
-		if len(r.Ends) >= endsToQuarantine {
+		if len(r.Ends) >= quarantineThreshold {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// isCause says whether the ends of a request speak against it alone.
-func (w *weighed) isCause(r *Record) bool {
+// isCause reports whether a request has enough crashes that are no other request's, or one on
+// trial.
+func (w *assessment) isCause(r *Record) bool {
 	own := 0
 	for _, e := range r.Ends {
-		if w.times[e.Start] > 1 {
+		if w.suspectCount[e.Start] > 1 {
 			continue
 		}
 		if e.Alone {
@@ -167,12 +169,12 @@
 		}
 		own++
 	}
-	return own >= endsToQuarantine
+	return own >= quarantineThreshold
 }
 
-// untilTrial returns how long the next run of a request on trial must wait: after mostTrials
-// the one that always shared its replica is no more likely to be guilty than the others.
-func (r *Record) untilTrial(now time.Duration) time.Duration {
+// trialDelay returns how long the next run of a request on trial must wait. After maxEarlyTrials
+// a request that always shared its replica is no more likely to be the cause than the others.
+func (r *Record) trialDelay(now time.Duration) time.Duration {
 	var runs []End
 	for _, e := range r.Ends {
 		if e.Alone {
@@ -181,27 +183,28 @@
 	}
 	n := len(runs)
 	switch {
-	case n < mostTrials:
+	case n < maxEarlyTrials:
 		return 0
-	case n >= allTrials, runs[mostTrials-1].At-r.Ends[0].At > trialsIn:
+	case n >= maxTrials, runs[maxEarlyTrials-1].At-r.Ends[0].At > earlyTrialWindow:
 		return never.Abs()
 	}
-	wait := tryAfter
-	for range n - mostTrials {
-		wait *= tryLater
+	wait := retryDelay
+	for range n - maxEarlyTrials {
+		wait *= retryFactor
 	}
-	return wait - (now - r.last())
+	return wait - (now - r.lastChange())
 }
 
-// isUnsettled says whether the third end of a request came just now, and another suspect has one
-// of its ends: that one may turn out to have the others too, or several guilty ones to explain
-// them, or a box may be about to tell that it has served the request.
+// isUnsettled reports whether the third crash of a request is within the settle window and
+// another suspect has one of its crashes. That suspect may turn out to have the other crashes
+// too, several poison requests may explain them, or a box may be about to report that it has
+// served the request.
 func (l *Ledger) isUnsettled(r *Record, now time.Duration) bool {
-	if now-r.last() > settlesIn || len(r.Ends) != endsToQuarantine {
+	if now-r.lastChange() > settleWindow || len(r.Ends) != quarantineThreshold {
 		return false
 	}
 	for _, other := range l.records {
-		if other != r && len(other.Ends) >= endsToTell && other.shares(r) > 0 {
+		if other != r && len(other.Ends) >= publishThreshold && other.countShared(r) > 0 {
 			return true
 		}
 	}
--- a/poison/watch_test.go
+++ b/poison/watch_test.go
@@ -10,65 +10,65 @@
 
 func TestThreeEndsAtThreeBoxesQuarantineARequestAtAll(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	for i := range endsToQuarantine {
-		is.Equal(b.quarantine(deadly.Digest()), 0)
-		b.end(fmt.Sprint("box-", i), fmt.Sprint("replica-", i), deadly.Digest())
+	b := newCluster(t, 9)
+	for i := range quarantineThreshold {
+		is.Equal(b.countQuarantined(poisonous.Digest()), 0)
+		b.crash(fmt.Sprint("box-", i), fmt.Sprint("replica-", i), poisonous.Digest())
 	}
-	is.Equal(b.quarantine(deadly.Digest()), 9)
+	is.Equal(b.countQuarantined(poisonous.Digest()), 9)
 }
 
 func TestOneEndThatThreeBoxesSeeIsOne(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	for i := range endsToQuarantine {
-		b.end(fmt.Sprint("box-", i), "replica", deadly.Digest())
+	b := newCluster(t, 9)
+	for i := range quarantineThreshold {
+		b.crash(fmt.Sprint("box-", i), "replica", poisonous.Digest())
 	}
 	b.run(time.Second)
-	is.Equal(b.quarantine(deadly.Digest()), 0)
+	is.Equal(b.countQuarantined(poisonous.Digest()), 0)
 }
 
 func TestAReplicaThatCutsAnAnswerAndLivesIsHeldAgainstNobody(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
-	is.True(!w.Cut("replica", deadly.Digest(), sentBefore, start))
+	is.True(!w.Cut("replica", poisonous.Digest(), sentBefore, testStart))
 	is.Equal(w.Doubtful(), []string{"replica"})
-	w.Lives("replica", start-time.Second) // it was sent before
+	w.Lives("replica", testStart-time.Second) // it was sent before
 	is.Equal(w.Doubtful(), []string{"replica"})
-	w.Lives("replica", start+time.Second)
+	w.Lives("replica", testStart+time.Second)
 	is.Equal(w.Doubtful(), nil)
-	is.Equal(w.Ended("replica", start+2*time.Second), 0)
+	is.Equal(w.Ended("replica", testStart+2*time.Second), 0)
 }
 
 func TestARequestThatIsCutAfterItsReplicaIsKnownToHaveEndedCountsToo(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
-	w.Cut("replica", digestOf(1), sentBefore, start)
-	is.Equal(w.Ended("replica", start), 1)
-	is.Equal(w.Ended("replica", start), 0) // only once
-	is.True(w.Cut("replica", deadly.Digest(), sentBefore, start))
-	is.Equal(len(w.ledger.Get(deadly.Digest()).Ends), 1)
+	w.Cut("replica", digestOf(1), sentBefore, testStart)
+	is.Equal(w.Ended("replica", testStart), 1)
+	is.Equal(w.Ended("replica", testStart), 0) // only once
+	is.True(w.Cut("replica", poisonous.Digest(), sentBefore, testStart))
+	is.Equal(len(w.ledger.Get(poisonous.Digest()).Ends), 1)
 }
 
 func TestOfReplicasThatEndTogetherOnlyWhatSeveralRanMayBeTheCause(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	name := func(i int) string { return fmt.Sprint("replica-", i) }
-	for i := range manyReplicas {
-		at := start + time.Duration(i)*together/manyReplicas
+	for i := range minJointCrashes {
+		at := testStart + time.Duration(i)*jointCrashWindow/minJointCrashes
 		w.Cut(name(i), digestOf(i), sentBefore, at) // each ran another one, too
-		w.Cut(name(i), deadly.Digest(), sentBefore, at)
+		w.Cut(name(i), poisonous.Digest(), sentBefore, at)
 	}
-	for i := range manyReplicas {
-		is.Equal(w.Ended(name(i), start+Settles), 1)
-		is.True(!w.Cut(name(i), digestOf(10+i), sentBefore, start+Settles)) // nor one that notices later
+	for i := range minJointCrashes {
+		is.Equal(w.Ended(name(i), testStart+Settles), 1)
+		is.True(!w.Cut(name(i), digestOf(10+i), sentBefore, testStart+Settles)) // nor one that notices later
 	}
-	_, quarantined := w.Quarantined(deadly.Digest(), start+Settles)
+	_, quarantined := w.Quarantined(poisonous.Digest(), testStart+Settles)
 	is.True(quarantined)
-	w.Cut("alone", digestOf(20), sentBefore, start+time.Second)
-	w.Cut("beside", digestOf(21), sentBefore, start+time.Second)
-	is.Equal(w.Ended("alone", start+time.Second+Settles), 1)
-	is.Equal(w.Ended("beside", start+time.Second+Settles), 1)
+	w.Cut("alone", digestOf(20), sentBefore, testStart+time.Second)
+	w.Cut("beside", digestOf(21), sentBefore, testStart+time.Second)
+	is.Equal(w.Ended("alone", testStart+time.Second+Settles), 1)
+	is.Equal(w.Ended("beside", testStart+time.Second+Settles), 1)
 }
 
 // A call was cut at two replicas of twelve that ended together: its retry went to the second
@@ -76,123 +76,123 @@
 func TestWhatWasSentAfterAReplicaHadEndedIsNotTheCause(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
-	w.Cut("replica", deadly.Digest(), sentBefore, start)
-	w.Cut("replica", digestOf(1), start+time.Millisecond, start+2*time.Millisecond)
-	is.Equal(w.Ended("replica", start+Settles), 1)
-	is.True(!w.Cut("replica", digestOf(2), start+time.Minute, start+time.Minute))
-	w.Cut("lives", digestOf(1), sentBefore, start) // it cut this one only
-	w.Cut("lives", deadly.Digest(), start+dialGap, start+2*dialGap)
-	is.Equal(w.Ended("lives", start+2*dialGap+Settles), 2)
+	w.Cut("replica", poisonous.Digest(), sentBefore, testStart)
+	w.Cut("replica", digestOf(1), testStart+time.Millisecond, testStart+2*time.Millisecond)
+	is.Equal(w.Ended("replica", testStart+Settles), 1)
+	is.True(!w.Cut("replica", digestOf(2), testStart+time.Minute, testStart+time.Minute))
+	w.Cut("lives", digestOf(1), sentBefore, testStart) // it cut this one only
+	w.Cut("lives", poisonous.Digest(), testStart+dialInterval, testStart+2*dialInterval)
+	is.Equal(w.Ended("lives", testStart+2*dialInterval+Settles), 2)
 }
 
 func TestACutIsForgottenAfterAWhile(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
-	w.Cut("replica", deadly.Digest(), sentBefore, start)
-	w.Forget(start + cutFor + 1)
-	is.Equal(w.Ended("replica", start+cutFor+1), 0)
+	w.Cut("replica", poisonous.Digest(), sentBefore, testStart)
+	w.Forget(testStart + interruptionTTL + 1)
+	is.Equal(w.Ended("replica", testStart+interruptionTTL+1), 0)
 }
 
 func TestABoxThatJoinsKnowsWithinTwoSecondsWhatIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	for i := range endsToQuarantine {
-		b.end("box-0", fmt.Sprint("replica-", i), deadly.Digest())
+	b := newCluster(t, 9)
+	for i := range quarantineThreshold {
+		b.crash("box-0", fmt.Sprint("replica-", i), poisonous.Digest())
 	}
 	b.run(time.Minute)
 	b.join("young")
 	b.run(2 * time.Second)
-	is.Equal(b.quarantine(deadly.Digest()), 10)
+	is.Equal(b.countQuarantined(poisonous.Digest()), 10)
 }
 
 func TestBoxesThatHeardNothingLearnItByComparing(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	b.lose = func(string, string) bool { return true }
-	for i := range endsToQuarantine {
-		b.end("box-0", fmt.Sprint("replica-", i), deadly.Digest())
+	b := newCluster(t, 9)
+	b.drop = func(string, string) bool { return true }
+	for i := range quarantineThreshold {
+		b.crash("box-0", fmt.Sprint("replica-", i), poisonous.Digest())
 	}
 	b.run(time.Second)
-	is.Equal(b.quarantine(deadly.Digest()), 1)
-	b.lose = func(string, string) bool { return false }
+	is.Equal(b.countQuarantined(poisonous.Digest()), 1)
+	b.drop = func(string, string) bool { return false }
 	b.run(5 * time.Second)
-	is.Equal(b.quarantine(deadly.Digest()), 9)
+	is.Equal(b.countQuarantined(poisonous.Digest()), 9)
 }
 
 func TestTheEndsOfOwnersThatAreGoneAreKnownToTheOthers(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	b.end("box-0", "replica-0", deadly.Digest())
-	b.end("box-1", "replica-1", deadly.Digest())
+	b := newCluster(t, 9)
+	b.crash("box-0", "replica-0", poisonous.Digest())
+	b.crash("box-1", "replica-1", poisonous.Digest())
 	for _, name := range b.names() {
-		if b.watches[name].ledger.Get(deadly.Digest()) != nil && name != "box-2" {
+		if b.watches[name].ledger.Get(poisonous.Digest()) != nil && name != "box-2" {
 			delete(b.watches, name) // those that saw an end, and the owners but perhaps one
 		}
 		if len(b.watches) == 2 {
 			break
 		}
 	}
-	b.end(b.names()[0], "replica-2", deadly.Digest())
+	b.crash(b.names()[0], "replica-2", poisonous.Digest())
 	b.run(5 * time.Second)
-	is.Equal(b.quarantine(deadly.Digest()), len(b.watches))
+	is.Equal(b.countQuarantined(poisonous.Digest()), len(b.watches))
 }
 
 func TestAWholeAnswerAtAnyBoxClearsARequestAtAll(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	for i := range endsToQuarantine {
-		b.end("box-0", fmt.Sprint("replica-", i), deadly.Digest())
+	b := newCluster(t, 9)
+	for i := range quarantineThreshold {
+		b.crash("box-0", fmt.Sprint("replica-", i), poisonous.Digest())
 	}
 	b.now += time.Second
-	is.True(b.watches["box-5"].Clear(deadly.Digest(), b.now))
-	b.tell("box-5")
+	is.True(b.watches["box-5"].Clear(poisonous.Digest(), b.now))
+	b.sendDue("box-5")
 	b.run(5 * time.Second)
-	is.Equal(b.quarantine(deadly.Digest()), 0)
-	b.end("box-1", "replica-9", deadly.Digest()) // one end more is one only
+	is.Equal(b.countQuarantined(poisonous.Digest()), 0)
+	b.crash("box-1", "replica-9", poisonous.Digest()) // one end more is one only
 	b.run(time.Second)
-	is.Equal(b.quarantine(deadly.Digest()), 0)
+	is.Equal(b.countQuarantined(poisonous.Digest()), 0)
 }
 
 func TestOneOwnerTriesARequestThatWasAnsweredBefore(t *testing.T) {
 	is := is.New(t)
-	b := newBoxes(t, 9)
-	for i := range endsToQuarantine {
-		b.end("box-0", fmt.Sprint("replica-", i), deadly.Digest())
+	b := newCluster(t, 9)
+	for i := range quarantineThreshold {
+		b.crash("box-0", fmt.Sprint("replica-", i), poisonous.Digest())
 	}
 	tries := func() (n int) {
 		for _, name := range b.names() {
-			if b.watches[name].Tries(deadly.Digest(), b.others(name), b.now) {
+			if b.watches[name].Tries(poisonous.Digest(), b.others(name), b.now) {
 				n++
 			}
 		}
 		return n
 	}
 	is.Equal(tries(), 0)
-	b.now += tryAfter
+	b.now += retryDelay
 	is.Equal(tries(), 1)
 	is.Equal(tries(), 0) // while that is under way
-	b.end("box-0", "replica-4", deadly.Digest())
-	b.now += 2 * tryAfter
+	b.crash("box-0", "replica-4", poisonous.Digest())
+	b.now += 2 * retryDelay
 	is.Equal(tries(), 0) // each time later than before
-	b.now += tryLater * tryAfter
+	b.now += retryFactor * retryDelay
 	is.Equal(tries(), 1)
 }
 
 func TestChangesAreToldOnce(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
-	for i := range endsToQuarantine {
-		now := start + time.Duration(i-endsToQuarantine+1)*time.Second // the last at start
-		w.Cut(fmt.Sprint("replica-", i), deadly.Digest(), sentBefore, now)
+	for i := range quarantineThreshold {
+		now := testStart + time.Duration(i-quarantineThreshold+1)*time.Second // the last at start
+		w.Cut(fmt.Sprint("replica-", i), poisonous.Digest(), sentBefore, now)
 		w.Ended(fmt.Sprint("replica-", i), now)
 	}
-	list := w.Changes(start)
+	list := w.Changes(testStart)
 	is.Equal(len(list), 1)
 	is.True(list[0].Quarantined)
-	is.Equal(list[0].Left, quarantinedFor)
-	is.Equal(len(w.Changes(start)), 0)
-	w.Clear(deadly.Digest(), start+time.Second)
-	list = w.Changes(start + time.Second)
+	is.Equal(list[0].Left, quarantineTTL)
+	is.Equal(len(w.Changes(testStart)), 0)
+	w.Clear(poisonous.Digest(), testStart+time.Second)
+	list = w.Changes(testStart + time.Second)
 	is.Equal(len(list), 1)
 	is.True(list[0].Cleared)
 }
@@ -200,11 +200,11 @@
 func TestAFloodOfCutRequestsPushesOutNoQuarantinedOne(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
-	w.ledger.Take(endsUnder(deadly.Digest(), endsToQuarantine, start), start)
+	w.ledger.Take(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
 	for i := range 100_000 {
-		w.ledger.AddEnd(digestOf(i), Start(i), start+time.Duration(i)*time.Millisecond/2)
+		w.ledger.AddEnd(digestOf(i), Start(i), testStart+time.Duration(i)*time.Millisecond/2)
 		is.True(w.ledger.Len() <= maxRecords)
 	}
-	_, quarantined := w.Quarantined(deadly.Digest(), start+time.Minute)
+	_, quarantined := w.Quarantined(poisonous.Digest(), testStart+time.Minute)
 	is.True(quarantined)
 }
