--- a/poison/cluster_test.go
+++ b/poison/cluster_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	testStart  = time.Hour               // of the tests' clock
-	sentBefore = testStart - time.Minute // when requests were sent that are cut later
+	testStart  = time.Hour               // on the clock of the tests
+	sentBefore = testStart - time.Minute // when requests were sent that are interrupted later
 )
 
-// poisonous is a request that ends its replicas.
+// poisonous is a request that crashes its replicas.
 var poisonous = Content{
 	Target: "/deadly",
 }
 
-// digestOf returns a digest by a number.
+// digestOf returns the digest of a request with a number.
 func digestOf(n int) Digest {
 	c := Content{
 		Target: fmt.Sprint(n),
@@ -29,7 +29,7 @@
 	return c.Digest()
 }
 
-// recordOfCrashes returns a record of ends, a second apart, the last at now.
+// recordOfCrashes returns a record with n crashes a second apart, the last at now.
 func recordOfCrashes(d Digest, n int, now time.Duration) Record {
 	r := Record{
 		Digest:   d,
@@ -44,11 +44,11 @@
 	return r
 }
 
-// cluster are watches that hear each other at once, but for what is lost.
+// cluster connects watches; datagrams arrive at once unless drop discards them.
 type cluster struct {
 	t       *testing.T
 	now     time.Duration
-	watches map[string]*Watch // by address, which is the name
+	watches map[string]*Watch // by address, which equals the name
 	rnd     *rand.Rand
 	drop    func(from, to string) bool
 }
@@ -67,19 +67,19 @@
 	return b
 }
 
-// join has a box start.
+// join starts a box.
 func (b *cluster) join(name string) *Watch {
 	w := NewWatch(name)
 	b.watches[name] = w
 	return w
 }
 
-// sendDue has a box send what is due.
+// sendDue delivers the due datagrams of a box.
 func (b *cluster) sendDue(name string) {
 	b.deliver(name, b.watches[name].Due(b.others(name), b.now, b.rnd.IntN))
 }
 
-// names returns the boxes that run, in order, so that one seed is one run.
+// names returns the running boxes in order, so that a seed determines the run.
 func (b *cluster) names() []string { return slices.Sorted(maps.Keys(b.watches)) }
 
 // others returns all boxes but one.
@@ -110,7 +110,7 @@
 	}
 }
 
-// run has all boxes tell each other for a time.
+// run gossips among all boxes for a time.
 func (b *cluster) run(d time.Duration) {
 	for until := b.now + d; b.now < until; b.now += 250 * time.Millisecond {
 		for _, name := range b.names() {
@@ -119,9 +119,9 @@
 	}
 }
 
-// crash has a replica crash under a request at a box.
+// crash crashes a replica under a request at a box.
 func (b *cluster) crash(name, replica string, d Digest) {
-	b.now += 2 * jointCrashWindow // replicas that end together say nothing of a request
+	b.now += 2 * jointCrashWindow // keeps the crashes from being joint ones
 	w := b.watches[name]
 	w.Cut(replica, d, sentBefore, b.now)
 	w.Ended(replica, b.now)
--- a/poison/datagram.go
+++ b/poison/datagram.go
@@ -106,8 +106,8 @@
 	if r.published {
 		head |= bitPublished
 	}
-	alone := r.trialBits()
-	if alone != 0 {
+	trialBits := r.trialBits()
+	if trialBits != 0 {
 		head |= bitTrials
 	}
 	out = append(out, head)
@@ -118,8 +118,8 @@
 		out = binary.LittleEndian.AppendUint64(out, uint64(e.Start))
 		out = appendAge(out, now-e.At)
 	}
-	if alone != 0 {
-		out = append(out, alone)
+	if trialBits != 0 {
+		out = append(out, trialBits)
 	}
 	return out
 }
--- a/poison/innocent_test.go
+++ b/poison/innocent_test.go
@@ -1,15 +1,7 @@
 package poison
 
-// A request that was under way on the same replicas as one that ends them was quarantined at
-// all boxes. Of the two courses that the path test took, from the lines of its boxes:
-//
-// Both had the same three ends, and no whole answer, so nothing told them apart. Neither was
-// tried alone, which would have.
-//
-// Or it was answered whole 43 ms after it was cut, by the replica that its box tried next.
-// The end of the first was counted 9 ms later, once a connection had told of it, and for the
-// time of the count, not of the cut: so the answer cleared nothing, nobody was told of it, and
-// two ends at another box made three.
+// These tests guard against the quarantine of an innocent request that runs on the same
+// replicas as a poison request.
 
 import (
 	"fmt"
@@ -23,7 +15,7 @@
 	Target: "/innocent",
 }
 
-// crashUnderBoth has a replica end under the guilty request and an innocent one at a box.
+// crashUnderBoth crashes a replica at a box under the poison request and an innocent one.
 func (b *cluster) crashUnderBoth(name, replica string) {
 	b.now += 2 * jointCrashWindow
 	w := b.watches[name]
@@ -33,7 +25,7 @@
 	b.sendDue(name)
 }
 
-func TestOfTwoRequestsWithTheSameEndsTheInnocentOneIsNotQuarantined(t *testing.T) {
+func TestOfTwoRequestsWithTheSameCrashesTheInnocentOneIsNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	for i := range quarantineThreshold {
@@ -41,20 +33,21 @@
 	}
 	b.run(time.Second)
 	is.Equal(b.countQuarantined(innocent.Digest()), 0)
-	is.True(b.watches["box-5"].Clear(innocent.Digest(), b.now)) // one run alone tells
+	is.True(b.watches["box-5"].Clear(innocent.Digest(), b.now)) // one run alone is enough
 	b.sendDue("box-5")
 	b.run(time.Second)
 	is.Equal(b.countQuarantined(innocent.Digest()), 0)
-	is.Equal(b.countQuarantined(poisonous.Digest()), 9) // nothing else explains the ends
+	is.Equal(b.countQuarantined(poisonous.Digest()), 9) // no other request explains the crashes
 }
 
-func TestARequestWhoseAnswerCameBeforeTheEndWasKnownIsCleared(t *testing.T) {
+// Guards against a crash that is counted at the time of its detection, past a complete response.
+func TestAResponseBeforeTheCrashIsKnownClearsTheRequest(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 3)
 	w := b.watches["box-0"]
 	w.Cut("replica-0", innocent.Digest(), sentBefore, b.now)
 	b.now += 43 * time.Millisecond
-	is.True(w.Clear(innocent.Digest(), b.now)) // answered by the next replica
+	is.True(w.Clear(innocent.Digest(), b.now)) // a complete response of the next replica
 	b.sendDue("box-0")
 	b.now += 9 * time.Millisecond
 	is.Equal(w.Ended("replica-0", b.now), 0)
--- a/poison/interruptions.go
+++ b/poison/interruptions.go
@@ -46,7 +46,7 @@
 // the incarnation is known to have crashed and the request may be the cause; alone marks a run
 // on trial. A request sent just after the first interruption can't be the cause, as the
 // process was gone by then.
-func (c *Cuts) Add(start string, d Digest, alone bool, sent, now time.Duration) (ended bool) {
+func (c *Cuts) Add(start string, d Digest, alone bool, sent, now time.Duration) (crashed bool) {
 	k := c.incarnations[start]
 	if k != nil && sent >= k.first && (k.crashed || sent-k.first < dialInterval) {
 		return false
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -147,7 +147,7 @@
 	l.Forget(now)
 	all := l.All()
 	slices.SortFunc(all, func(a, b *Record) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(b.lastChange(), a.lastChange()))
+		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(b.latest(), a.latest()))
 	})
 	l.assessment = nil
 	for _, r := range all[min(len(all), recordsAfterEviction):] {
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAQuarantineLastsTwiceAsLongAfterEachFurtherEnd(t *testing.T) {
+func TestEachFurtherCrashDoublesTheQuarantine(t *testing.T) {
 	is := is.New(t)
 	for n, want := range map[int]time.Duration{
 		quarantineThreshold - 1: 0,
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestAfterAQuarantineASingleEndIsEnoughForAnother(t *testing.T) {
+func TestAfterAQuarantineASingleCrashRenewsIt(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
 	l.Take(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
@@ -38,7 +38,7 @@
 	is.Equal(left, 2*quarantineTTL)
 }
 
-func TestSuspectsAndQuarantinesAreForgotten(t *testing.T) {
+func TestRecordsExpire(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
 	l.Take(recordOfCrashes(digestOf(1), 1, testStart), testStart)
@@ -49,11 +49,11 @@
 	is.Equal(l.Len(), 1)
 	l.Forget(testStart + 2*quarantineTTL + 1)
 	is.Equal(l.Len(), 0)
-	is.True(!l.Take(recordOfCrashes(digestOf(1), 1, testStart), testStart+suspectTTL+1)) // nor taken from others
+	is.True(!l.Take(recordOfCrashes(digestOf(1), 1, testStart), testStart+suspectTTL+1)) // nor accepted from others
 	is.Equal(l.Len(), 0)
 }
 
-func TestEndsBeforeAnAnswerAndJustAfterItDoNotCount(t *testing.T) {
+func TestCrashesBeforeAResponseAndJustAfterItDoNotCount(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
 	d := poisonous.Digest()
@@ -65,14 +65,14 @@
 	is.Equal(len(l.Get(d).Ends), 1)
 }
 
-func TestAnAnswerIsNotToldYoungerFromBoxToBox(t *testing.T) {
+func TestGossipDoesNotAdvanceTheTimeOfAResponse(t *testing.T) {
 	is := is.New(t)
 	a, b := NewLedger(), NewLedger()
 	d := poisonous.Digest()
 	a.Take(recordOfCrashes(d, publishThreshold, testStart), testStart)
 	a.Clear(d, testStart+time.Second)
 	now := testStart + time.Second
-	for range 1000 { // each way takes 80 ms, by which the answer seems later
+	for range 1000 { // each datagram takes 80 ms, by which the response seems later
 		pass := func(from, to *Ledger) {
 			sent := Datagram{
 				Records: []Record{*from.Get(d)},
@@ -89,7 +89,7 @@
 	is.True(a.Get(d).Answered <= testStart+time.Second+maxSkew)
 }
 
-// drawRecord draws a record with whole milliseconds, as they are told.
+// drawRecord draws a record with whole milliseconds, as datagrams hold them.
 func drawRecord(t *rapid.T) Record {
 	age := rapid.Custom(func(t *rapid.T) time.Duration {
 		return testStart - time.Duration(rapid.IntRange(0, 600_000).Draw(t, "age"))*time.Millisecond
@@ -111,7 +111,7 @@
 	return r
 }
 
-func TestADatagramIsReadAsItWasWritten(t *testing.T) {
+func TestDatagramsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		d := Datagram{
@@ -131,7 +131,7 @@
 	})
 }
 
-func TestNoDatagramBreaksTheReader(t *testing.T) {
+func TestArbitraryDatagramsDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		buf := append([]byte{Mark}, rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes")...)
 		d, err := Decode(buf, testStart)
@@ -144,14 +144,14 @@
 	})
 }
 
-func TestALedgerIsTheSameInWhateverOrderItHears(t *testing.T) {
+func TestALedgerDoesNotDependOnTheOrderOfRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		list := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 8).Draw(t, "records")
 		for i := range list {
-			list[i].Answered = never // of two answers that are told at nearly the same time the first stays
+			list[i].Answered = never // of two responses within maxSkew the first stays, which depends on the order
 			for k := range list[i].Ends {
-				list[i].Ends[k].At = testStart - time.Duration(list[i].Ends[k].Start)*time.Second // one start ends once
+				list[i].Ends[k].At = testStart - time.Duration(list[i].Ends[k].Start)*time.Second // an incarnation crashes once
 			}
 		}
 		a, b := NewLedger(), NewLedger()
--- a/poison/record.go
+++ b/poison/record.go
@@ -54,7 +54,7 @@
 		return 0, false
 	}
 	more := min(len(r.Ends), maxCrashes) - quarantineThreshold
-	left = r.lastChange() + quarantineTTL<<more - now
+	left = r.latest() + quarantineTTL<<more - now
 	return left, left > 0
 }
 
@@ -63,8 +63,8 @@
 	return now - r.Answered, r.Answered != never
 }
 
-// lastChange returns the time of the latest crash or complete response.
-func (r *Record) lastChange() time.Duration {
+// latest returns the time of the latest crash or complete response.
+func (r *Record) latest() time.Duration {
 	if len(r.Ends) == 0 {
 		return r.Answered
 	}
@@ -78,7 +78,7 @@
 	if n := min(len(r.Ends), maxCrashes); n >= quarantineThreshold {
 		keep = 2 * quarantineTTL << (n - quarantineThreshold)
 	}
-	return now-r.lastChange() > keep
+	return now-r.latest() > keep
 }
 
 // clears reports whether the last complete response clears a crash.
@@ -107,7 +107,7 @@
 	return r.Ends[i], true
 }
 
-// incarnations returns the incarnations that ended under the request.
+// incarnations returns the incarnations that crashed under the request.
 func (r *Record) incarnations() []Start {
 	out := make([]Start, 0, len(r.Ends))
 	for _, e := range r.Ends {
@@ -154,7 +154,7 @@
 	r.Ends[i].Alone = r.Ends[i].Alone || e.Alone
 }
 
-// checksum returns what stands for the record in the checksum of its part.
+// checksum returns the contribution of the record to the checksum of its partition.
 func (r *Record) checksum() uint32 {
 	h := xxhash.Sum64(r.Digest[:])
 	return uint32(bits.RotateLeft64(h, len(r.Ends)))
--- a/poison/served_test.go
+++ b/poison/served_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWhatWasServedIsSoForAWhileAndRememberedLonger(t *testing.T) {
+func TestServedRequestsExpire(t *testing.T) {
 	is := is.New(t)
 	p := NewServed()
 	is.True(!p.Before(&poisonous))
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkServed measures what a whole answer to a request of 64 KB costs.
+// BenchmarkServed measures the cost of Add for a request of 64 KB.
 func BenchmarkServed(b *testing.B) {
 	p := NewServed()
 	c := Content{
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -187,7 +187,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(b.lastChange(), a.lastChange()), slices.Compare(a.Digest[:], b.Digest[:]))
+		return cmp.Or(cmp.Compare(b.latest(), a.latest()), slices.Compare(a.Digest[:], b.Digest[:]))
 	})
 	packed := pack(list)
 	if len(packed) == 0 && in.Compare {
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -111,7 +111,7 @@
 	if w.ledger.isUnsettled(r, now) {
 		return false
 	}
-	if last, ok := w.trials.lastGrant[d]; ok && now-last < trialTimeout && r.lastChange() <= last {
+	if latest, ok := w.trials.lastGrant[d]; ok && now-latest < trialTimeout && r.latest() <= latest {
 		return false
 	}
 	w.trials.lastGrant[d] = now
--- a/poison/trial_test.go
+++ b/poison/trial_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// newClusterOnTrial returns boxes that know of two requests with the same three ends.
+// newClusterOnTrial returns a cluster with two requests that have the same three crashes.
 func newClusterOnTrial(t *testing.T, n int) *cluster {
 	b := newCluster(t, n)
 	for i := range quarantineThreshold {
@@ -19,7 +19,7 @@
 	return b
 }
 
-// try has a box ask to run a request on trial until it may or a time is over.
+// try requests a run on trial from a box until it is granted or a time is over.
 func (b *cluster) try(name string, d Digest, within time.Duration) bool {
 	for until := b.now + within; b.now < until; b.now += 40 * time.Millisecond {
 		may, asks := b.watches[name].Try(d, func() []Box { return b.others(name) }, b.now)
@@ -42,10 +42,10 @@
 	}
 	is.Equal(allowed, 1)
 	b.now += trialTimeout
-	is.True(b.try("box-3", innocent.Digest(), time.Second)) // the first may have been lost
+	is.True(b.try("box-3", innocent.Digest(), time.Second)) // the first run may have been lost
 }
 
-func TestARunOnTrialIsAllowedByAnotherOwnerWhereTheFirstIsGone(t *testing.T) {
+func TestAnotherOwnerGrantsARunOnTrialIfTheFirstIsGone(t *testing.T) {
 	is := is.New(t)
 	b := newClusterOnTrial(t, 9)
 	group := newGroup("nobody", b.all())
@@ -59,17 +59,17 @@
 	}
 }
 
-// all returns the boxes that run.
+// all returns the running boxes.
 func (b *cluster) all() []Box { return b.others("") }
 
-// crashOnTrial has a replica end under a request on trial at a box.
+// crashOnTrial crashes a replica under a request on trial at a box.
 func (b *cluster) crashOnTrial(name, replica string, d Digest) {
 	b.watches[name].BeginTrial(replica, d)
 	b.crash(name, replica, d)
 	b.watches[name].EndTrial(replica, d)
 }
 
-func TestTheEndOfARunOnTrialIsHeldAgainstItsRequestAndFreesTheOther(t *testing.T) {
+func TestACrashOnTrialQuarantinesItsRequestAndFreesTheOther(t *testing.T) {
 	is := is.New(t)
 	b := newClusterOnTrial(t, 9)
 	is.True(b.try("box-4", poisonous.Digest(), time.Second))
@@ -78,36 +78,36 @@
 	is.Equal(b.countQuarantined(poisonous.Digest()), 9)
 	is.Equal(b.countQuarantined(innocent.Digest()), 0)
 	for _, w := range b.watches {
-		is.True(!w.OnTrial(innocent.Digest(), b.now)) // the other explains its ends
+		is.True(!w.OnTrial(innocent.Digest(), b.now)) // the other request explains its crashes
 	}
 }
 
-func TestABoxThatHearsOfOneRequestBeforeTheOtherBlamesNone(t *testing.T) {
+func TestARequestIsOnTrialWhileTheRecordOfAnotherIsIncomplete(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
 	l.Take(recordOfCrashes(innocent.Digest(), quarantineThreshold, testStart), testStart)
 	late := recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart)
-	late.Ends = late.Ends[:quarantineThreshold-1] // of the latest it has not heard yet
+	late.Ends = late.Ends[:quarantineThreshold-1] // the latest crash has not been received yet
 	l.Take(late, testStart)
 	v, _ := l.Verdict(innocent.Digest(), testStart+settleWindow)
 	is.Equal(v, OnTrial)
-	v, _ = l.Verdict(innocent.Digest(), testStart+settleWindow+1) // nor will it
+	v, _ = l.Verdict(innocent.Digest(), testStart+settleWindow+1) // it is not expected any more
 	is.Equal(v, Quarantined)
 }
 
-func TestARequestOnTrialGoesWhereFewestOthersAre(t *testing.T) {
+func TestTrialsReturnsIncarnationsWithOtherRunsOnTrial(t *testing.T) {
 	is := is.New(t)
 	b := newClusterOnTrial(t, 3)
 	w := b.watches["box-0"]
 	w.BeginTrial("replica-7", poisonous.Digest())
 	is.Equal(w.Trials(innocent.Digest(), 0), []string{"replica-7"})
 	is.Equal(w.Trials(innocent.Digest(), 1), nil)
-	is.Equal(w.Trials(poisonous.Digest(), 0), nil) // its own run is none of another
+	is.Equal(w.Trials(poisonous.Digest(), 0), nil) // its own run does not count
 	w.EndTrial("replica-7", poisonous.Digest())
 	is.Equal(w.Trials(innocent.Digest(), 0), nil)
 }
 
-func TestNoMoreThanAFewRunsOnTrialAreMade(t *testing.T) {
+func TestRunsOnTrialAreLimited(t *testing.T) {
 	is := is.New(t)
 	r := recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart)
 	for n := range maxEarlyTrials {
@@ -119,19 +119,19 @@
 		})
 	}
 	is.Equal(r.trialDelay(testStart), retryDelay)
-	r.Ends[len(r.Ends)-1].At = testStart + earlyTrialWindow // so late that more would come later than the time of contact
+	r.Ends[len(r.Ends)-1].At = testStart + earlyTrialWindow // past the window no further run is made
 	is.Equal(r.trialDelay(testStart+time.Hour), never.Abs())
 }
 
-func TestEndsBeyondThoseThatAreKeptAreNoNews(t *testing.T) {
+func TestCrashesBeyondTheLimitAreNoChange(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
 	list := recordOfCrashes(poisonous.Digest(), maxCrashes+4, testStart)
 	is.True(l.Take(list, testStart))
-	is.True(!l.Take(list, testStart)) // it would be told by box to box for ever
+	is.True(!l.Take(list, testStart)) // or it would be gossiped for ever
 }
 
-func TestWordsOfTrialsAreReadAsTheyWereWritten(t *testing.T) {
+func TestTrialMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		d := Datagram{
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -63,7 +63,7 @@
 // assessment is the attribution of crashes for all records; it is valid until one changes.
 type assessment struct {
 	suspectCount   map[Start]int // how many requests a crash counts for, without those that another exceeds
-	attributions   map[Digest]attribution
+	attribution    map[Digest]attribution
 	explainedSince map[Digest]time.Duration // time of the crash that explains those of a request
 }
 
@@ -72,14 +72,14 @@
 	if l.assessment == nil {
 		l.assess()
 	}
-	return l.assessment.attributions[r.Digest]
+	return l.assessment.attribution[r.Digest]
 }
 
 // assess computes the assessment.
 func (l *Ledger) assess() {
 	w := &assessment{
 		suspectCount:   make(map[Start]int),
-		attributions:   make(map[Digest]attribution),
+		attribution:    make(map[Digest]attribution),
 		explainedSince: make(map[Digest]time.Duration),
 	}
 	l.assessment = w
@@ -99,7 +99,7 @@
 	}
 	for _, r := range list {
 		if at, ok := exceededSince(r, tried); ok {
-			w.attributions[r.Digest] = explained
+			w.attribution[r.Digest] = explained
 			w.explainedSince[r.Digest] = at
 			continue
 		}
@@ -113,10 +113,10 @@
 func (w *assessment) findCauses(list []*Record) map[Start]bool {
 	caused := make(map[Start]bool)
 	for _, r := range list {
-		if w.attributions[r.Digest] != ambiguous || !w.isCause(r) {
+		if w.attribution[r.Digest] != ambiguous || !w.isCause(r) {
 			continue
 		}
-		w.attributions[r.Digest] = cause
+		w.attribution[r.Digest] = cause
 		for _, e := range r.Ends {
 			caused[e.Start] = true
 		}
@@ -128,8 +128,8 @@
 func (w *assessment) findExplained(list []*Record, caused map[Start]bool) {
 	for _, r := range list {
 		isOpen := slices.ContainsFunc(r.Ends, func(e End) bool { return !caused[e.Start] })
-		if w.attributions[r.Digest] == ambiguous && !isOpen {
-			w.attributions[r.Digest] = explained
+		if w.attribution[r.Digest] == ambiguous && !isOpen {
+			w.attribution[r.Digest] = explained
 		}
 	}
 }
@@ -192,7 +192,7 @@
 	for range n - maxEarlyTrials {
 		wait *= retryFactor
 	}
-	return wait - (now - r.lastChange())
+	return wait - (now - r.latest())
 }
 
 // isUnsettled reports whether the third crash of a request is within the settle window and
@@ -200,7 +200,7 @@
 // too, several poison requests may explain them, or a box may be about to report that it has
 // served the request.
 func (l *Ledger) isUnsettled(r *Record, now time.Duration) bool {
-	if now-r.lastChange() > settleWindow || len(r.Ends) != quarantineThreshold {
+	if now-r.latest() > settleWindow || len(r.Ends) != quarantineThreshold {
 		return false
 	}
 	for _, other := range l.records {
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -17,28 +17,28 @@
 // Watch is the state of a box on requests that crash their replicas. It belongs to one actor,
 // except for Served.
 type Watch struct {
-	ledger    *Ledger
-	cuts      *Cuts
-	spread    *Spread
-	served    *Served
-	trials    trials
-	lastDial  map[string]time.Duration // time of the last probe by incarnation
-	lastRetry map[Digest]time.Duration // when this box last retried a quarantined request
-	reported  map[Digest]bool          // as last returned by Changes
+	ledger      *Ledger
+	cuts        *Cuts
+	spread      *Spread
+	served      *Served
+	trials      trials
+	lastDial    map[string]time.Duration // time of the last probe by incarnation
+	lastRetry   map[Digest]time.Duration // when this box last retried a quarantined request
+	quarantined map[Digest]bool          // as last returned by Changes
 }
 
 // NewWatch returns an empty Watch for a box.
 func NewWatch(box string) *Watch {
 	ledger := NewLedger()
 	return &Watch{
-		ledger:    ledger,
-		cuts:      NewCuts(),
-		spread:    NewSpread(box, ledger),
-		served:    NewServed(),
-		trials:    newTrials(),
-		lastDial:  make(map[string]time.Duration),
-		lastRetry: make(map[Digest]time.Duration),
-		reported:  make(map[Digest]bool),
+		ledger:      ledger,
+		cuts:        NewCuts(),
+		spread:      NewSpread(box, ledger),
+		served:      NewServed(),
+		trials:      newTrials(),
+		lastDial:    make(map[string]time.Duration),
+		lastRetry:   make(map[Digest]time.Duration),
+		quarantined: make(map[Digest]bool),
 	}
 }
 
@@ -86,7 +86,7 @@
 	for range len(r.Ends) - quarantineThreshold {
 		wait *= retryFactor
 	}
-	if now-max(r.lastChange(), w.lastRetry[d]) < wait {
+	if now-max(r.latest(), w.lastRetry[d]) < wait {
 		return false
 	}
 	w.lastRetry[d] = now
@@ -197,10 +197,10 @@
 	var out []Change
 	for _, r := range w.ledger.Open() {
 		left, quarantined := w.Quarantined(r.Digest, now)
-		if quarantined == w.reported[r.Digest] {
+		if quarantined == w.quarantined[r.Digest] {
 			continue
 		}
-		w.reported[r.Digest] = quarantined
+		w.quarantined[r.Digest] = quarantined
 		out = append(out, Change{
 			Digest:      r.Digest,
 			Quarantined: quarantined,
@@ -220,5 +220,5 @@
 	w.trials.forget(w.ledger, now)
 	maps.DeleteFunc(w.lastDial, func(_ string, at time.Duration) bool { return now-at > dialInterval })
 	maps.DeleteFunc(w.lastRetry, func(d Digest, _ time.Duration) bool { return w.ledger.Get(d) == nil })
-	maps.DeleteFunc(w.reported, func(d Digest, _ bool) bool { return w.ledger.Get(d) == nil })
+	maps.DeleteFunc(w.quarantined, func(d Digest, _ bool) bool { return w.ledger.Get(d) == nil })
 }
--- a/poison/watch_test.go
+++ b/poison/watch_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestThreeEndsAtThreeBoxesQuarantineARequestAtAll(t *testing.T) {
+func TestThreeCrashesAtThreeBoxesQuarantineARequestAtAllBoxes(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	for i := range quarantineThreshold {
@@ -18,7 +18,7 @@
 	is.Equal(b.countQuarantined(poisonous.Digest()), 9)
 }
 
-func TestOneEndThatThreeBoxesSeeIsOne(t *testing.T) {
+func TestACrashThatThreeBoxesDetectCountsOnce(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	for i := range quarantineThreshold {
@@ -28,19 +28,19 @@
 	is.Equal(b.countQuarantined(poisonous.Digest()), 0)
 }
 
-func TestAReplicaThatCutsAnAnswerAndLivesIsHeldAgainstNobody(t *testing.T) {
+func TestAnInterruptionByAReplicaThatSurvivesDoesNotCount(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	is.True(!w.Cut("replica", poisonous.Digest(), sentBefore, testStart))
 	is.Equal(w.Doubtful(), []string{"replica"})
-	w.Lives("replica", testStart-time.Second) // it was sent before
+	w.Lives("replica", testStart-time.Second) // sent before the interruption
 	is.Equal(w.Doubtful(), []string{"replica"})
 	w.Lives("replica", testStart+time.Second)
 	is.Equal(w.Doubtful(), nil)
 	is.Equal(w.Ended("replica", testStart+2*time.Second), 0)
 }
 
-func TestARequestThatIsCutAfterItsReplicaIsKnownToHaveEndedCountsToo(t *testing.T) {
+func TestAnInterruptionAfterTheCrashIsKnownCounts(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	w.Cut("replica", digestOf(1), sentBefore, testStart)
@@ -50,18 +50,18 @@
 	is.Equal(len(w.ledger.Get(poisonous.Digest()).Ends), 1)
 }
 
-func TestOfReplicasThatEndTogetherOnlyWhatSeveralRanMayBeTheCause(t *testing.T) {
+func TestOfAJointCrashOnlyARequestThatSeveralReplicasRanMayBeTheCause(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	name := func(i int) string { return fmt.Sprint("replica-", i) }
 	for i := range minJointCrashes {
 		at := testStart + time.Duration(i)*jointCrashWindow/minJointCrashes
-		w.Cut(name(i), digestOf(i), sentBefore, at) // each ran another one, too
+		w.Cut(name(i), digestOf(i), sentBefore, at) // each ran another request, too
 		w.Cut(name(i), poisonous.Digest(), sentBefore, at)
 	}
 	for i := range minJointCrashes {
 		is.Equal(w.Ended(name(i), testStart+Settles), 1)
-		is.True(!w.Cut(name(i), digestOf(10+i), sentBefore, testStart+Settles)) // nor one that notices later
+		is.True(!w.Cut(name(i), digestOf(10+i), sentBefore, testStart+Settles)) // nor a request that is interrupted later
 	}
 	_, quarantined := w.Quarantined(poisonous.Digest(), testStart+Settles)
 	is.True(quarantined)
@@ -71,21 +71,21 @@
 	is.Equal(w.Ended("beside", testStart+time.Second+Settles), 1)
 }
 
-// A call was cut at two replicas of twelve that ended together: its retry went to the second
-// a moment after that had ended, on a connection at rest.
-func TestWhatWasSentAfterAReplicaHadEndedIsNotTheCause(t *testing.T) {
+// Guards against counting a retry that is sent on an idle connection to a replica that has
+// just crashed.
+func TestARequestSentAfterTheCrashIsNotTheCause(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	w.Cut("replica", poisonous.Digest(), sentBefore, testStart)
 	w.Cut("replica", digestOf(1), testStart+time.Millisecond, testStart+2*time.Millisecond)
 	is.Equal(w.Ended("replica", testStart+Settles), 1)
 	is.True(!w.Cut("replica", digestOf(2), testStart+time.Minute, testStart+time.Minute))
-	w.Cut("lives", digestOf(1), sentBefore, testStart) // it cut this one only
+	w.Cut("lives", digestOf(1), sentBefore, testStart) // the only request interrupted before
 	w.Cut("lives", poisonous.Digest(), testStart+dialInterval, testStart+2*dialInterval)
 	is.Equal(w.Ended("lives", testStart+2*dialInterval+Settles), 2)
 }
 
-func TestACutIsForgottenAfterAWhile(t *testing.T) {
+func TestInterruptionsExpire(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	w.Cut("replica", poisonous.Digest(), sentBefore, testStart)
@@ -93,7 +93,7 @@
 	is.Equal(w.Ended("replica", testStart+interruptionTTL+1), 0)
 }
 
-func TestABoxThatJoinsKnowsWithinTwoSecondsWhatIsQuarantined(t *testing.T) {
+func TestABoxThatJoinsReceivesTheQuarantineWithinTwoSeconds(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	for i := range quarantineThreshold {
@@ -105,7 +105,7 @@
 	is.Equal(b.countQuarantined(poisonous.Digest()), 10)
 }
 
-func TestBoxesThatHeardNothingLearnItByComparing(t *testing.T) {
+func TestComparisonsRepairLostDatagrams(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	b.drop = func(string, string) bool { return true }
@@ -119,14 +119,14 @@
 	is.Equal(b.countQuarantined(poisonous.Digest()), 9)
 }
 
-func TestTheEndsOfOwnersThatAreGoneAreKnownToTheOthers(t *testing.T) {
+func TestCrashesSurviveTheLossOfOwners(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	b.crash("box-0", "replica-0", poisonous.Digest())
 	b.crash("box-1", "replica-1", poisonous.Digest())
 	for _, name := range b.names() {
 		if b.watches[name].ledger.Get(poisonous.Digest()) != nil && name != "box-2" {
-			delete(b.watches, name) // those that saw an end, and the owners but perhaps one
+			delete(b.watches, name) // those that detected a crash, and the owners but perhaps one
 		}
 		if len(b.watches) == 2 {
 			break
@@ -137,7 +137,7 @@
 	is.Equal(b.countQuarantined(poisonous.Digest()), len(b.watches))
 }
 
-func TestAWholeAnswerAtAnyBoxClearsARequestAtAll(t *testing.T) {
+func TestACompleteResponseAtAnyBoxClearsARequestAtAllBoxes(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	for i := range quarantineThreshold {
@@ -148,12 +148,12 @@
 	b.sendDue("box-5")
 	b.run(5 * time.Second)
 	is.Equal(b.countQuarantined(poisonous.Digest()), 0)
-	b.crash("box-1", "replica-9", poisonous.Digest()) // one end more is one only
+	b.crash("box-1", "replica-9", poisonous.Digest()) // counts from zero again
 	b.run(time.Second)
 	is.Equal(b.countQuarantined(poisonous.Digest()), 0)
 }
 
-func TestOneOwnerTriesARequestThatWasAnsweredBefore(t *testing.T) {
+func TestOneOwnerRetriesARequestThatWasServedBefore(t *testing.T) {
 	is := is.New(t)
 	b := newCluster(t, 9)
 	for i := range quarantineThreshold {
@@ -170,15 +170,15 @@
 	is.Equal(tries(), 0)
 	b.now += retryDelay
 	is.Equal(tries(), 1)
-	is.Equal(tries(), 0) // while that is under way
+	is.Equal(tries(), 0) // while the retry is under way
 	b.crash("box-0", "replica-4", poisonous.Digest())
 	b.now += 2 * retryDelay
-	is.Equal(tries(), 0) // each time later than before
+	is.Equal(tries(), 0) // the delay grows with each retry
 	b.now += retryFactor * retryDelay
 	is.Equal(tries(), 1)
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
+func TestChangesAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	for i := range quarantineThreshold {
@@ -197,7 +197,7 @@
 	is.True(list[0].Cleared)
 }
 
-func TestAFloodOfCutRequestsPushesOutNoQuarantinedOne(t *testing.T) {
+func TestAFloodOfInterruptedRequestsEvictsNoQuarantinedOne(t *testing.T) {
 	is := is.New(t)
 	w := NewWatch("box")
 	w.ledger.Take(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
