--- a/poison/interruptions.go
+++ b/poison/interruptions.go
@@ -13,7 +13,7 @@
 	maxIncarnations  = 4096             // with interrupted requests
 
 	jointCrashWindow = 10 * time.Millisecond // between the first interruptions of replicas that crash for one cause; more would join the crashes of several poison requests
-	minJointCrashes  = 3                     // replicas that crash together, such as in one rack; their cause is a request that several of them ran, or none
+	minJointCrashes  = 3                     // as with a rack or a power line: only a request that several of them ran may be the cause
 )
 
 // Settles is the delay before a crash is counted, in which joint crashes become known.
@@ -46,8 +46,8 @@
 // the incarnation is known to have crashed and the request may be the cause; alone marks a run
 // on trial. A request sent just after the first interruption can't be the cause, as the
 // process was gone by then.
-func (c *Cuts) Add(start string, d Digest, alone bool, sent, now time.Duration) (crashed bool) {
-	k := c.incarnations[start]
+func (c *Cuts) Add(incarnation string, d Digest, alone bool, sent, now time.Duration) (crashed bool) {
+	k := c.incarnations[incarnation]
 	if k != nil && sent >= k.first && (k.crashed || sent-k.first < dialInterval) {
 		return false
 	}
@@ -59,7 +59,7 @@
 			digests: make(map[Digest]bool),
 			first:   now,
 		}
-		c.incarnations[start] = k
+		c.incarnations[incarnation] = k
 	}
 	if len(k.digests) < maxInterruptions {
 		k.digests[d] = alone
@@ -82,8 +82,8 @@
 }
 
 // CutBy returns up to maxLoggedDigests requests that an incarnation interrupted.
-func (c *Cuts) CutBy(start string) []Digest {
-	k := c.incarnations[start]
+func (c *Cuts) CutBy(incarnation string) []Digest {
+	k := c.incarnations[incarnation]
 	if k == nil {
 		return nil
 	}
@@ -99,8 +99,8 @@
 
 // Ended records that an incarnation has crashed, and returns the crash for each request that may
 // be the cause. A crash has the time of its interruption, so that a later response clears it.
-func (c *Cuts) Ended(start string) []Ending {
-	k := c.incarnations[start]
+func (c *Cuts) Ended(incarnation string) []Ending {
+	k := c.incarnations[incarnation]
 	if k == nil || k.crashed {
 		return nil
 	}
@@ -114,7 +114,7 @@
 		out = append(out, Ending{
 			Digest: d,
 			End: End{
-				Start: StartOf(start),
+				Start: StartOf(incarnation),
 				At:    k.last,
 				Alone: alone,
 			},
@@ -124,7 +124,7 @@
 }
 
 // mayCause reports whether a request may be the cause of a crash. Of a joint crash, only a
-// request that several of the replicas ran may be.
+// request that several of the replicas ran may be, as it can arrive at several boxes at once.
 func (c *Cuts) mayCause(k *interruption, d Digest) bool {
 	if !k.joint {
 		return true
@@ -149,18 +149,18 @@
 }
 
 // Lives records that an incarnation gave a complete response to a request sent at a time.
-func (c *Cuts) Lives(start string, sent time.Duration) {
-	if k := c.incarnations[start]; k != nil && !k.crashed && sent > k.last {
-		delete(c.incarnations, start)
+func (c *Cuts) Lives(incarnation string, sent time.Duration) {
+	if k := c.incarnations[incarnation]; k != nil && !k.crashed && sent > k.last {
+		delete(c.incarnations, incarnation)
 	}
 }
 
 // Open returns the incarnations that are not known to have crashed.
 func (c *Cuts) Open() []string {
 	var out []string
-	for start, k := range c.incarnations {
+	for incarnation, k := range c.incarnations {
 		if !k.crashed {
-			out = append(out, start)
+			out = append(out, incarnation)
 		}
 	}
 	return out
@@ -168,9 +168,9 @@
 
 // Forget drops expired interruptions.
 func (c *Cuts) Forget(now time.Duration) {
-	for start, k := range c.incarnations {
+	for incarnation, k := range c.incarnations {
 		if now-k.last > interruptionTTL {
-			delete(c.incarnations, start)
+			delete(c.incarnations, incarnation)
 		}
 	}
 }
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -120,12 +120,12 @@
 		}
 		l.records[in.Digest] = r
 	}
-	news := r.merge(in)
-	if news {
+	changed := r.merge(in)
+	if changed {
 		l.assessment = nil
 	}
 	r.published = r.published || in.published || len(r.Ends) >= publishThreshold
-	return news
+	return changed
 }
 
 // Forget drops expired records.
--- a/poison/record.go
+++ b/poison/record.go
@@ -28,7 +28,7 @@
 func (s Start) String() string { return strconv.FormatUint(uint64(s), 16) }
 
 // StartOf returns the hash of an incarnation.
-func StartOf(start string) Start { return Start(xxhash.Sum64String(start)) }
+func StartOf(incarnation string) Start { return Start(xxhash.Sum64String(incarnation)) }
 
 // End is the crash of an incarnation under a request.
 type End struct {
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -89,19 +89,19 @@
 		t.toAll = false
 		return
 	}
-	rank, near := g.ownersOf(d)
-	told := false
+	rank, owners := g.ownersOf(d)
+	sentToAll := false
 	if t.toAll {
 		t.toAll = false
-		if told = r.published && rank < announcers; told {
+		if sentToAll = r.published && rank < announcers; sentToAll {
 			enqueue(out, r, g.others)
 		}
 	}
 	if t.sendsLeft > 0 && now >= t.nextSend {
 		t.sendsLeft--
 		t.nextSend = now + resendInterval
-		if !told {
-			enqueue(out, r, near)
+		if !sentToAll {
+			enqueue(out, r, owners)
 		}
 	}
 }
@@ -145,22 +145,22 @@
 
 // Hear processes a datagram from an address. It returns the replies, and whether the ledger
 // changed. Records that this box can clear are returned to the sender.
-func (s *Spread) Hear(d Datagram, from string, now time.Duration) (answers []Packet, news bool) {
-	var better []Record
+func (s *Spread) Hear(d Datagram, from string, now time.Duration) (replies []Packet, changed bool) {
+	var corrections []Record
 	for _, r := range d.Records {
 		if own := s.ledger.Get(r.Digest); own != nil && own.clearsAny(r.Ends) {
-			better = append(better, *own)
+			corrections = append(corrections, *own)
 		}
 		if !s.ledger.Take(r, now) {
 			continue
 		}
-		news = true
+		changed = true
 		s.forward(r.Digest, d)
 	}
 	if own := s.ledger.Sums(); (d.Compare || d.Answer) && d.Sums != own {
-		answers = s.reply(from, d, own, now)
+		replies = s.reply(from, d, own, now)
 	}
-	return append(answers, s.packets(map[string][]Record{from: better}, now)...), news
+	return append(replies, s.packets(map[string][]Record{from: corrections}, now)...), changed
 }
 
 // forward schedules a published record for all boxes. The records in a reply to a comparison
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -48,7 +48,7 @@
 // Try reports whether a request on trial may run now, and returns the message to its owner if
 // one is due; others returns the other boxes alive. It is called repeatedly while the request
 // waits.
-func (w *Watch) Try(d Digest, others func() []Box, now time.Duration) (may bool, asks []Packet) {
+func (w *Watch) Try(d Digest, others func() []Box, now time.Duration) (may bool, messages []Packet) {
 	q := w.trials.queries[d]
 	if q == nil {
 		q = &trialQuery{
@@ -153,30 +153,29 @@
 }
 
 // BeginTrial records that a request on trial is sent to an incarnation.
-func (w *Watch) BeginTrial(start string, d Digest) {
-	if w.trials.runs[start] == nil {
-		w.trials.runs[start] = make(map[Digest]struct{})
+func (w *Watch) BeginTrial(incarnation string, d Digest) {
+	if w.trials.runs[incarnation] == nil {
+		w.trials.runs[incarnation] = make(map[Digest]struct{})
 	}
-	w.trials.runs[start][d] = struct{}{}
+	w.trials.runs[incarnation][d] = struct{}{}
 }
 
 // EndTrial records that the run of a request on trial at an incarnation is over.
-func (w *Watch) EndTrial(start string, d Digest) {
-	delete(w.trials.runs[start], d)
-	if len(w.trials.runs[start]) == 0 {
-		delete(w.trials.runs, start)
+func (w *Watch) EndTrial(incarnation string, d Digest) {
+	delete(w.trials.runs[incarnation], d)
+	if len(w.trials.runs[incarnation]) == 0 {
+		delete(w.trials.runs, incarnation)
 	}
 }
 
-// Trials returns the incarnations at which more than most other requests on trial run that have
-// at least as many crashes as d. Runs go where the fewest such are, so that of 100 requests
-// with the same crashes a tenth share the next one if ten replicas are left, and one or two the
-// one after.
-func (w *Watch) Trials(d Digest, most int) []string {
+// Trials returns the incarnations at which more than limit other requests run on trial that have
+// at least as many crashes as d. Spreading the runs separates requests with the same crashes:
+// of 100 a tenth share the next crash if ten replicas are left, and one or two the one after.
+func (w *Watch) Trials(d Digest, limit int) []string {
 	var out []string
-	for start, list := range w.trials.runs {
-		if w.countPeers(d, list) > most {
-			out = append(out, start)
+	for incarnation, list := range w.trials.runs {
+		if w.countPeers(d, list) > limit {
+			out = append(out, incarnation)
 		}
 	}
 	return out
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -33,8 +33,8 @@
 	if r == nil {
 		return Free, 0
 	}
-	left, listed := r.Quarantined(now)
-	if !listed {
+	left, quarantined := r.Quarantined(now)
+	if !quarantined {
 		return Free, 0
 	}
 	guilt := l.attributionOf(r)
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -107,17 +107,17 @@
 }
 
 // Lives records that an incarnation survived a request sent at a time.
-func (w *Watch) Lives(start string, sent time.Duration) { w.cuts.Lives(start, sent) }
+func (w *Watch) Lives(incarnation string, sent time.Duration) { w.cuts.Lives(incarnation, sent) }
 
 // Cut records that an incarnation gave no complete response to a request, and reports whether
 // that counts as a crash because the incarnation is known to have crashed.
-func (w *Watch) Cut(start string, d Digest, sent, now time.Duration) bool {
-	_, alone := w.trials.runs[start][d]
-	if !w.cuts.Add(start, d, alone, sent, now) {
+func (w *Watch) Cut(incarnation string, d Digest, sent, now time.Duration) bool {
+	_, alone := w.trials.runs[incarnation][d]
+	if !w.cuts.Add(incarnation, d, alone, sent, now) {
 		return false
 	}
 	w.addCrash(d, End{
-		Start: StartOf(start),
+		Start: StartOf(incarnation),
 		At:    now,
 		Alone: alone,
 	}, now)
@@ -125,11 +125,11 @@
 }
 
 // Dials reports whether to probe an incarnation that interrupted requests now.
-func (w *Watch) Dials(start string, now time.Duration) bool {
-	if last, ok := w.lastDial[start]; ok && now-last < dialInterval {
+func (w *Watch) Dials(incarnation string, now time.Duration) bool {
+	if last, ok := w.lastDial[incarnation]; ok && now-last < dialInterval {
 		return false
 	}
-	w.lastDial[start] = now
+	w.lastDial[incarnation] = now
 	return true
 }
 
@@ -144,8 +144,8 @@
 
 // Ended records that an incarnation has crashed, and returns for how many requests that counts.
 // It is called after the delay Settles.
-func (w *Watch) Ended(start string, now time.Duration) int {
-	list := w.cuts.Ended(start)
+func (w *Watch) Ended(incarnation string, now time.Duration) int {
+	list := w.cuts.Ended(incarnation)
 	for _, e := range list {
 		w.addCrash(e.Digest, e.End, now)
 	}
@@ -153,7 +153,7 @@
 }
 
 // CutBy returns up to maxLoggedDigests requests that an incarnation interrupted.
-func (w *Watch) CutBy(start string) []Digest { return w.cuts.CutBy(start) }
+func (w *Watch) CutBy(incarnation string) []Digest { return w.cuts.CutBy(incarnation) }
 
 // addCrash records a crash under a request, and schedules the update if it is new.
 func (w *Watch) addCrash(d Digest, e End, now time.Duration) {
@@ -170,16 +170,16 @@
 
 // Hear processes a datagram from an address. It returns the replies, and whether the ledger
 // changed. A malformed datagram is dropped, as its records are sent again.
-func (w *Watch) Hear(buf []byte, from string, now time.Duration) (answers []Packet, news bool) {
+func (w *Watch) Hear(buf []byte, from string, now time.Duration) (replies []Packet, changed bool) {
 	d, err := Decode(buf, now)
 	if err != nil {
 		return nil, false
 	}
-	answers, news = w.spread.Hear(d, from, now)
+	replies, changed = w.spread.Hear(d, from, now)
 	if d.Word != noTrialMessage {
-		answers = append(answers, w.receiveTrialMessage(d, from, now)...)
+		replies = append(replies, w.receiveTrialMessage(d, from, now)...)
 	}
-	return answers, news
+	return replies, changed
 }
 
 // Change is a change of the quarantine of a request.
