--- a/poison/group.go
+++ b/poison/group.go
@@ -2,7 +2,7 @@
 
 import "github.com/havenrudder/havenrudder/common/rendezvous"
 
-const owners = 3 // boxes that count the crashes of a request; tolerates the loss of two
+const ownersPerRequest = 3 // boxes that count the crashes of a request; tolerates the loss of two
 
 // group is a snapshot of the boxes that are alive.
 type group struct {
@@ -29,8 +29,8 @@
 // ownersOf returns the other boxes that own a request, and the rank of this box among the
 // owners, or their number if it isn't one.
 func (g *group) ownersOf(d Digest) (rank int, others []Box) {
-	rank = owners
-	for i, name := range rendezvous.Top(string(d[:]), g.names, owners) {
+	rank = ownersPerRequest
+	for i, name := range rendezvous.Top(string(d[:]), g.names, ownersPerRequest) {
 		if name == g.self {
 			rank = i
 			continue
--- a/poison/served.go
+++ b/poison/served.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	recentWindow     = clearanceWindow // long enough that a request of a tenth of the callers is answered several times at each box
+	recentWindow     = clearanceWindow // a request that a tenth of the callers send completes several times in it at each box
 	generationTTL    = time.Minute     // minimum time in which a quarantined request that was served before may be retried
 	maxPerGeneration = 8192
 )
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -11,7 +11,7 @@
 )
 
 // dialInterval is the minimum time between two connections that probe a replica after it
-// interrupted requests. One probe serves all of them, and is over by then.
+// interrupted requests. One probe serves all of them, and is complete within this time.
 const dialInterval = time.Second
 
 // Watch is the state of a box on requests that crash their replicas. It belongs to one actor,
