--- a/poison/cluster_test.go
+++ b/poison/cluster_test.go
@@ -21,7 +21,6 @@
 	Target: "/deadly",
 }
 
-// digestOf returns the digest of a request with a number.
 func digestOf(n int) Digest {
 	c := Content{
 		Target: fmt.Sprint(n),
@@ -67,7 +66,6 @@
 	return b
 }
 
-// join starts a box.
 func (b *cluster) join(name string) *Watch {
 	w := NewWatch(name)
 	b.watches[name] = w
@@ -82,7 +80,6 @@
 // names returns the running boxes in order, so that a seed determines the run.
 func (b *cluster) names() []string { return slices.Sorted(maps.Keys(b.watches)) }
 
-// others returns all boxes but one.
 func (b *cluster) others(name string) []Box {
 	var out []Box
 	for _, other := range b.names() {
@@ -110,7 +107,6 @@
 	}
 }
 
-// run gossips among all boxes for a time.
 func (b *cluster) run(d time.Duration) {
 	for until := b.now + d; b.now < until; b.now += 250 * time.Millisecond {
 		for _, name := range b.names() {
@@ -128,7 +124,6 @@
 	b.sendDue(name)
 }
 
-// countQuarantined returns at how many boxes a request is quarantined.
 func (b *cluster) countQuarantined(d Digest) (n int) {
 	for _, w := range b.watches {
 		if _, quarantined := w.Quarantined(d, b.now); quarantined {
--- a/poison/content_test.go
+++ b/poison/content_test.go
@@ -42,7 +42,6 @@
 	})
 }
 
-// BenchmarkDigest measures the digest of a request of 64 KB.
 func BenchmarkDigest(b *testing.B) {
 	c := Content{
 		Method: "POST",
--- a/poison/datagram.go
+++ b/poison/datagram.go
@@ -23,7 +23,7 @@
 // Bits of the flags byte that follows the mark.
 const (
 	bitCompare = 1 << iota // the sender requests the records whose checksums differ
-	bitReply               // a reply to such a request
+	bitReply
 )
 
 // The two bits above hold the trial message.
@@ -45,11 +45,11 @@
 
 // Datagram is a gossip message on requests under which replicas crashed.
 type Datagram struct {
-	Compare bool         // requests the published records whose checksums differ
-	Answer  bool         // replies to such a request
+	Compare bool // requests the published records whose checksums differ
+	Answer  bool
 	Sums    Sums         // of the sender's records, with Compare or Answer
 	Word    trialMessage // on a run on trial
-	Trial   Digest       // the request on trial
+	Trial   Digest
 	Records []Record
 }
 
@@ -96,7 +96,6 @@
 	return out
 }
 
-// append appends the encoded record.
 func (r *Record) append(out []byte, now time.Duration) []byte {
 	out = append(out, r.Digest[:]...)
 	head := byte(len(r.Ends))
@@ -124,7 +123,6 @@
 	return out
 }
 
-// trialBits returns a mask of the crashes that were on trial.
 func (r *Record) trialBits() (bits byte) {
 	for i, e := range r.Ends {
 		if e.Alone {
@@ -213,7 +211,6 @@
 	return r
 }
 
-// setTrialBits marks the crashes that were on trial.
 func (r *Record) setTrialBits(bits byte) {
 	for i := range r.Ends {
 		r.Ends[i].Alone = bits&(1<<i) != 0
--- a/poison/interruptions.go
+++ b/poison/interruptions.go
@@ -22,10 +22,10 @@
 // interruption holds the requests to which an incarnation gave no complete response.
 type interruption struct {
 	digests map[Digest]bool // true for a request on trial
-	first   time.Duration   // time of the first interruption
-	last    time.Duration   // time of the latest interruption
-	crashed bool            // the incarnation is known to have crashed
-	joint   bool            // several replicas crashed together
+	first   time.Duration
+	last    time.Duration
+	crashed bool // the incarnation is known to have crashed
+	joint   bool // several replicas crashed together
 }
 
 // Cuts holds requests without a complete response until it is known whether their replica has
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -16,7 +16,6 @@
 // exchange only the partitions whose checksums differ.
 type Sums [partitions]uint32
 
-// partitionOf returns the partition of a digest.
 func partitionOf(d Digest) int { return int(d[0]) % partitions }
 
 // Ledger holds the records of requests under which replicas crashed. It belongs to one actor.
--- a/poison/record.go
+++ b/poison/record.go
@@ -84,7 +84,6 @@
 // clears reports whether the last complete response clears a crash.
 func (r *Record) clears(e End) bool { return e.At <= r.Answered+clearanceWindow }
 
-// countShared returns the number of crashes that two requests have in common.
 func (r *Record) countShared(other *Record) (n int) {
 	for _, e := range r.Ends {
 		if other.hasCrash(e.Start) {
@@ -107,7 +106,6 @@
 	return r.Ends[i], true
 }
 
-// incarnations returns the incarnations that crashed under the request.
 func (r *Record) incarnations() []Start {
 	out := make([]Start, 0, len(r.Ends))
 	for _, e := range r.Ends {
@@ -116,12 +114,10 @@
 	return out
 }
 
-// hasCrash reports whether an incarnation crashed under the request.
 func (r *Record) hasCrash(s Start) bool {
 	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.Start == s })
 }
 
-// clearsAny reports whether the last complete response clears any of the crashes.
 func (r *Record) clearsAny(ends []End) bool { return slices.ContainsFunc(ends, r.clears) }
 
 // merge adds another record of the request, and reports whether the crashes changed. A crash
--- a/poison/served.go
+++ b/poison/served.go
@@ -22,7 +22,7 @@
 	mu           sync.Mutex
 	current      map[uint64]time.Duration // time last served by fingerprint
 	previous     map[uint64]time.Duration
-	currentSince time.Duration // start of the current generation
+	currentSince time.Duration
 }
 
 // NewServed returns an empty Served.
@@ -67,7 +67,6 @@
 	return ok
 }
 
-// lastServed returns when a request was last served.
 func (p *Served) lastServed(c *Content) (at time.Duration, ok bool) {
 	key := p.fingerprint(c)
 	p.mu.Lock()
--- a/poison/served_test.go
+++ b/poison/served_test.go
@@ -35,7 +35,6 @@
 	}
 }
 
-// BenchmarkServed measures the cost of Add for a request of 64 KB.
 func BenchmarkServed(b *testing.B) {
 	p := NewServed()
 	c := Content{
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -41,7 +41,7 @@
 	self        string
 	ledger      *Ledger
 	pending     map[Digest]*pendingUpdate
-	nextCompare time.Duration // time of the next comparison
+	nextCompare time.Duration
 }
 
 // NewSpread returns a Spread for the ledger of a box.
@@ -131,7 +131,6 @@
 	return out
 }
 
-// compareRequest requests the records that differ from a box.
 func (s *Spread) compareRequest(b Box, now time.Duration) Packet {
 	d := Datagram{
 		Compare: true,
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -12,7 +12,6 @@
 // trialMessage is the kind of a message on a run on trial.
 type trialMessage byte
 
-// The kinds of trial messages.
 const (
 	noTrialMessage trialMessage = iota
 	trialRequest                // requests permission to run
@@ -22,9 +21,9 @@
 
 // trialQuery is the state of the requests of this box for a run on trial.
 type trialQuery struct {
-	lastSent    time.Duration // time of the last request
-	ownerCursor int           // position among the owners
-	replied     bool          // the owner has replied
+	lastSent    time.Duration
+	ownerCursor int // position among the owners
+	replied     bool
 	grantedAt   time.Duration // time of an unused grant, or never
 }
 
@@ -32,7 +31,7 @@
 // one run of a request at a time without consensus: where boxes differ on who is alive, an
 // additional run costs at most one crash.
 type trials struct {
-	lastGrant map[Digest]time.Duration // when this box last granted a run
+	lastGrant map[Digest]time.Duration
 	queries   map[Digest]*trialQuery
 	runs      map[string]map[Digest]struct{} // under way here by incarnation
 }
@@ -77,7 +76,6 @@
 	return false, w.queryOwner(d, owners[q.ownerCursor%len(owners)], now)
 }
 
-// isDue reports whether to ask an owner again.
 func (q *trialQuery) isDue(now time.Duration) bool {
 	if q.replied {
 		return now-q.lastSent >= trialPollInterval
@@ -134,7 +132,6 @@
 	return nil
 }
 
-// replyToTrialRequest grants or denies a run on trial.
 func (w *Watch) replyToTrialRequest(d Digest, to string, now time.Duration) []Packet {
 	out := Datagram{
 		Word:  trialDenial,
@@ -191,7 +188,6 @@
 	return n
 }
 
-// crashCount returns the number of recorded crashes of a request.
 func (w *Watch) crashCount(d Digest) int {
 	if r := w.ledger.Get(d); r != nil {
 		return len(r.Ends)
--- a/poison/trial_test.go
+++ b/poison/trial_test.go
@@ -59,7 +59,6 @@
 	}
 }
 
-// all returns the running boxes.
 func (b *cluster) all() []Box { return b.others("") }
 
 // crashOnTrial crashes a replica under a request on trial at a box.
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -67,7 +67,6 @@
 	explainedSince map[Digest]time.Duration // time of the crash that explains those of a request
 }
 
-// attributionOf returns the attribution of a request.
 func (l *Ledger) attributionOf(r *Record) attribution {
 	if l.assessment == nil {
 		l.assess()
@@ -75,7 +74,6 @@
 	return l.assessment.attribution[r.Digest]
 }
 
-// assess computes the assessment.
 func (l *Ledger) assess() {
 	w := &assessment{
 		suspectCount:   make(map[Start]int),
@@ -145,7 +143,6 @@
 	return at, ok
 }
 
-// overThreshold returns the records with at least quarantineThreshold crashes.
 func (l *Ledger) overThreshold() []*Record {
 	var out []*Record
 	for _, r := range l.records {
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -22,7 +22,7 @@
 	spread      *Spread
 	served      *Served
 	trials      trials
-	lastDial    map[string]time.Duration // time of the last probe by incarnation
+	lastDial    map[string]time.Duration
 	lastRetry   map[Digest]time.Duration // when this box last retried a quarantined request
 	quarantined map[Digest]bool          // as last returned by Changes
 }
@@ -186,10 +186,10 @@
 type Change struct {
 	Digest      Digest
 	Quarantined bool
-	Cleared     bool          // by a complete response; otherwise the quarantine has expired
-	Ends        int           // number of crashes
-	Left        time.Duration // time left in quarantine
-	Starts      []Start       // that crashed
+	Cleared     bool // by a complete response; otherwise the quarantine has expired
+	Ends        int
+	Left        time.Duration
+	Starts      []Start // that crashed
 }
 
 // Changes returns the changes since the last call.
--- a/poison/watch_test.go
+++ b/poison/watch_test.go
@@ -45,7 +45,7 @@
 	w := NewWatch("box")
 	w.Cut("replica", digestOf(1), sentBefore, testStart)
 	is.Equal(w.Ended("replica", testStart), 1)
-	is.Equal(w.Ended("replica", testStart), 0) // only once
+	is.Equal(w.Ended("replica", testStart), 0)
 	is.True(w.Cut("replica", poisonous.Digest(), sentBefore, testStart))
 	is.Equal(len(w.ledger.Get(poisonous.Digest()).Ends), 1)
 }
@@ -56,7 +56,7 @@
 	name := func(i int) string { return fmt.Sprint("replica-", i) }
 	for i := range minJointCrashes {
 		at := testStart + time.Duration(i)*jointCrashWindow/minJointCrashes
-		w.Cut(name(i), digestOf(i), sentBefore, at) // each ran another request, too
+		w.Cut(name(i), digestOf(i), sentBefore, at)
 		w.Cut(name(i), poisonous.Digest(), sentBefore, at)
 	}
 	for i := range minJointCrashes {
