--- /dev/null
+++ b/placement/compatibility_test.go
@@ -0,0 +1,18 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// Guards against changes of the hash by which boxes of two builds refer to prompt segments.
+func TestKeysOfSegmentsAreThoseOfAnEarlierBuild(t *testing.T) {
+	is := is.New(t)
+	for part, want := range map[string]PartKey{
+		"":                 0x811c9dc5,
+		"system-prompt-17": 0x5c71b088,
+	} {
+		is.Equal(KeyOf(part), want)
+	}
+}
