--- a/catalog/compatibility_test.go
+++ b/catalog/compatibility_test.go
@@ -13,10 +13,12 @@
 
 // Updates and a policy update that an earlier build encoded.
 const (
-	earlierChanges  = `{"news":{"changes":[{"revision":401,"replica":{"id":"i-001","born":1796200000001,"service":"chat","addr":"10.0.0.1:8308","failure_domain":"north-hall-2","region":"north","slots":8,"leaving":true,"cold_left_ms":1500.5,"revision":401,"told":true}},{"revision":402,"gone":"i-002"},{"revision":403,"evacuated":"south-hall-1"},{"revision":404,"unevacuated":"south-hall-2"},{"revision":405,"policy":{"version":30,"routes":[{"name":"chat","host":"chat.example","prefix":"/v1/","kind":"stream","attempts":3,"timeout_ms":60000,"goal_ms":800,"gap_goal_ms":150,"priority":1,"shares":[{"service":"chat","weight":9},{"service":"chat-b","weight":1}],"resumable":true,"homes":["north"],"public":true}],"services":null,"limits":{"body_bytes":0}}}],"policy":30,"revision":405},"read_ms":250}`
-	earlierSnapshot = `{"news":{"snapshot":{"revision":412,"replicas":[{"id":"i-000","born":1796200000000,"service":"chat","addr":"10.0.0.0:8308","failure_domain":"north-hall-2","region":"north","slots":8,"cold_left_ms":1500.5,"revision":400},{"id":"i-001","born":1796200000001,"service":"chat","addr":"10.0.0.1:8308","failure_domain":"north-hall-2","region":"north","slots":8,"leaving":true,"cold_left_ms":1500.5,"revision":401,"told":true}],"evacuated":["south-hall-1"]},"doubts":[{"replica":"i-001","born":1796200000001,"revision":409,"left_ms":2500}],"policy":31,"revision":412},"read_ms":250}`
-	earlierPolicy   = `{"version":31,"compressed":"ZJLBbts8EITv/2PMmUko2YoT3nL5rz3kUiAwBEpaS4RFrkpSdlRD716s7bYBetMupNF8M3vBIbKH2WiFE8XkOMBsCoXIc6YE83FBy3PIMMWqLgh0huyC9QSDxsZIHRQGThkG7WDzI31aP40EhSnSwX3C4AkKRxc6GHBoCQo2Z/JTTjCFQnaeeM61TzCF1lqhZzvWPsFohd5Odc9/5yk6ji4vMFohDTbefSaKJ9eKLbEBhTO5frg63ytESrO3zUgwBzsmUgh8HigSTI4zrft1r35L3LjvjHexgeyYh3qyeYDB022EQsshUJsdhwTzvJXF2NUHjrXQbLQWnFZ2E8U6UcsSg36sFCj0LhDMBWlkieJFwZPnuIjS9cPMRwp1s1y7KDaF3pUKowvH2jdTwjUtLf+cnLi+kgjt6LwTxQsa7pY/Anr7Uu2eV4UjLdTdyBU49ja4ZO8QH//UbFsvnR1pkWTwUPgH/f/pPXTv6edbXe2+Ld/zG/bqSzWl3IQXTx8IHLNElXjOg7z2Y+ZshftrJIWANHOUQ6rkeQ4uw9wiSHJNo3UBZqvX9VbW7GFed1VVVqV+Lsrydbct9bZc//sVAAD//w=="}`
-	largeSnapshot   = "testdata/earlier-snapshot.json" // compressed
+	earlierChanges    = `{"news":{"changes":[{"revision":401,"replica":{"id":"i-001","born":1796200000001,"service":"chat","addr":"10.0.0.1:8308","failure_domain":"north-hall-2","region":"north","slots":8,"leaving":true,"cold_left_ms":1500.5,"revision":401,"told":true}},{"revision":402,"gone":"i-002"},{"revision":403,"evacuated":"south-hall-1"},{"revision":404,"unevacuated":"south-hall-2"},{"revision":405,"policy":{"version":30,"routes":[{"name":"dropped","host":"chat.example","prefix":"/","kind":"once","attempts":1,"timeout_ms":1000,"goal_ms":0,"gap_goal_ms":0,"priority":0,"shares":[{"service":"chat","weight":1}],"resumable":false,"nowhere":true},{"name":"chat","host":"chat.example","prefix":"/v1/","kind":"stream","attempts":3,"timeout_ms":60000,"goal_ms":800,"gap_goal_ms":150,"priority":1,"shares":[{"service":"chat","weight":9},{"service":"chat-b","weight":1}],"resumable":true,"homes":["north"],"public":true}],"services":null,"limits":{"body_bytes":0}}}],"policy":30,"revision":405},"read_ms":250}`
+	earlierSnapshot   = `{"news":{"snapshot":{"revision":412,"replicas":[{"id":"i-000","born":1796200000000,"service":"chat","addr":"10.0.0.0:8308","failure_domain":"north-hall-2","region":"north","slots":8,"cold_left_ms":1500.5,"revision":400},{"id":"i-001","born":1796200000001,"service":"chat","addr":"10.0.0.1:8308","failure_domain":"north-hall-2","region":"north","slots":8,"leaving":true,"cold_left_ms":1500.5,"revision":401,"told":true}],"evacuated":["south-hall-1"]},"doubts":[{"replica":"i-001","born":1796200000001,"revision":409,"left_ms":2500}],"policy":31,"revision":412},"read_ms":250}`
+	earlierWait       = `{"wait_ms":40.5}`
+	earlierPolicyWait = `{"version":31,"wait_ms":40.5}`
+	earlierPolicy     = `{"version":31,"compressed":"XJLBcpw8EITv/2P0WbYFu3ht3Xz5rzn4kirXFiVgFlSLNEQStgnFu6dmd5O4ckMDtPrrnhWnyB5mpxXeKSbHAWZXKESeMyWYtxU2wxQKLc8hwxSbWhHo4/IqWE8waGyM1EFh4JRh0A4239On9dNIUJgindwnDB6gcHahgwGHlqBgcyY/5QRTKGTniedc+wRTaK0VerZj7ROMVujtVPf89zxFx9HlBUYrpMHGm91E8d21YktsQOGDXD9kcX5UiJRmb5uRYE52TKQQ+GOgSDA5zrQdt6P6LXHFvzHexAayYx7qyeYBBg/XIxRaDoHa7DgkmMe9DMauPnGshWanteC0Mpso1olalhj0faVAoXeBYFakkSWKJwVPnuMiSpcfM58p1M1yqaTYFfpQKowunGvfTAmXtLTcOTlxfSER2tF5J4orGu6WPwJ6/1QdHjeFMy3UXckVOPY2uGRvEG/rvzXb1ktnZ1okGdwV/k7///4autf086WuDt+W7/kFR/WlmlJ2wounNwSOWaJKPOdBPvsxc7bC/TWSQkCaOcoiVfI8B5dhrhEk2abRugCz19t2LWv2MM+HqiqrUj8WZfl82Jd6X27//QoAAP//"}`
+	largeSnapshot     = "testdata/earlier-snapshot.json" // compressed
 )
 
 func earlierReplica(n int) catalog.Replica {
@@ -26,7 +28,7 @@
 	}
 }
 
-// earlierPolicies returns two policies, the second with an unchanged route and a new one.
+// earlierPolicies returns two policies, the second without a route of the first and with a new one.
 func earlierPolicies() (first, second *catalog.Policy) {
 	route := catalog.Route{
 		Name: "chat", Host: "chat.example", Prefix: "/v1/", Kind: catalog.Stream, Attempts: 3, Timeout: 60000, Goal: 800, GapGoal: 150,
@@ -37,7 +39,9 @@
 		Name: "barred", Host: "chat.example", Prefix: "/", Kind: catalog.Once, Attempts: 1, Timeout: 1000,
 		Shares: []catalog.Share{{Service: "chat", Weight: 1}}, Nowhere: true,
 	}
-	first = &catalog.Policy{Version: 30, Routes: []catalog.Route{route}}
+	dropped := barred
+	dropped.Name = "dropped"
+	first = &catalog.Policy{Version: 30, Routes: []catalog.Route{dropped, route}}
 	second = &catalog.Policy{
 		Version: 31,
 		Routes:  []catalog.Route{route, barred},
@@ -104,6 +108,23 @@
 	}
 }
 
+// Guards against changes of the answer of a rate-limited box.
+func TestAWaitOfAnEarlierBuildIsDecodedAndEncodedAlike(t *testing.T) {
+	is := is.New(t)
+	var p catalog.EncodedNews
+	is.NoErr(json.Unmarshal([]byte(earlierWait), &p))
+	is.Equal(p, catalog.EncodedNews{Wait: 40.5})
+	data, err := json.Marshal(p)
+	is.NoErr(err)
+	is.Equal(string(data), earlierWait)
+	var policy catalog.PolicyNews
+	is.NoErr(json.Unmarshal([]byte(earlierPolicyWait), &policy))
+	is.Equal(policy, catalog.PolicyNews{Version: 31, Wait: 40.5})
+	data, err = json.Marshal(policy)
+	is.NoErr(err)
+	is.Equal(string(data), earlierPolicyWait)
+}
+
 // Guards against changes of the compressed form, which boxes of two builds exchange.
 func TestALargeUpdateOfAnEarlierBuildIsDecoded(t *testing.T) {
 	is := is.New(t)
