--- a/catalog/behind_test.go
+++ b/catalog/behind_test.go
@@ -7,8 +7,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// catchUpTime is enough for a lagging watch and a read after it.
-const catchUpTime = time.Second
+const catchUpTime = time.Second // for a lagging watch and a read after it
 
 // notReader makes a box leave rereads to others.
 var notReader = catalog.WithReader(func() bool { return false })
--- a/catalog/change_test.go
+++ b/catalog/change_test.go
@@ -21,7 +21,6 @@
 	revision int64 // revision up to which changes were taken in
 }
 
-// update brings the copy up to date.
 func (c *sourceCopy) update(t *rapid.T) {
 	if c.revision == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
 		s := c.snapshot()
@@ -45,7 +44,6 @@
 	c.revision = rev
 }
 
-// publishAny publishes one random change.
 func publishAny(t *rapid.T, p *publisher, version *int) {
 	id := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id")
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
@@ -160,7 +158,6 @@
 	}
 }
 
-// removals returns the removed replicas of an update.
 func removals(news catalog.News) []string {
 	var out []string
 	for _, ch := range news.Changes {
@@ -182,7 +179,6 @@
 	}
 }
 
-// takeSnapshot applies a snapshot.
 func takeSnapshot(c *catalog.Content, list []catalog.Replica, revision int64, settled bool) {
 	c.Take(catalog.Update{
 		Snapshot: &catalog.Snapshot{
--- a/catalog/compress.go
+++ b/catalog/compress.go
@@ -60,7 +60,6 @@
 	return out, err
 }
 
-// compress returns a value as compressed JSON.
 func compress(v any) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
--- a/catalog/confirm.go
+++ b/catalog/confirm.go
@@ -77,8 +77,7 @@
 	return confirmInterval
 }
 
-// reportFreshness reports the time at which the policy of a snapshot is known to be the
-// newest.
+// reportFreshness passes on the freshness proof of a snapshot's policy.
 func (d *Feed) reportFreshness(s Snapshot) {
 	if s.Policy != nil && !s.PolicyAt.IsZero() {
 		d.onConfirmed(s.Policy.Version, s.PolicyAt)
--- a/catalog/delta.go
+++ b/catalog/delta.go
@@ -89,7 +89,6 @@
 	return out
 }
 
-// appendExisting adds an item of the earlier list.
 func appendExisting[T any](list []Span[T], at int) []Span[T] {
 	if n := len(list) - 1; n >= 0 && list[n].Count > 0 && list[n].At+list[n].Count == at {
 		list[n].Count++
@@ -101,7 +100,6 @@
 	})
 }
 
-// appendNew adds an item that is not in the earlier list.
 func appendNew[T any](list []Span[T], item T) []Span[T] {
 	if n := len(list) - 1; n < 0 || list[n].Count > 0 {
 		list = append(list, Span[T]{})
@@ -143,7 +141,6 @@
 	return out, out.Check()
 }
 
-// applySpans returns the later list.
 func applySpans[T any](earlier []T, list []Span[T]) (out []T, err error) {
 	for _, s := range list {
 		if s.At < 0 || s.Count < 0 || s.Count > len(earlier) || s.At > len(earlier)-s.Count {
@@ -155,7 +152,6 @@
 	return out, nil
 }
 
-// checksum returns a checksum of a whole policy.
 func (p *Policy) checksum() (uint64, error) {
 	h := xxhash.New()
 	err := json.NewEncoder(h).Encode(struct {
--- a/catalog/delta_test.go
+++ b/catalog/delta_test.go
@@ -12,7 +12,6 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// somePolicy returns a policy with a few routes in random order.
 func somePolicy(t *rapid.T, version int) *catalog.Policy {
 	p := plainPolicy(version)
 	for _, name := range rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 0, 9).Draw(t, "routes") {
--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -9,11 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// unconfirmedTimeout is how long a removal stays unconfirmed if an update has no time of its
-// own.
 const (
-	unconfirmedTimeout = recoveryWindow + recoverySlack
-	recoverySlack      = 100 * time.Millisecond // for changes to arrive after the recovery window
+	unconfirmedTimeout = recoveryWindow + recoverySlack // if an update has no time of its own
+	recoverySlack      = 100 * time.Millisecond         // for changes to arrive after the recovery window
 )
 
 // Doubt is an unconfirmed removal: the entry is missing but may reappear after an outage of
@@ -119,7 +117,6 @@
 	return settled
 }
 
-// unconfirmedForPeers returns the unconfirmed removals as they are sent to other boxes.
 func (c *Content) unconfirmedForPeers() []Doubt {
 	var out []Doubt
 	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) {
--- a/catalog/doubt_test.go
+++ b/catalog/doubt_test.go
@@ -157,7 +157,6 @@
 	is.True(json.Unmarshal([]byte(`{"replica":"a","left_ms":-1}`), &d) != nil)
 }
 
-// overTheWire encodes and decodes an update.
 func overTheWire(t *testing.T, n catalog.News) catalog.News {
 	t.Helper()
 	data, err := json.Marshal(n)
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -71,7 +71,6 @@
 	}
 }
 
-// unconfirmedTimeout returns how long missing entries stay unconfirmed.
 func (u Update) unconfirmedTimeout() time.Duration { return cmp.Or(u.Settles, unconfirmedTimeout) }
 
 // Feed keeps a copy of the catalog up to date from a source.
@@ -228,7 +227,6 @@
 	}
 }
 
-// replicaCount returns the last recorded number of replicas.
 func (d *Feed) replicaCount() int { return int(d.replicas.Load()) }
 
 // read makes a full read and delivers it, unless another box has sent the state meanwhile. It
@@ -324,7 +322,6 @@
 	}
 }
 
-// markRecovered records that the publisher answered at a time, after a failure.
 func (d *Feed) markRecovered(at time.Time) {
 	d.unavailable = false
 	d.settled = at.Add(recoveryWindow)
--- a/catalog/feed_test.go
+++ b/catalog/feed_test.go
@@ -37,7 +37,6 @@
 	})
 }
 
-// has reports whether the copy has a replica.
 func (f feedTest) has(id string) bool {
 	_, ok := f.get(id)
 	return ok
--- a/catalog/following_test.go
+++ b/catalog/following_test.go
@@ -14,13 +14,11 @@
 	at      atomic.Pointer[time.Time] // time of their last reported read
 }
 
-// reportRead reports a read at this time.
 func (w *peers) reportRead() {
 	now := time.Now()
 	w.at.Store(&now)
 }
 
-// reportReadsFor reports a read every second for a time.
 func (w *peers) reportReadsFor(d time.Duration) {
 	for range d / time.Second {
 		w.reportRead()
@@ -36,7 +34,6 @@
 	return w
 }
 
-// options returns options for a feed that follows the peers.
 func (w *peers) options() []catalog.FeedOption {
 	own := func(err error) {
 		if err == nil {
--- a/catalog/fuzz_test.go
+++ b/catalog/fuzz_test.go
@@ -109,7 +109,6 @@
 	}
 }
 
-// advance lets time pass and checks the copy at each step.
 func (w *world) advance() {
 	w.advanceSteps(rapid.SampledFrom([]int{0, 1, 2, 10, 60, 130}).Draw(w.T, "steps"))
 }
--- a/catalog/incarnation_test.go
+++ b/catalog/incarnation_test.go
@@ -8,14 +8,12 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// startedReplica returns a replica with a start time, as published at a revision.
 func startedReplica(id string, born, revision int64) catalog.Replica {
 	r := plainReplica(id, revision)
 	r.Born = born
 	return r
 }
 
-// entryChange returns the change that publishes a replica.
 func entryChange(r catalog.Replica) catalog.Change {
 	return catalog.Change{
 		Revision: r.Revision,
@@ -23,7 +21,6 @@
 	}
 }
 
-// incarnations returns the incarnations in a copy.
 func incarnations(c *catalog.Content) []string {
 	var out []string
 	for _, r := range c.Replicas() {
--- a/catalog/incarnations_fuzz_test.go
+++ b/catalog/incarnations_fuzz_test.go
@@ -80,7 +80,6 @@
 	w.write(id, w.previous[id], rapid.Bool().Draw(w.T, "leaving"))
 }
 
-// remove removes an entry.
 func (w *incarnationRun) remove() {
 	id := w.id()
 	w.removed[id] = append(w.removed[id], w.drop(id))
@@ -119,7 +118,6 @@
 	}
 }
 
-// requestChanges lets the follower request the changes from the other box.
 func (w *incarnationRun) requestChanges() {
 	w.follower.mu.Lock()
 	data, err := json.Marshal(w.content.Since(w.asking.Revision()))
--- a/catalog/large_test.go
+++ b/catalog/large_test.go
@@ -13,8 +13,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// largeCount is a number of replicas above largeThreshold.
-const largeCount = 148
+const largeCount = 148 // replicas, above largeThreshold
 
 // largeTest is a large catalog with a Newest function, and a copy of it.
 type largeTest struct {
--- a/catalog/organisation.go
+++ b/catalog/organisation.go
@@ -13,8 +13,7 @@
 // sent.
 type Key [keyBytes]byte
 
-// keyBytes is the length of a Key; collisions are negligible.
-const keyBytes = 16
+const keyBytes = 16 // makes collisions negligible
 
 // KeyOf returns the key of a credential.
 func KeyOf(credential string) Key {
@@ -23,8 +22,7 @@
 	return Key(sum[:keyBytes])
 }
 
-// maxStackCredential is the length up to which KeyOf doesn't allocate, in bytes.
-const maxStackCredential = 128
+const maxStackCredential = 128 // bytes up to which KeyOf doesn't allocate
 
 // MarshalText encodes a key.
 func (k Key) MarshalText() ([]byte, error) {
@@ -81,7 +79,6 @@
 	return o.check()
 }
 
-// check returns the first error in the organisation.
 func (o *Organisation) check() error {
 	switch {
 	case o.Name == "" || len(o.Name) > maxNameBytes:
@@ -96,8 +93,7 @@
 	return nil
 }
 
-// maxNameBytes is the maximum length of an organisation's name.
-const maxNameBytes = 200
+const maxNameBytes = 200 // of an organisation
 
 // fitsHeader reports whether a text can be a header value without encoding.
 func fitsHeader(text string) bool {
@@ -109,7 +105,6 @@
 	return true
 }
 
-// checkOrganisations returns the first error in the organisations.
 func (p *Policy) checkOrganisations() error {
 	names := make(map[string]bool, len(p.Organisations))
 	owners := make(map[Key]string, len(p.Organisations))
--- a/catalog/policy_test.go
+++ b/catalog/policy_test.go
@@ -14,7 +14,6 @@
 	_ "github.com/havenrudder/havenrudder/internal/fixed"
 )
 
-// plainRoute returns a valid route.
 func plainRoute(name, host, prefix string) catalog.Route {
 	return catalog.Route{
 		Name:     name,
@@ -30,7 +29,6 @@
 	}
 }
 
-// plainPolicy returns a policy with a version.
 func plainPolicy(version int, routes ...catalog.Route) *catalog.Policy {
 	return &catalog.Policy{
 		Version: version,
--- a/catalog/publisher_test.go
+++ b/catalog/publisher_test.go
@@ -54,7 +54,6 @@
 	}
 }
 
-// source returns the publisher as the source of a feed.
 func (p *publisher) source() catalog.Source {
 	return catalog.Source{
 		Read: p.read,
@@ -62,7 +61,6 @@
 	}
 }
 
-// change publishes a change and returns its revision.
 func (p *publisher) change(ch catalog.Change) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +103,6 @@
 	})
 }
 
-// compact drops the history.
 func (p *publisher) compact() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +118,6 @@
 	p.changed.Tell()
 }
 
-// snapshot returns the full published state.
 func (p *publisher) snapshot() catalog.Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +141,6 @@
 	return p.reads, p.waits
 }
 
-// startCall counts a call and returns the current mode.
 func (p *publisher) startCall(ctx context.Context, count *int) mode {
 	p.mu.Lock()
 	*count++
@@ -261,14 +256,12 @@
 	}
 }
 
-// now returns the current copy.
 func (f *follower) now() catalog.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.content.Snapshot()
 }
 
-// get returns a replica of the copy.
 func (f *follower) get(id string) (catalog.Replica, bool) {
 	for _, r := range f.now().Replicas {
 		if r.ID == id {
@@ -278,14 +271,12 @@
 	return catalog.Replica{}, false
 }
 
-// results returns the results of all calls.
 func (f *follower) results() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.health)
 }
 
-// lastHealth returns the result of the last call.
 func (f *follower) lastHealth() error {
 	all := f.results()
 	if len(all) == 0 {
@@ -294,7 +285,6 @@
 	return all[len(all)-1]
 }
 
-// mistake returns the first violation by an update; empty for none.
 func (f *follower) mistake() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/catalog/rank.go
+++ b/catalog/rank.go
@@ -7,7 +7,6 @@
 	defined bool
 }
 
-// extend returns the range including a priority.
 func (k priorityRange) extend(priority int) priorityRange {
 	if !k.defined {
 		return priorityRange{
@@ -26,7 +25,6 @@
 
 func (k priorityRange) levels() int { return k.last - k.first + 1 }
 
-// addPriorities records the priority of a route for its services.
 func (t *Table) addPriorities(r *Route) {
 	for _, s := range r.Shares {
 		t.priorityRange[s.Service] = t.priorityRange[s.Service].extend(r.Priority)
--- a/catalog/revisionindex.go
+++ b/catalog/revisionindex.go
@@ -33,7 +33,6 @@
 	}
 }
 
-// reset replaces the index.
 func (r *revisionIndex) reset(list []revisionEntry) {
 	slices.SortFunc(list, func(a, b revisionEntry) int {
 		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.id, b.id))
@@ -54,5 +53,4 @@
 	return slices.Compact(out)
 }
 
-// byRevision compares an entry with a revision.
 func byRevision(c revisionEntry, revision int64) int { return cmp.Compare(c.revision, revision) }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -146,7 +146,6 @@
 	return true
 }
 
-// replace applies the snapshot of an update.
 func (c *Content) replace(s Snapshot, u Update) {
 	recorded := c.Revision() // missing entries were removed after this revision
 	c.history.recordSnapshot(c.newest, s.Revision)
@@ -177,7 +176,6 @@
 	c.setNewest(s.Revision)
 }
 
-// unlisted returns the recorded replicas that are not listed, sorted.
 func (c *Content) unlisted(listed map[string]bool) []string {
 	var out []string
 	for id := range c.replicas {
@@ -194,7 +192,6 @@
 	c.floor = 0
 }
 
-// removeMissing removes a replica that a snapshot lacks.
 func (c *Content) removeMissing(id string, revision int64) {
 	doubted := c.InDoubt(id)
 	c.drop(id)
--- a/catalog/snapshot_test.go
+++ b/catalog/snapshot_test.go
@@ -12,7 +12,6 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// plainReplica returns an entry with a revision.
 func plainReplica(id string, rev int64) catalog.Replica {
 	return catalog.Replica{
 		ID:       id,
@@ -24,7 +23,6 @@
 	}
 }
 
-// snapshot returns an update with a snapshot.
 func snapshot(rev int64, settled bool, replicas ...catalog.Replica) catalog.Update {
 	return catalog.Update{
 		Snapshot: &catalog.Snapshot{
@@ -36,7 +34,6 @@
 	}
 }
 
-// changed returns an update with changes up to a revision.
 func changed(rev int64, settled bool, changes ...catalog.Change) catalog.Update {
 	return catalog.Update{
 		Changes:  changes,
@@ -45,7 +42,6 @@
 	}
 }
 
-// replicaIDs returns the ids of a copy's replicas.
 func replicaIDs(c *catalog.Content) []string {
 	out := []string{}
 	for _, r := range c.Replicas() {
@@ -213,7 +209,6 @@
 	})
 }
 
-// anyUpdate returns an update with a random revision.
 func anyUpdate(t *rapid.T) catalog.Update {
 	rev := rapid.Int64Range(1, 40).Draw(t, "revision")
 	settled := rapid.Bool().Draw(t, "settled")
