--- a/budget/budget.go
+++ b/budget/budget.go
@@ -47,29 +47,18 @@
 import "time"
 
 const (
-	// ratioFraction is the fraction of the ratio that a box uses; the rest covers
-	// requests that leave the window while a retry is sent.
-	ratioFraction = 0.85
-	// extraFraction is the fraction of Extra that all running processes hold together.
-	// The other half is for processes that restart within the same window.
-	extraFraction = 0.5
-	// windowSlackDivisor lengthens the window by a tenth for clock drift and delays.
-	windowSlackDivisor = 10
-	// minBoxesForMargin is the number of boxes from which one more is assumed, since a
-	// box that has just joined may not be listed yet.
-	minBoxesForMargin = 2
-	// sweepThreshold is the number of services from which idle ones are removed.
-	sweepThreshold = 1024
+	ratioFraction      = 0.85 // of the ratio that a box uses; the rest covers requests that leave the window while a retry is sent
+	extraFraction      = 0.5  // of Extra that all running processes hold; the rest is for those that restart in the window
+	windowSlackDivisor = 10   // lengthens the window by a tenth for clock drift and delays
+	minBoxesForMargin  = 2    // from which one more is assumed, as a new box may not be listed yet
+	sweepThreshold     = 1024 // services from which idle ones are removed
 )
 
 // Terms is the limit for all boxes together.
 type Terms struct {
-	// Ratio is the number of retries per request, for example 0.2.
-	Ratio float64
-	// Window is the length of the sliding window.
-	Window time.Duration
-	// Extra is the number of retries in a window beyond the ratio.
-	Extra int
+	Ratio  float64       // retries per request, for example 0.2
+	Window time.Duration // length of the sliding window
+	Extra  int           // retries in a window beyond the ratio
 }
 
 func (t Terms) span() time.Duration {
@@ -149,7 +138,6 @@
 	return b.latest
 }
 
-// counts returns the counts of service, which it creates if needed.
 func (b *Budget) counts(service string) *counts {
 	c := b.services[service]
 	if c != nil {
--- a/budget/counts.go
+++ b/budget/counts.go
@@ -79,7 +79,6 @@
 	return true
 }
 
-// resize changes the length of the ring to n and keeps the newest buckets.
 func (c *counts) resize(n int) {
 	if n == len(c.ring) {
 		return
--- a/budget/fuzz_test.go
+++ b/budget/fuzz_test.go
@@ -62,7 +62,6 @@
 	return now - p.startedAt - p.clockStopped
 }
 
-// fleet simulates N boxes on one clock.
 type fleet struct {
 	t     *rapid.T
 	terms Terms
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// maxPending is the maximum number of proofs kept of versions that are not in force.
-const maxPending = 8
+const maxPending = 8 // proofs kept of versions that are not in force
 
 // Never is the age of a policy without a freshness proof.
 const Never = time.Duration(math.MaxInt64)
--- a/meter/count.go
+++ b/meter/count.go
@@ -2,7 +2,6 @@
 
 import "time"
 
-// Values of the result label.
 const (
 	resultAllowed     = "taken"
 	resultRateLimited = "paced"
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,6 +1,5 @@
-// Package meter holds the metrics of a box and serves them in Prometheus' text
-// format. Label values come from the policy and from constants only, since values
-// that callers choose would create an unbounded number of series.
+// Package meter serves the metrics of a box in Prometheus' text format. Label values come
+// from the policy and from constants only, which bounds the number of series.
 package meter
 
 import (
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -29,7 +29,6 @@
 	// havenrudder_refusals_total{reason="overload"} 1
 }
 
-// meterWithAllMetrics returns a meter with a value for each metric that the tests check.
 func meterWithAllMetrics() *Meter {
 	m := New(
 		WithCatalogAge(func() time.Duration { return 1500 * time.Millisecond }),
--- a/pacing/history.go
+++ b/pacing/history.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// maxWarmSends is the number of recent sends kept of a warm replica.
-const maxWarmSends = 8
+const maxWarmSends = 8 // recent sends kept of a warm replica
 
 // history is a sliding-window log of the sends to one replica, oldest first.
 type history struct {
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -33,20 +33,15 @@
 )
 
 const (
-	// window is a second and a tenth for the delay between the write and the arrival.
-	window = 1100 * time.Millisecond
-	// gapDivisor sets the minimum gap between sends: window / (gapDivisor x share).
-	gapDivisor = 2
-	// maxWarm is the number of warm replicas whose recent sends are kept.
-	maxWarm = 512
+	window     = 1100 * time.Millisecond // a second, and a tenth for the delay between write and arrival
+	gapDivisor = 2                       // sets the minimum gap between sends: window / (gapDivisor x share)
+	maxWarm    = 512                     // warm replicas whose recent sends are kept
 )
 
 // Terms limits how far the sends to a cold replica may exceed its rate.
 type Terms struct {
-	// Overage is a factor applied to the replica's rate.
-	Overage float64
-	// Slack is the number of additional sends in each second.
-	Slack float64
+	Overage float64 // factor of the replica's rate
+	Slack   float64 // additional sends in each second
 }
 
 type cold struct {
--- a/quota/allocator.go
+++ b/quota/allocator.go
@@ -28,7 +28,6 @@
 	units      float64
 }
 
-// balance is an allocator's record of one organisation.
 type balance struct {
 	granted      window
 	reports      map[string]report
@@ -77,7 +76,7 @@
 	return out
 }
 
-// reported returns the fraction of a window for which the boxes that send requests report usage.
+// reported returns the fraction of a window for which usage is reported, averaged over the boxes.
 func (b *Bank) reported(t Terms) float64 {
 	sum := time.Duration(0)
 	for _, box := range b.boxes {
@@ -104,7 +103,6 @@
 	}
 }
 
-// balance returns the balance of an organisation, which it creates if needed.
 func (b *Bank) balance(organisation string, t Terms) *balance {
 	bal, ok := b.balances[organisation]
 	if !ok {
@@ -149,8 +147,7 @@
 	return b.sharedDemand
 }
 
-// report records the usage of a box. It counts for a window, also after the box's last
-// request.
+// report records a box's usage, which counts for a window even if the box sends no more requests.
 func (b *balance) report(box string, units float64, t Terms, now time.Duration) {
 	b.reports[box] = report{
 		receivedAt: now,
@@ -188,9 +185,8 @@
 	}
 }
 
-// grant responds to an ask of one of the given number of boxes; free is the units that may be
-// granted, perSecond their rate. A request receives its need in full unless free is negative, since
-// a long request may need more than the whole allocation.
+// grant responds to an ask of one of the given number of boxes. Its need is met in full unless free,
+// the units that may be granted, is negative: a long request may need more than the allocation.
 func (b *balance) grant(ask Ask, free, perSecond float64, boxes int, draw float64, now time.Duration) Grant {
 	out := Grant{
 		Organisation: ask.Organisation,
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -17,7 +17,6 @@
 	now     func() time.Duration
 }
 
-// credit is a box's credit of one organisation.
 type credit struct {
 	units            float64
 	used             window
@@ -178,7 +177,6 @@
 	return a
 }
 
-// applyGrant adds the credit of a grant or records its refusal.
 func (c *credit) applyGrant(g Grant, now time.Duration) {
 	if g.Units > 0 {
 		if now-c.lastGrant > creditTTL {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -8,19 +8,17 @@
 //
 // # Why the limit holds
 //
-// In a window an allocator grants at most its region's share of the quota x its allocation, and in
-// each round of reports between regions at most its share of what all regions have left. The
-// shares of regions follow the demand of their callers and add up to 1; an unreachable region
-// keeps its last share. The allocation of an allocator is the fraction of its region's boxes that
-// send it requests: these fractions add up to 1, also while boxes disagree on the allocators or
-// are partitioned. Boxes report their usage with each request, so a new allocator has a record
-// of it. The usage of a box's previous process is unknown: an allocator grants only the fraction
-// of a window for which its boxes have run.
+// The regions' shares of a quota follow demand and add up to 1; an unreachable region keeps its
+// last share. An allocator's allocation is the fraction of its region's boxes that send it
+// requests; these fractions add up to 1 even while boxes are partitioned or disagree on the
+// allocators. In a window an allocator grants at most quota x share x allocation, and in each
+// round of reports between regions at most its fraction of what all regions have left. Boxes
+// report their usage with each request, so a new allocator has a record of it. That of a box's
+// previous process is unknown, so an allocator grants less until its boxes have run for a window.
 //
-// The tolerances: one request may take a balance of each allocator below zero; credit that was
-// granted before the window, some tenths of a second of demand, may be used in it; reports
-// between regions are a round old, in which regions may grant more than is left; a partitioned
-// box uses its allocation while its former allocator still counts it.
+// The tolerances: one request may take each allocator's balance below zero; credit granted up to
+// some tenths of a second before the window may be used in it; reports between regions are a
+// round old; a partitioned box uses its allocation while its former allocator still counts it.
 package quota
 
 import (
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -28,7 +28,6 @@
 
 const testWindow = 8 * time.Second
 
-// testRound returns the parameters of Grant in a single region with the given number of boxes.
 func testRound(units float64, boxes int) Round {
 	return Round{
 		Terms: func(string) (Terms, bool) {
@@ -43,7 +42,6 @@
 	}
 }
 
-// longRunningBox returns a box that has run for a whole window.
 func longRunningBox(name string) Asker {
 	return Asker{
 		Box: name,
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -17,7 +17,6 @@
 	agreedShares map[string]map[string]float64 // of the other regions by organisation, from the last round in which all were reachable
 }
 
-// regionReport is the last usage report of another region.
 type regionReport struct {
 	requestedAt time.Duration
 	usage       map[string]Use // by organisation
@@ -100,14 +99,12 @@
 	return out
 }
 
-// reachable reports whether the last report of a region is recent.
 func (s *Shares) reachable(region string, now time.Duration) bool {
 	report, ok := s.reports[region]
 	return ok && now-report.requestedAt <= regionTimeout
 }
 
-// demandShare returns the share of a region whose demand is own of the sum over the given number of
-// regions. Unused units, at least minEqualFraction of all, are divided equally, so that callers may
+// demandShare returns the share of a region with the demand own of a total of sum. Unused units, at least minEqualFraction of all, are divided equally, so that callers may
 // start in any region; the rest is divided in proportion to demand.
 func demandShare(own, sum, perSecond float64, regions int) float64 {
 	equal := 1 / float64(regions)
--- a/quota/window.go
+++ b/quota/window.go
@@ -9,14 +9,12 @@
 	lastStep int64 // index of the newest step
 }
 
-// newWindow returns an empty window of the given length.
 func newWindow(length time.Duration) window {
 	return window{
 		steps: make([]float64, int(length/windowStep)+2), // includes the current step and the one in which the window begins
 	}
 }
 
-// advance removes the steps before the window.
 func (w *window) advance(now time.Duration) {
 	at := int64(now / windowStep)
 	for ; w.lastStep < at; w.lastStep++ {
@@ -29,7 +27,6 @@
 	}
 }
 
-// add counts units.
 func (w *window) add(units float64, now time.Duration) {
 	w.advance(now)
 	w.steps[w.lastStep%int64(len(w.steps))] += units
