--- a/node/bucket.go
+++ b/node/bucket.go
@@ -14,7 +14,6 @@
 	at    time.Duration
 }
 
-// newByteBucket returns a full byteBucket.
 func newByteBucket(rate, burst float64) *byteBucket {
 	return &byteBucket{
 		rate:  rate,
--- a/node/core.go
+++ b/node/core.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Accesses to the state below fail only when the box has ended; their results are unused then.
+// The errors of state.Do below are ignored: it fails only after the box has stopped.
 
 // place chooses a target for a request and counts the request there.
 func (n *Node) place(ask ingress.Ask) (t ingress.Target) {
@@ -87,7 +87,7 @@
 	return t
 }
 
-// notifyTokens is the number of unread prompt tokens from which other boxes of the region are
+// notifyTokens is the number of tokens to prefill from which the other boxes of the region are
 // notified of a request at once, since two long prompts at one engine delay its streams.
 const notifyTokens = 2500
 
@@ -106,7 +106,7 @@
 	return ok
 }
 
-// recordWrite records that a request is written only now, later than its replica was chosen.
+// recordWrite records that a request is written later than its replica was chosen.
 func (n *Node) recordWrite(c *placement.Choice) {
 	choice := *c // a copy, for its grant ends meanwhile
 	now := n.now()
--- a/node/crossregion.go
+++ b/node/crossregion.go
@@ -13,10 +13,9 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Costs and limits of sending requests to another region. Expected losses are in thousandths
-// of a request's value.
+// Expected losses and costs are in thousandths of a request's value.
 const (
-	crossRegionTime   = 175 * time.Millisecond // added by the way to another region and back
+	crossRegionTime   = 175 * time.Millisecond // added by the round trip to another region
 	crossRegionCost   = 30.0                   // cost of the bytes between regions
 	fullShareGain     = 250.0                  // gain from which all requests are sent to another region; below it a share of them
 	cacheMissCost     = 40.0                   // cost of 1,000 shared tokens that are cached in another region
@@ -44,15 +43,14 @@
 }
 
 // sendsToRegion reports whether a request is sent to another region. The probability grows with
-// the gain, since all boxes see the same difference. Any gain suffices for the home region of
-// its shared segments: the homes of different segments distribute the requests.
+// the gain: all boxes compute the same gain and must not all send there. Any gain suffices for the
+// home region of its shared segments, as homes differ between segments.
 func sendsToRegion(here, there float64, toHome bool, draw func(n int) int) bool {
 	gain := here - there - crossRegionCost
 	return gain > 0 && (toHome || float64(draw(drawRange))*fullShareGain/drawRange < gain)
 }
 
-// drawRange is the number of values of one random draw.
-const drawRange = 1000
+const drawRange = 1000 // values of one random draw
 
 // remoteRegions returns the other regions with capacity for a request, sorted by name.
 func (s *state) remoteRegions(ask ingress.Ask, now time.Duration) []remoteRegion {
--- a/node/directory.go
+++ b/node/directory.go
@@ -31,9 +31,8 @@
 	maps.DeleteFunc(s.routeRequests, func(route string, _ decay.Count) bool { return !known[route] })
 }
 
-// homeOfMost reports whether the data of all routes of a host may enter a region, or that of
-// nearly all recent requests for its bound routes, so that a rarely used route doesn't keep
-// callers from the home of the others.
+// homeOfMost reports whether a region may process the data of all routes of a host, or of nearly
+// all recent requests for its bound routes: a rarely used route must not keep callers away.
 func (s *state) homeOfMost(host, region string, now time.Duration) bool {
 	if s.table == nil {
 		return false
@@ -80,8 +79,7 @@
 	return nil
 }
 
-// maxDirectoryAddrs is the maximum number of boxes in a directory answer.
-const maxDirectoryAddrs = 64
+const maxDirectoryAddrs = 64 // boxes in a directory answer
 
 // callerAddrs returns the addresses for callers of the boxes in a state and in some regions. A box
 // that is closed to callers sends no such address. Boxes of a silent failure domain are left
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -200,7 +200,7 @@
 	})
 }
 
-// watchMembers records boxes that became silent or came back.
+// watchMembers records boxes that became silent or recovered.
 func (n *Node) watchMembers() {
 	type change struct {
 		box  string
--- a/node/lease.go
+++ b/node/lease.go
@@ -19,7 +19,7 @@
 	leasePercent       = 80                      // of the revocation bound for which a lease holds; the rest covers the time between the check of a request and the clock of its caller
 	proofRequestAge    = time.Second             // of the lease at which other boxes are asked: the typical age at catalog readers
 	ownReaderProofAge  = 1500 * time.Millisecond // the same for a box whose own reads fail; from then on a follower reads itself
-	maxProofAttempts   = 16                      // on consecutive beats, for as long as the lease lasts
+	maxProofAttempts   = 16                      // at consecutive heartbeats, for as long as the lease lasts
 	proofBackoffBeats  = 4                       // between later attempts
 	followerReadShare  = 0.5                     // of the reads that a follower makes while the publisher does not answer
 	localProofTimeout  = 250 * time.Millisecond  // within a region
@@ -189,7 +189,6 @@
 	return out
 }
 
-// readersOf returns the catalog readers among the boxes of a region.
 func readersOf(list []wire.BoxStatus) []wire.BoxStatus {
 	names := make([]string, 0, len(list))
 	for _, b := range list {
--- a/node/poison.go
+++ b/node/poison.go
@@ -166,7 +166,6 @@
 	}
 }
 
-// isLeaving reports whether an incarnation is draining.
 func (s *state) isLeaving(start string) bool {
 	r := s.view.Get(start)
 	return r != nil && r.Info().Leaving
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -49,7 +49,6 @@
 	return rosterPackets(s.poison.Due(s.poisonBoxes(now), now, rnd))
 }
 
-// poisonBoxes returns the other live boxes.
 func (s *state) poisonBoxes(now time.Duration) []poison.Box {
 	var out []poison.Box
 	for m := range s.roster.All() {
@@ -74,7 +73,6 @@
 	}
 }
 
-// rosterPackets converts datagrams for the link of the roster.
 func rosterPackets(list []poison.Packet) []roster.Packet {
 	out := make([]roster.Packet, 0, len(list))
 	for _, p := range list {
--- a/node/policies.go
+++ b/node/policies.go
@@ -21,7 +21,7 @@
 	maxPolicyWait         = 300 * time.Millisecond // after a source was rate-limited; others have the policy by then
 )
 
-// policyRequest requests the newest policy from another box.
+// policyRequest holds the parameters of a request for the newest policy.
 type policyRequest struct {
 	Have int `json:"have"` // version of the requesting box; 0 for none
 }
--- a/node/policyfallback.go
+++ b/node/policyfallback.go
@@ -26,7 +26,6 @@
 	return append(p.failed[:len(p.failed):len(p.failed)], p.busy)
 }
 
-// reset removes all exclusions.
 func (p *policySources) reset() {
 	p.failed = nil
 	p.busy = ""
--- a/node/pull.go
+++ b/node/pull.go
@@ -21,7 +21,7 @@
 	pullInterval     = 300 * time.Millisecond
 )
 
-// catalogRequest requests catalog changes from another box.
+// catalogRequest holds the parameters of a request for catalog changes.
 type catalogRequest struct {
 	After int64 `json:"after"` // revision of the requesting box; 0 for none
 }
@@ -164,7 +164,6 @@
 	return nil, errors.Newf("unknown method %q", string(m))
 }
 
-// applyUpdate applies a catalog update.
 func (n *Node) applyUpdate(u catalog.Update) {
 	first := n.table.Load() == nil
 	_ = n.state.Do(func(s *state) {
--- a/node/quota.go
+++ b/node/quota.go
@@ -18,8 +18,8 @@
 const (
 	allocatorTimeout    = 120 * time.Millisecond // for an allocation
 	allocatorBackoff    = time.Second            // for which a box that did not answer is skipped
-	allocatorBeats      = 2                      // beats between allocation requests ahead of need
-	demandBeats         = 2                      // beats between demand requests to other regions
+	allocatorBeats      = 2                      // heartbeats between allocation requests ahead of need
+	demandBeats         = 2                      // heartbeats between demand requests to other regions
 	defaultWindow       = 8 * time.Second        // if the settings have none
 	overageShare        = 0.2                    // of the allowed overage that is granted, so that counting errors do not reject requests within a quota
 	slackShare          = 0.25                   // of the allowed slack that is granted, for the same reason
@@ -42,13 +42,12 @@
 	backoff map[string]time.Duration // end of the back-off by address
 }
 
-// allocationRequest requests allocations from a quota allocator.
+// allocationRequest holds the parameters of a request to a quota allocator.
 type allocationRequest struct {
 	From quota.Asker `json:"from"`
 	Asks []quota.Ask `json:"asks"`
 }
 
-// newQuotas returns the quotas of a box.
 func (n *Node) newQuotas() *quotas {
 	regions := slices.Sorted(maps.Values(n.settings.Regions))
 	return &quotas{
@@ -103,7 +102,6 @@
 	}, true
 }
 
-// quotaWindow returns the window in which quotas are counted.
 func (n *Node) quotaWindow() time.Duration {
 	return cmp.Or(n.settings.Bounds.QuotaWindow, defaultWindow)
 }
@@ -209,7 +207,6 @@
 	q.backoff[addr] = until
 }
 
-// hasQuotas reports whether any organisation has a quota.
 func (n *Node) hasQuotas() bool {
 	t := n.table.Load()
 	return t != nil && t.Quotas()
--- a/node/quotaallocators.go
+++ b/node/quotaallocators.go
@@ -90,13 +90,11 @@
 	return true
 }
 
-// allocates reports whether this box is the allocator of a shard.
 func (n *Node) allocates(v *allocatorView, shard int) bool {
 	list := v.near[shard]
 	return len(list) > 0 && list[0].Box == n.settings.Box
 }
 
-// isAllocator reports whether this box is the allocator of any shard.
 func (n *Node) isAllocator(v *allocatorView) bool {
 	for shard := range v.near {
 		if n.allocates(v, shard) {
--- a/node/silentdomains.go
+++ b/node/silentdomains.go
@@ -6,8 +6,8 @@
 	"github.com/havenrudder/havenrudder/decision"
 )
 
-// watchDomains records failure domains of the region that became silent as a whole or came
-// back. The directory returns no boxes of silent ones.
+// watchDomains records failure domains of the region all of whose boxes became silent, and those
+// that recovered. The directory returns no boxes of silent ones.
 func (n *Node) watchDomains() {
 	var was, silent []string
 	_ = n.state.Do(func(s *state) { // it fails only when the box has ended
@@ -29,7 +29,6 @@
 	}
 }
 
-// difference returns the elements of list that other lacks.
 func difference(list, other []string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(v string) bool { return slices.Contains(other, v) })
 }
--- a/node/state.go
+++ b/node/state.go
@@ -56,7 +56,6 @@
 	poison            *poison.Watch
 }
 
-// newState returns the state of a box without any records.
 func newState(s Settings, self wire.BoxStatus, now time.Duration) *state {
 	pacer := pacing.New(s.Box, coldTerms(s.Bounds), pacing.WithStart(now))
 	ids := make(replicaIDs)
@@ -297,8 +296,7 @@
 	return out
 }
 
-// percent is a full share on the wire.
-const percent = 100
+const percent = 100 // a full share on the wire
 
 // place chooses a replica of this region, or a box of another region where the expected
 // loss is lower.
@@ -375,5 +373,4 @@
 	return ingress.Target{}, false
 }
 
-// placementRetryWait is the wait before the next attempt at a placement without a known time.
-const placementRetryWait = 40 * time.Millisecond
+const placementRetryWait = 40 * time.Millisecond // where the next attempt has no known time
