--- a/admission/admission.go
+++ b/admission/admission.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	contendedUtilization  = 0.7 // used part of the limit from which shares of organisations apply
-	maxForeignUtilization = 0.8 // used part of the slots below which requests of other regions are admitted
+	contendedUtilization  = 0.7 // used fraction of the limit from which shares of organisations apply
+	maxForeignUtilization = 0.8 // used fraction of the slots below which requests of other regions are admitted
 	minRetryAfter         = 100 * time.Millisecond
 	maxRetryAfter         = 5 * time.Second
 	requestsPerRetry      = 10 // admitted requests that earn one retry
--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -19,7 +19,7 @@
 type Doubt struct {
 	Replica  string `json:"replica"`
 	Born     int64  `json:"born,omitempty"` // start time of the replica, if known
-	Revision int64  `json:"revision"`       // at which the removal may have begun
+	Revision int64  `json:"revision"`       // since which the entry may be removed
 	Left     Millis `json:"left_ms"`        // until it is confirmed
 }
 
@@ -94,7 +94,7 @@
 			next.until = was.until
 		}
 	}
-	c.unconfirmed[id] = next // not before the floor, which stays
+	c.unconfirmed[id] = next // not before the floor, so that the floor stays valid
 	c.changeLog.add(id)
 }
 
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -36,7 +36,7 @@
 // Read returns the full state. Wait returns the changes after a revision and the revision that
 // they lead to, as soon as there are any or after a time; it fails with ErrHistoryGone if they
 // are unknown. The other functions may be nil. Newest returns the newest revision alone. Keep
-// is called often enough that the source can still report to Read that a large value is
+// is called often enough for the source to recognise at the next Read that a large value is
 // unchanged. Confirm returns the policy and the evacuations alone. First is Read for a box
 // without a copy: if it needs many calls, it calls goOn between them, and returns the partial
 // state with an error of goOn.
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -193,9 +193,9 @@
 }
 
 func (c *Content) removeMissing(id string, revision int64) {
-	doubted := c.InDoubt(id)
+	wasUnconfirmed := c.InDoubt(id)
 	c.drop(id)
-	if doubted {
+	if wasUnconfirmed {
 		c.history.confirmRemoval(id, revision, len(c.replicas))
 		return
 	}
@@ -203,19 +203,19 @@
 }
 
 func (c *Content) replaceEvacuated(s Snapshot) {
-	closed := make(map[string]bool, len(s.Evacuated))
+	evacuated := make(map[string]bool, len(s.Evacuated))
 	for _, d := range s.Evacuated {
-		closed[d] = true
+		evacuated[d] = true
 		if !c.evacuated[d] {
 			c.history.recordEvacuation(d, true, s.Revision)
 		}
 	}
 	for d := range c.evacuated {
-		if !closed[d] {
+		if !evacuated[d] {
 			c.history.recordEvacuation(d, false, s.Revision)
 		}
 	}
-	c.evacuated = closed
+	c.evacuated = evacuated
 }
 
 // apply applies a change of an update, unless the copy has a newer one.
--- a/node/core.go
+++ b/node/core.go
@@ -108,7 +108,7 @@
 
 // recordWrite records that a request is written later than its replica was chosen.
 func (n *Node) recordWrite(c *placement.Choice) {
-	choice := *c // a copy, for its grant ends meanwhile
+	choice := *c // a copy, as the end of the request clears its reservation
 	now := n.now()
 	n.state.Post(func(s *state) { s.view.Written(&choice, now) })
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -32,8 +32,8 @@
 }
 
 // drain waits for a planned stop. At first requests are accepted as before, from callers with
-// an older directory answer. Then the box accepts calls only, and these only while no other
-// box of the region serves. At last it completes the requests in flight.
+// an older directory answer. Then the box rejects new streams, and accepts other requests only
+// until another box of the region serves. At last it completes the requests in flight.
 func (n *Node) drain(ctx context.Context, cancel context.CancelCauseFunc, servers ...*http.Server) {
 	select {
 	case <-ctx.Done():
--- a/node/node.go
+++ b/node/node.go
@@ -98,7 +98,7 @@
 	suspended      time.Duration // of the machine, as last recorded; owned by the heartbeat task
 	misdirectedIDs chan string   // ids of replicas whose addresses other replicas have
 	stop           chan struct{} // closed when a planned stop begins
-	stopOnce       sync.Once     // guards the begin of a planned stop
+	stopOnce       sync.Once     // guards the start of a planned stop
 }
 
 // Option configures a Node.
--- a/node/quota.go
+++ b/node/quota.go
@@ -149,7 +149,7 @@
 	if v == nil { // no roster yet
 		return n.grant(n.asker(), asks)
 	}
-	for _, b := range v.near[shard] {
+	for _, b := range v.ownRegion[shard] {
 		if b.Box == n.settings.Box {
 			break
 		}
--- a/node/quotaallocators.go
+++ b/node/quotaallocators.go
@@ -26,10 +26,10 @@
 
 // allocatorView is the set of quota allocators by the roster of this box.
 type allocatorView struct {
-	users    int                                          // boxes of the region that may request allocations
-	complete bool                                         // all of them are in the roster
-	near     [allocatorShards][]wire.BoxStatus            // candidates of this region by shard, in order of preference
-	far      map[string][allocatorShards][]wire.BoxStatus // those of other regions
+	users        int                                          // boxes of the region that may request allocations
+	complete     bool                                         // all of them are in the roster
+	ownRegion    [allocatorShards][]wire.BoxStatus            // candidates of this region by shard, in order of preference
+	otherRegions map[string][allocatorShards][]wire.BoxStatus // candidates in the other regions
 }
 
 // shardOf returns the allocator shard of an organisation.
@@ -46,7 +46,7 @@
 	own := n.demand()
 	var asking sync.WaitGroup
 	var heard atomic.Int32
-	for region := range v.far {
+	for region := range v.otherRegions {
 		asking.Go(func() {
 			if n.collectRegionDemand(ctx, region, v) {
 				heard.Add(1)
@@ -70,7 +70,7 @@
 	all := make(map[string]quota.Use)
 	var failed atomic.Bool
 	var asking sync.WaitGroup
-	for shard, list := range v.far[region] {
+	for shard, list := range v.otherRegions[region] {
 		if len(list) == 0 || !n.allocates(v, shard) {
 			continue
 		}
@@ -91,12 +91,12 @@
 }
 
 func (n *Node) allocates(v *allocatorView, shard int) bool {
-	list := v.near[shard]
+	list := v.ownRegion[shard]
 	return len(list) > 0 && list[0].Box == n.settings.Box
 }
 
 func (n *Node) isAllocator(v *allocatorView) bool {
-	for shard := range v.near {
+	for shard := range v.ownRegion {
 		if n.allocates(v, shard) {
 			return true
 		}
@@ -107,7 +107,7 @@
 // allocators derives the quota allocators from the serving boxes of the roster.
 func (s *state) allocators(now time.Duration) *allocatorView {
 	v := &allocatorView{
-		far: make(map[string][allocatorShards][]wire.BoxStatus),
+		otherRegions: make(map[string][allocatorShards][]wire.BoxStatus),
 	}
 	byRegion := map[string][]wire.BoxStatus{
 		s.settings.Region: {{
@@ -123,9 +123,9 @@
 	for region, list := range byRegion {
 		chosen := chooseAllocators(list)
 		if region == s.settings.Region {
-			v.near = chosen
+			v.ownRegion = chosen
 		} else {
-			v.far[region] = chosen
+			v.otherRegions[region] = chosen
 		}
 	}
 	v.users = s.allocatorUsers(now)
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -101,8 +101,8 @@
 	c.used.add(-cost, p.now())
 }
 
-// Due returns the requests for credit in advance that are due for the organisations for which of
-// is true. It removes the credits of those without callers.
+// Due returns the requests for credit in advance that are due, for organisations that of accepts.
+// It removes the credits of organisations without callers.
 func (p *Purse) Due(of func(organisation string) bool) (out []Ask) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -104,8 +104,9 @@
 	return ok && now-report.requestedAt <= regionTimeout
 }
 
-// demandShare returns the share of a region with the demand own of a total of sum. Unused units, at least minEqualFraction of all, are divided equally, so that callers may
-// start in any region; the rest is divided in proportion to demand.
+// demandShare returns the share of a region with the demand own of a total of sum. Unused units,
+// at least minEqualFraction of all, are divided equally, so that callers may start in any region;
+// the rest is divided in proportion to demand.
 func demandShare(own, sum, perSecond float64, regions int) float64 {
 	equal := 1 / float64(regions)
 	spare := max(minEqualFraction, 1-sum/max(perSecond, 1))
