--- a/budget/counts.go
+++ b/budget/counts.go
@@ -26,8 +26,8 @@
 // bucketsFor returns the number of buckets that a window of length span can overlap:
 // one more than fit into it, since it may begin within a bucket.
 func bucketsFor(span time.Duration) int {
-	whole := (max(span, 0) + bucketLength - 1) / bucketLength
-	return int(whole) + 1
+	buckets := (max(span, 0) + bucketLength - 1) / bucketLength
+	return int(buckets) + 1
 }
 
 func bucketOf(now time.Duration) int64 {
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -267,9 +267,9 @@
 		if first && read.Policy != nil {
 			d.update(PolicyUpdate(read.Policy))
 		}
-		asks := first
+		isFirstCall := first
 		first = false
-		return d.readGate(ctx, d.now().Sub(began), asks)
+		return d.readGate(ctx, d.now().Sub(began), isFirstCall)
 	})
 }
 
--- a/catalog/rank.go
+++ b/catalog/rank.go
@@ -45,11 +45,11 @@
 // route's; nil is for no organisation.
 func (t *Table) Rank(service string, priority int, o *Organisation) float64 {
 	routes := t.priorityRange[service]
-	most := routes.levels()*t.organisationPriorities.levels() - 1
-	if most == 0 {
+	lastLevel := routes.levels()*t.organisationPriorities.levels() - 1
+	if lastLevel == 0 {
 		return 0
 	}
-	return float64(t.level(routes, priority, o)) / float64(most)
+	return float64(t.level(routes, priority, o)) / float64(lastLevel)
 }
 
 // Urgency returns the priority of a request of a service, 0 for the most urgent. It is the
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -203,19 +203,19 @@
 }
 
 func (c *Content) replaceEvacuated(s Snapshot) {
-	evacuated := make(map[string]bool, len(s.Evacuated))
+	published := make(map[string]bool, len(s.Evacuated))
 	for _, d := range s.Evacuated {
-		evacuated[d] = true
+		published[d] = true
 		if !c.evacuated[d] {
 			c.history.recordEvacuation(d, true, s.Revision)
 		}
 	}
 	for d := range c.evacuated {
-		if !evacuated[d] {
+		if !published[d] {
 			c.history.recordEvacuation(d, false, s.Revision)
 		}
 	}
-	c.evacuated = evacuated
+	c.evacuated = published
 }
 
 // apply applies a change of an update, unless the copy has a newer one.
--- a/pacing/fuzz_test.go
+++ b/pacing/fuzz_test.go
@@ -43,7 +43,7 @@
 // of time. Of each box with a send while the replica was cold, all sends up to
 // its last such send count, including those just before the replica turned cold.
 func maxSendsPerSecond(sends []send) int {
-	most := 0
+	maxSends := 0
 	from := 0
 	for _, first := range sends {
 		var last [maxBoxes]time.Duration
@@ -69,9 +69,9 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxSends = max(maxSends, n)
 	}
-	return most
+	return maxSends
 }
 
 // box is a box name and the process that runs under it, if any.
@@ -245,10 +245,10 @@
 		for range steps {
 			rapid.SampledFrom(actions).Draw(t, "action")()
 		}
-		most := maxSendsPerSecond(r.sends)
-		seen = max(seen, most)
-		if most > 6 { // the bound is 6.3
-			t.Fatalf("%d sends in a second", most)
+		maxSends := maxSendsPerSecond(r.sends)
+		seen = max(seen, maxSends)
+		if maxSends > 6 { // the bound is 6.3
+			t.Fatalf("%d sends in a second", maxSends)
 		}
 	})
 	t.Logf("maximum of sends in a second: %d", seen)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -109,14 +109,14 @@
 		Asked:        1,
 	}}
 	var list []timedGrant
-	var banks [4]*Bank
+	var allocators [4]*Bank
 	for at := time.Duration(0); at < 3*testWindow; at += 50 * time.Millisecond {
-		for n := range banks { // of 4, 3, 2 and 1 boxes
-			if banks[n] == nil {
-				banks[n] = NewBank()
+		for n := range allocators { // of 4, 3, 2 and 1 boxes
+			if allocators[n] == nil {
+				allocators[n] = NewBank()
 			}
-			for box := range len(banks) - n {
-				for _, g := range banks[n].Grant(longRunningBox(fmt.Sprint(box)), one, r, at) {
+			for box := range len(allocators) - n {
+				for _, g := range allocators[n].Grant(longRunningBox(fmt.Sprint(box)), one, r, at) {
 					list = append(list, timedGrant{
 						at:    at,
 						units: g.Units,
@@ -127,7 +127,7 @@
 	}
 	got := maxInWindow(list)
 	is.True(got > 0.9*units)
-	is.True(got <= units+float64(len(banks)))
+	is.True(got <= units+float64(len(allocators)))
 }
 
 func TestANewAllocatorAppliesTheUsageReportsOfBoxes(t *testing.T) {
@@ -172,10 +172,10 @@
 	is := is.New(t)
 	const units = 8000
 	regions := []string{"a", "b", "c"}
-	banks := make(map[string]*Bank)
+	allocators := make(map[string]*Bank)
 	rounds := make(map[string]Round)
 	for _, region := range regions {
-		banks[region] = NewBank()
+		allocators[region] = NewBank()
 		r := testRound(units, 1)
 		r.Shares = NewShares(region, regions)
 		rounds[region] = r
@@ -183,7 +183,7 @@
 	var list []timedGrant
 	for at := time.Duration(0); at < 5*testWindow; at += 20 * time.Millisecond {
 		if at%(500*time.Millisecond) == 0 {
-			exchangeUsage(banks, rounds, regions, at)
+			exchangeUsage(allocators, rounds, regions, at)
 		}
 		for i, region := range regions {
 			asks := []Ask{{
@@ -193,7 +193,7 @@
 				asks[0].Need = 80 // four times the quota
 				asks[0].Asked = 80
 			}
-			for _, g := range banks[region].Grant(longRunningBox("box"), asks, rounds[region], at) {
+			for _, g := range allocators[region].Grant(longRunningBox("box"), asks, rounds[region], at) {
 				list = append(list, timedGrant{
 					at:    at,
 					units: g.Units,
