--- a/catalog/change.go
+++ b/catalog/change.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// minRemovals is how many removals can be recorded however few replicas are listed, as the
-// loss of a failure domain removes many at once.
+// minRemovals is the minimum capacity for removals, as the loss of a failure domain removes many
+// replicas at once.
 const minRemovals = 512
 
 const (
--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -78,8 +78,7 @@
 	return ok
 }
 
-// markUnconfirmed records that a replica may be removed since a revision. An earlier deadline
-// stays.
+// markUnconfirmed records an unconfirmed removal of a replica. An earlier deadline stays.
 func (c *Content) markUnconfirmed(id string, revision int64, left time.Duration) {
 	if _, ok := c.replicas[id]; !ok {
 		return
--- a/catalog/reread.go
+++ b/catalog/reread.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// waitCaughtUp reports whether a follower has caught up with a box that it could not ask. With
+// waitCaughtUp reports whether a follower has the revision of a box that it could not ask. With
 // many replicas it first gives other boxes time to send the changes.
 func (d *Feed) waitCaughtUp(ctx context.Context, replicas int) bool {
 	if d.delivered.Load() < d.wanted.Load() && replicas > selfReadThreshold {
@@ -119,7 +119,7 @@
 }
 
 // untilSettled shortens a wait to just after the time at which missing entries are known to be
-// removed, if that is to come.
+// removed, if that is pending.
 func (d *Feed) untilSettled(wait time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/node/crossregion.go
+++ b/node/crossregion.go
@@ -89,7 +89,6 @@
 	return out
 }
 
-// mayForward reports whether a request may be forwarded to a box of another region.
 func (s *state) mayForward(ask ingress.Ask, m *roster.Member, now time.Duration) bool {
 	return s.active[m.Status.Region].has(m.Status.Box) && m.Status.Forward != "" &&
 		!slices.Contains(ask.TriedBoxes, m.Status.Box) && !s.isUnreachable(m, now)
--- a/node/follow.go
+++ b/node/follow.go
@@ -88,7 +88,6 @@
 	return byName[list[s.refreshCount%len(list)]]
 }
 
-// chooseRole recomputes the role of this box.
 func (n *Node) chooseRole() {
 	var r role
 	_ = n.state.Do(func(s *state) { r = s.role(n.now()) }) // it fails only after the box has stopped
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -14,7 +14,6 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// runGossip starts the exchange of messages with other boxes.
 func (n *Node) runGossip(ctx context.Context) {
 	for _, conn := range n.listeners.packets {
 		link := roster.NewLink(conn,
--- a/node/lease.go
+++ b/node/lease.go
@@ -78,7 +78,6 @@
 	})
 }
 
-// serveProof answers a request of another box for a freshness proof.
 func (n *Node) serveProof() proofResponse {
 	clock.Check()
 	age, version := n.lease.Age(n.now())
@@ -92,7 +91,6 @@
 	}
 }
 
-// callProof requests a freshness proof from the box at an address.
 func (n *Node) callProof(ctx context.Context, addr string) (out proofResponse, err error) {
 	err = n.peers.Call(ctx, addr, peer.Proof, struct{}{}, &out)
 	return out, err
--- a/node/node.go
+++ b/node/node.go
@@ -223,7 +223,6 @@
 	}))
 }
 
-// newFeed returns a feed that keeps the copy of the catalog current.
 func (n *Node) newFeed(source catalog.Source) *catalog.Feed {
 	return catalog.NewFeed(source, n.applyUpdate,
 		catalog.WithHealth(n.recordStoreHealth),
--- a/node/poison.go
+++ b/node/poison.go
@@ -50,7 +50,6 @@
 	return onTrial
 }
 
-// takeTrial tries to acquire the trial of a request.
 func (n *Node) takeTrial(content *poison.Content) (taken bool) {
 	d := content.Digest()
 	var asks []poison.Packet
@@ -70,7 +69,6 @@
 	return taken
 }
 
-// endTrial records the end of the trial of a request.
 func (n *Node) endTrial(c *placement.Choice, content *poison.Content) {
 	d := content.Digest()
 	n.state.Post(func(s *state) { s.poison.EndTrial(c.Replica, d) })
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -25,7 +25,6 @@
 	}
 }
 
-// recordPoisonChange logs a change of the record of a request.
 func (n *Node) recordPoisonChange(c poison.Change) {
 	e := decision.Event{
 		Kind:   decision.Belief,
--- a/node/policies.go
+++ b/node/policies.go
@@ -26,7 +26,6 @@
 	Have int `json:"have"` // version of the requesting box; 0 for none
 }
 
-// servePolicy answers a request of another box for the newest policy.
 func (n *Node) servePolicy(have int) (out catalog.PolicyNews, err error) {
 	var list []*catalog.Policy
 	if err := n.state.Do(func(s *state) { list = s.content.Policies() }); err != nil || len(list) == 0 {
@@ -180,7 +179,6 @@
 	return 0
 }
 
-// applyPolicyDelta returns the policy that results from a response.
 func applyPolicyDelta(news catalog.PolicyNews, known *catalog.Policy) (*catalog.Policy, error) {
 	a, err := news.Delta()
 	if err != nil {
--- a/node/pull.go
+++ b/node/pull.go
@@ -35,7 +35,6 @@
 	unreportedRemovals bool  // the other box has confirmed removals that it has not sent to this one
 }
 
-// compareCopy returns the state of the local copy relative to another box.
 func (s *state) compareCopy(from wire.BoxStatus) copyState {
 	out := copyState{
 		newest:             s.content.Newest(),
@@ -75,7 +74,6 @@
 	return from.Lapses > 0 && (told.inc != from.Inc || told.found < from.Lapses)
 }
 
-// recordReportedRemovals records that a box has sent its confirmed removals.
 func (s *state) recordReportedRemovals(from wire.BoxStatus) {
 	if from.Lapses == 0 {
 		return
@@ -123,7 +121,6 @@
 	return false
 }
 
-// callCatalog requests the changes after a revision from the box at an address.
 func (n *Node) callCatalog(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
 	var out catalog.EncodedNews
 	err = n.peers.Call(ctx, addr, peer.Catalog, catalogRequest{
@@ -135,7 +132,6 @@
 	return out.Decode()
 }
 
-// answerPeer answers a call of another box.
 func (n *Node) answerPeer(_ context.Context, m peer.Method, params json.RawMessage) (any, error) {
 	switch m {
 	case peer.Catalog:
@@ -199,7 +195,6 @@
 	}
 }
 
-// recordStoreHealth records whether a call to the store succeeded.
 func (n *Node) recordStoreHealth(err error) {
 	ok := err == nil
 	if ok {
--- a/node/quota.go
+++ b/node/quota.go
@@ -168,7 +168,6 @@
 	return n.grant(n.asker(), asks)
 }
 
-// recordAllocatorLost logs that an allocator did not answer.
 func (n *Node) recordAllocatorLost(box string, err error) {
 	n.record(decision.Event{
 		Kind:     decision.Lost,
@@ -178,7 +177,6 @@
 	})
 }
 
-// callAllocator requests allocations from the box at an address.
 func (n *Node) callAllocator(ctx context.Context, addr string, asks []quota.Ask) (out []quota.Grant, err error) {
 	ctx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
@@ -200,7 +198,6 @@
 	return ok && now < until
 }
 
-// backOffUntil has a box skipped until a time.
 func (q *quotas) backOffUntil(addr string, until time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/node/quotaallocators.go
+++ b/node/quotaallocators.go
@@ -32,7 +32,6 @@
 	otherRegions map[string][allocatorShards][]wire.BoxStatus // candidates in the other regions
 }
 
-// shardOf returns the allocator shard of an organisation.
 func shardOf(organisation string) int { return int(short.Of(organisation) % allocatorShards) }
 
 // shardKey returns the rendezvous key that ranks the candidates of a shard.
@@ -164,7 +163,6 @@
 // demand answers the allocator of another region.
 func (n *Node) demand() map[string]quota.Use { return n.quotas.allocator.Uses(n.now()) }
 
-// callDemand requests the demand of a region from the box at an address.
 func (n *Node) callDemand(ctx context.Context, addr string) (out map[string]quota.Use, err error) {
 	err = n.peers.Call(ctx, addr, peer.Demand, struct{}{}, &out)
 	return out, err
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -30,7 +30,6 @@
 	}
 }
 
-// serveCatalog answers a request of another box for catalog changes after a revision.
 func (n *Node) serveCatalog(after int64) (catalog.EncodedNews, error) {
 	var news catalog.News
 	all := false
--- a/node/state.go
+++ b/node/state.go
@@ -214,7 +214,6 @@
 	return h
 }
 
-// ownLoad converts the load that a box has at a replica.
 func ownLoad(replica string, l wire.ReplicaLoad) placement.OwnLoad {
 	return placement.OwnLoad{
 		Replica: replica,
