--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -9,11 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// unconfirmedTimeout is how long a removal stays unconfirmed if an update has no time of its
-// own.
 const (
-	unconfirmedTimeout = recoveryWindow + recoverySlack
-	recoverySlack      = 100 * time.Millisecond // for changes to arrive after the recovery window
+	unconfirmedTimeout = recoveryWindow + recoverySlack // if an update has no time of its own
+	recoverySlack      = 100 * time.Millisecond         // for changes to arrive after the recovery window
 )
 
 // Doubt is an unconfirmed removal: the entry is missing but may reappear after an outage of
@@ -21,7 +19,7 @@
 type Doubt struct {
 	Replica  string `json:"replica"`
 	Born     int64  `json:"born,omitempty"` // start time of the replica, if known
-	Revision int64  `json:"revision"`       // at which the removal may have begun
+	Revision int64  `json:"revision"`       // since which the entry may be removed
 	Left     Millis `json:"left_ms"`        // until it is confirmed
 }
 
@@ -80,8 +78,7 @@
 	return ok
 }
 
-// markUnconfirmed records that a replica may be removed since a revision. An earlier deadline
-// stays.
+// markUnconfirmed records an unconfirmed removal of a replica. An earlier deadline stays.
 func (c *Content) markUnconfirmed(id string, revision int64, left time.Duration) {
 	if _, ok := c.replicas[id]; !ok {
 		return
@@ -96,7 +93,7 @@
 			next.until = was.until
 		}
 	}
-	c.unconfirmed[id] = next // not before the floor, which stays
+	c.unconfirmed[id] = next // not before the floor, so that the floor stays valid
 	c.changeLog.add(id)
 }
 
@@ -119,7 +116,6 @@
 	return settled
 }
 
-// unconfirmedForPeers returns the unconfirmed removals as they are sent to other boxes.
 func (c *Content) unconfirmedForPeers() []Doubt {
 	var out []Doubt
 	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) {
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -36,7 +36,7 @@
 // Read returns the full state. Wait returns the changes after a revision and the revision that
 // they lead to, as soon as there are any or after a time; it fails with ErrHistoryGone if they
 // are unknown. The other functions may be nil. Newest returns the newest revision alone. Keep
-// is called often enough that the source can still report to Read that a large value is
+// is called often enough for the source to recognise at the next Read that a large value is
 // unchanged. Confirm returns the policy and the evacuations alone. First is Read for a box
 // without a copy: if it needs many calls, it calls goOn between them, and returns the partial
 // state with an error of goOn.
@@ -71,7 +71,6 @@
 	}
 }
 
-// unconfirmedTimeout returns how long missing entries stay unconfirmed.
 func (u Update) unconfirmedTimeout() time.Duration { return cmp.Or(u.Settles, unconfirmedTimeout) }
 
 // Feed keeps a copy of the catalog up to date from a source.
@@ -228,7 +227,6 @@
 	}
 }
 
-// replicaCount returns the last recorded number of replicas.
 func (d *Feed) replicaCount() int { return int(d.replicas.Load()) }
 
 // read makes a full read and delivers it, unless another box has sent the state meanwhile. It
@@ -269,9 +267,9 @@
 		if first && read.Policy != nil {
 			d.update(PolicyUpdate(read.Policy))
 		}
-		asks := first
+		isFirstCall := first
 		first = false
-		return d.readGate(ctx, d.now().Sub(began), asks)
+		return d.readGate(ctx, d.now().Sub(began), isFirstCall)
 	})
 }
 
@@ -324,7 +322,6 @@
 	}
 }
 
-// markRecovered records that the publisher answered at a time, after a failure.
 func (d *Feed) markRecovered(at time.Time) {
 	d.unavailable = false
 	d.settled = at.Add(recoveryWindow)
--- a/catalog/rank.go
+++ b/catalog/rank.go
@@ -7,7 +7,6 @@
 	defined bool
 }
 
-// extend returns the range including a priority.
 func (k priorityRange) extend(priority int) priorityRange {
 	if !k.defined {
 		return priorityRange{
@@ -26,7 +25,6 @@
 
 func (k priorityRange) levels() int { return k.last - k.first + 1 }
 
-// addPriorities records the priority of a route for its services.
 func (t *Table) addPriorities(r *Route) {
 	for _, s := range r.Shares {
 		t.priorityRange[s.Service] = t.priorityRange[s.Service].extend(r.Priority)
@@ -47,11 +45,11 @@
 // route's; nil is for no organisation.
 func (t *Table) Rank(service string, priority int, o *Organisation) float64 {
 	routes := t.priorityRange[service]
-	most := routes.levels()*t.organisationPriorities.levels() - 1
-	if most == 0 {
+	lastLevel := routes.levels()*t.organisationPriorities.levels() - 1
+	if lastLevel == 0 {
 		return 0
 	}
-	return float64(t.level(routes, priority, o)) / float64(most)
+	return float64(t.level(routes, priority, o)) / float64(lastLevel)
 }
 
 // Urgency returns the priority of a request of a service, 0 for the most urgent. It is the
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -146,7 +146,6 @@
 	return true
 }
 
-// replace applies the snapshot of an update.
 func (c *Content) replace(s Snapshot, u Update) {
 	recorded := c.Revision() // missing entries were removed after this revision
 	c.history.recordSnapshot(c.newest, s.Revision)
@@ -177,7 +176,6 @@
 	c.setNewest(s.Revision)
 }
 
-// unlisted returns the recorded replicas that are not listed, sorted.
 func (c *Content) unlisted(listed map[string]bool) []string {
 	var out []string
 	for id := range c.replicas {
@@ -194,11 +192,10 @@
 	c.floor = 0
 }
 
-// removeMissing removes a replica that a snapshot lacks.
 func (c *Content) removeMissing(id string, revision int64) {
-	doubted := c.InDoubt(id)
+	wasUnconfirmed := c.InDoubt(id)
 	c.drop(id)
-	if doubted {
+	if wasUnconfirmed {
 		c.history.confirmRemoval(id, revision, len(c.replicas))
 		return
 	}
@@ -206,19 +203,19 @@
 }
 
 func (c *Content) replaceEvacuated(s Snapshot) {
-	closed := make(map[string]bool, len(s.Evacuated))
+	published := make(map[string]bool, len(s.Evacuated))
 	for _, d := range s.Evacuated {
-		closed[d] = true
+		published[d] = true
 		if !c.evacuated[d] {
 			c.history.recordEvacuation(d, true, s.Revision)
 		}
 	}
 	for d := range c.evacuated {
-		if !closed[d] {
+		if !published[d] {
 			c.history.recordEvacuation(d, false, s.Revision)
 		}
 	}
-	c.evacuated = closed
+	c.evacuated = published
 }
 
 // apply applies a change of an update, unless the copy has a newer one.
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -14,7 +14,6 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// runGossip starts the exchange of messages with other boxes.
 func (n *Node) runGossip(ctx context.Context) {
 	for _, conn := range n.listeners.packets {
 		link := roster.NewLink(conn,
@@ -200,7 +199,7 @@
 	})
 }
 
-// watchMembers records boxes that became silent or came back.
+// watchMembers records boxes that became silent or recovered.
 func (n *Node) watchMembers() {
 	type change struct {
 		box  string
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -25,7 +25,6 @@
 	}
 }
 
-// recordPoisonChange logs a change of the record of a request.
 func (n *Node) recordPoisonChange(c poison.Change) {
 	e := decision.Event{
 		Kind:   decision.Belief,
@@ -49,7 +48,6 @@
 	return rosterPackets(s.poison.Due(s.poisonBoxes(now), now, rnd))
 }
 
-// poisonBoxes returns the other live boxes.
 func (s *state) poisonBoxes(now time.Duration) []poison.Box {
 	var out []poison.Box
 	for m := range s.roster.All() {
@@ -74,7 +72,6 @@
 	}
 }
 
-// rosterPackets converts datagrams for the link of the roster.
 func rosterPackets(list []poison.Packet) []roster.Packet {
 	out := make([]roster.Packet, 0, len(list))
 	for _, p := range list {
--- a/node/quotaallocators.go
+++ b/node/quotaallocators.go
@@ -26,13 +26,12 @@
 
 // allocatorView is the set of quota allocators by the roster of this box.
 type allocatorView struct {
-	users    int                                          // boxes of the region that may request allocations
-	complete bool                                         // all of them are in the roster
-	near     [allocatorShards][]wire.BoxStatus            // candidates of this region by shard, in order of preference
-	far      map[string][allocatorShards][]wire.BoxStatus // those of other regions
+	users        int                                          // boxes of the region that may request allocations
+	complete     bool                                         // all of them are in the roster
+	ownRegion    [allocatorShards][]wire.BoxStatus            // candidates of this region by shard, in order of preference
+	otherRegions map[string][allocatorShards][]wire.BoxStatus // candidates in the other regions
 }
 
-// shardOf returns the allocator shard of an organisation.
 func shardOf(organisation string) int { return int(short.Of(organisation) % allocatorShards) }
 
 // shardKey returns the rendezvous key that ranks the candidates of a shard.
@@ -46,7 +45,7 @@
 	own := n.demand()
 	var asking sync.WaitGroup
 	var heard atomic.Int32
-	for region := range v.far {
+	for region := range v.otherRegions {
 		asking.Go(func() {
 			if n.collectRegionDemand(ctx, region, v) {
 				heard.Add(1)
@@ -70,7 +69,7 @@
 	all := make(map[string]quota.Use)
 	var failed atomic.Bool
 	var asking sync.WaitGroup
-	for shard, list := range v.far[region] {
+	for shard, list := range v.otherRegions[region] {
 		if len(list) == 0 || !n.allocates(v, shard) {
 			continue
 		}
@@ -90,15 +89,13 @@
 	return true
 }
 
-// allocates reports whether this box is the allocator of a shard.
 func (n *Node) allocates(v *allocatorView, shard int) bool {
-	list := v.near[shard]
+	list := v.ownRegion[shard]
 	return len(list) > 0 && list[0].Box == n.settings.Box
 }
 
-// isAllocator reports whether this box is the allocator of any shard.
 func (n *Node) isAllocator(v *allocatorView) bool {
-	for shard := range v.near {
+	for shard := range v.ownRegion {
 		if n.allocates(v, shard) {
 			return true
 		}
@@ -109,7 +106,7 @@
 // allocators derives the quota allocators from the serving boxes of the roster.
 func (s *state) allocators(now time.Duration) *allocatorView {
 	v := &allocatorView{
-		far: make(map[string][allocatorShards][]wire.BoxStatus),
+		otherRegions: make(map[string][allocatorShards][]wire.BoxStatus),
 	}
 	byRegion := map[string][]wire.BoxStatus{
 		s.settings.Region: {{
@@ -125,9 +122,9 @@
 	for region, list := range byRegion {
 		chosen := chooseAllocators(list)
 		if region == s.settings.Region {
-			v.near = chosen
+			v.ownRegion = chosen
 		} else {
-			v.far[region] = chosen
+			v.otherRegions[region] = chosen
 		}
 	}
 	v.users = s.allocatorUsers(now)
@@ -166,7 +163,6 @@
 // demand answers the allocator of another region.
 func (n *Node) demand() map[string]quota.Use { return n.quotas.allocator.Uses(n.now()) }
 
-// callDemand requests the demand of a region from the box at an address.
 func (n *Node) callDemand(ctx context.Context, addr string) (out map[string]quota.Use, err error) {
 	err = n.peers.Call(ctx, addr, peer.Demand, struct{}{}, &out)
 	return out, err
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -17,7 +17,6 @@
 	now     func() time.Duration
 }
 
-// credit is a box's credit of one organisation.
 type credit struct {
 	units            float64
 	used             window
@@ -102,8 +101,8 @@
 	c.used.add(-cost, p.now())
 }
 
-// Due returns the requests for credit in advance that are due for the organisations for which of
-// is true. It removes the credits of those without callers.
+// Due returns the requests for credit in advance that are due, for organisations that of accepts.
+// It removes the credits of organisations without callers.
 func (p *Purse) Due(of func(organisation string) bool) (out []Ask) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +177,6 @@
 	return a
 }
 
-// applyGrant adds the credit of a grant or records its refusal.
 func (c *credit) applyGrant(g Grant, now time.Duration) {
 	if g.Units > 0 {
 		if now-c.lastGrant > creditTTL {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -28,7 +28,6 @@
 
 const testWindow = 8 * time.Second
 
-// testRound returns the parameters of Grant in a single region with the given number of boxes.
 func testRound(units float64, boxes int) Round {
 	return Round{
 		Terms: func(string) (Terms, bool) {
@@ -43,7 +42,6 @@
 	}
 }
 
-// longRunningBox returns a box that has run for a whole window.
 func longRunningBox(name string) Asker {
 	return Asker{
 		Box: name,
@@ -111,14 +109,14 @@
 		Asked:        1,
 	}}
 	var list []timedGrant
-	var banks [4]*Bank
+	var allocators [4]*Bank
 	for at := time.Duration(0); at < 3*testWindow; at += 50 * time.Millisecond {
-		for n := range banks { // of 4, 3, 2 and 1 boxes
-			if banks[n] == nil {
-				banks[n] = NewBank()
+		for n := range allocators { // of 4, 3, 2 and 1 boxes
+			if allocators[n] == nil {
+				allocators[n] = NewBank()
 			}
-			for box := range len(banks) - n {
-				for _, g := range banks[n].Grant(longRunningBox(fmt.Sprint(box)), one, r, at) {
+			for box := range len(allocators) - n {
+				for _, g := range allocators[n].Grant(longRunningBox(fmt.Sprint(box)), one, r, at) {
 					list = append(list, timedGrant{
 						at:    at,
 						units: g.Units,
@@ -129,7 +127,7 @@
 	}
 	got := maxInWindow(list)
 	is.True(got > 0.9*units)
-	is.True(got <= units+float64(len(banks)))
+	is.True(got <= units+float64(len(allocators)))
 }
 
 func TestANewAllocatorAppliesTheUsageReportsOfBoxes(t *testing.T) {
@@ -174,10 +172,10 @@
 	is := is.New(t)
 	const units = 8000
 	regions := []string{"a", "b", "c"}
-	banks := make(map[string]*Bank)
+	allocators := make(map[string]*Bank)
 	rounds := make(map[string]Round)
 	for _, region := range regions {
-		banks[region] = NewBank()
+		allocators[region] = NewBank()
 		r := testRound(units, 1)
 		r.Shares = NewShares(region, regions)
 		rounds[region] = r
@@ -185,7 +183,7 @@
 	var list []timedGrant
 	for at := time.Duration(0); at < 5*testWindow; at += 20 * time.Millisecond {
 		if at%(500*time.Millisecond) == 0 {
-			exchangeUsage(banks, rounds, regions, at)
+			exchangeUsage(allocators, rounds, regions, at)
 		}
 		for i, region := range regions {
 			asks := []Ask{{
@@ -195,7 +193,7 @@
 				asks[0].Need = 80 // four times the quota
 				asks[0].Asked = 80
 			}
-			for _, g := range banks[region].Grant(longRunningBox("box"), asks, rounds[region], at) {
+			for _, g := range allocators[region].Grant(longRunningBox("box"), asks, rounds[region], at) {
 				list = append(list, timedGrant{
 					at:    at,
 					units: g.Units,
