--- a/peer/peer.go
+++ b/peer/peer.go
@@ -36,8 +36,7 @@
 // Handler handles one message. For a notification its result is discarded.
 type Handler func(ctx context.Context, m Method, params json.RawMessage) (any, error)
 
-// envelopeBytes is the overhead of JSON-RPC and the length prefix per message; see
-// TestEnvelopeIsMeasured.
+// envelopeBytes is the size of JSON-RPC and the length prefix; see TestEnvelopeIsMeasured.
 const envelopeBytes = 43
 
 // codec frames messages by a length prefix and limits their size.
@@ -199,12 +198,10 @@
 	}
 }
 
-// retireDelay is the time after which a retired connection is closed: longer than the calls
-// that still wait on it.
+// retireDelay exceeds the timeouts of the calls that still wait on a retired connection.
 const retireDelay = 10 * time.Second
 
-// retire removes a connection on which a call has timed out, so that later calls don't wait
-// on a connection that may be dead.
+// retire removes a connection on which a call has timed out, as it may be dead.
 func (p *Pool) retire(addr string, c *jsonrpc2.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -149,8 +149,7 @@
 	})
 }
 
-// unresponsiveListener reads its first connection without ever responding, and returns the
-// others from Accept.
+// unresponsiveListener reads its first connection but never responds to it.
 type unresponsiveListener struct {
 	net.Listener
 	first atomic.Bool
--- a/poison/cluster_test.go
+++ b/poison/cluster_test.go
@@ -72,7 +72,6 @@
 	return w
 }
 
-// sendDue delivers the due datagrams of a box.
 func (b *cluster) sendDue(name string) {
 	b.deliver(name, b.watches[name].Due(b.others(name), b.now, b.rnd.IntN))
 }
@@ -115,7 +114,6 @@
 	}
 }
 
-// crash crashes a replica under a request at a box.
 func (b *cluster) crash(name, replica string, d Digest) {
 	b.now += 2 * jointCrashWindow // keeps the crashes from being joint ones
 	w := b.watches[name]
--- a/poison/datagram.go
+++ b/poison/datagram.go
@@ -79,7 +79,7 @@
 	return out
 }
 
-// append appends a mask of the checksums that aren't zero, and these.
+// append encodes the checksums that aren't zero, after a mask of their partitions.
 func (s *Sums) append(out []byte) []byte {
 	var mask uint16
 	for i, n := range s {
--- a/poison/interruptions.go
+++ b/poison/interruptions.go
@@ -43,9 +43,8 @@
 }
 
 // Add records that an incarnation gave no complete response to a request, and reports whether
-// the incarnation is known to have crashed and the request may be the cause; alone marks a run
-// on trial. A request sent just after the first interruption can't be the cause, as the
-// process was gone by then.
+// the incarnation is known to have crashed and the request may be the cause. A request sent just
+// after the first interruption can't be. alone marks a run on trial.
 func (c *Cuts) Add(incarnation string, d Digest, alone bool, sent, now time.Duration) (crashed bool) {
 	k := c.incarnations[incarnation]
 	if k != nil && sent >= k.first && (k.crashed || sent-k.first < dialInterval) {
@@ -69,8 +68,7 @@
 }
 
 // Clear removes a request that a replica has survived from all incarnations not known to have
-// crashed, and reports whether it was present. Otherwise the response would precede the crash
-// that it clears, and clear nothing.
+// crashed, and reports whether it was present.
 func (c *Cuts) Clear(d Digest) (found bool) {
 	for _, k := range c.incarnations {
 		if _, ok := k.digests[d]; ok && !k.crashed {
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -96,8 +96,7 @@
 	return l.Answer(d, at)
 }
 
-// Answer records that a replica survived a request, whether it has a record or not, and reports
-// whether the record changed.
+// Answer is Clear for any request, whether it has a record or not.
 func (l *Ledger) Answer(d Digest, at time.Duration) bool {
 	return l.Take(Record{
 		Digest:   d,
@@ -137,8 +136,8 @@
 	}
 }
 
-// evict drops records when the ledger is full: those with the fewest crashes first, the oldest
-// before others, so that a flood of requests interrupted once evicts no quarantined request.
+// evict drops records when the ledger is full: those with the fewest crashes first, then the
+// oldest. So a flood of requests interrupted once evicts no quarantined request.
 func (l *Ledger) evict(now time.Duration) {
 	if len(l.records) < maxRecords {
 		return
--- a/poison/record.go
+++ b/poison/record.go
@@ -37,7 +37,6 @@
 	Alone bool          // the request was on trial there, apart from others on trial
 }
 
-// never is the time of an event that has not occurred.
 const never = time.Duration(math.MinInt64 / 2)
 
 // Record holds the crashes of replicas under a request.
--- a/poison/served.go
+++ b/poison/served.go
@@ -12,10 +12,9 @@
 	maxPerGeneration = 8192
 )
 
-// Served holds the requests that replicas survived recently for callers of this box: the
-// responses were complete, or ran for long. A popular request is under way at most replicas
-// that crash for any reason; having been served, it isn't suspected. Served is safe for
-// concurrent use.
+// Served holds the requests that replicas survived recently for callers of this box. These
+// aren't suspect: a popular request is under way at most replicas that crash for any reason.
+// Served is safe for concurrent use.
 type Served struct {
 	seed maphash.Seed
 
@@ -41,7 +40,7 @@
 	return h.Sum64()
 }
 
-// Add records that a replica survived a request.
+// Add records that a replica survived a request: the response is complete, or has run for long.
 func (p *Served) Add(c *Content, now time.Duration) {
 	key := p.fingerprint(c)
 	p.mu.Lock()
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -26,17 +26,15 @@
 	Buf  []byte
 }
 
-// pendingUpdate is a record to be sent to other boxes.
 type pendingUpdate struct {
 	sendsLeft int // remaining sends to the owners
 	nextSend  time.Duration
 	toAll     bool // send once to all boxes, if this box is an announcer
 }
 
-// Spread gossips the records of a ledger. A crash interrupts many requests, most of which
-// occur once, so that sending each to all boxes would cost too much: only the owners of a
-// request, a few boxes selected by its digest, receive its first crash. From the second on the
-// record goes to all boxes.
+// Spread gossips the records of a ledger. A crash interrupts many requests, most of them only
+// once. To limit the traffic, the first crash of a request goes to its owners, a few boxes
+// selected by its digest; from the second on the record goes to all boxes.
 type Spread struct {
 	self        string
 	ledger      *Ledger
@@ -112,7 +110,6 @@
 	}
 }
 
-// packets encodes the records of each address as datagrams.
 func (s *Spread) packets(records map[string][]Record, now time.Duration) []Packet {
 	var out []Packet
 	for addr, list := range records {
@@ -142,8 +139,8 @@
 	}
 }
 
-// Hear processes a datagram from an address. It returns the replies, and whether the ledger
-// changed. Records that this box can clear are returned to the sender.
+// Hear processes a datagram from an address, and reports whether the ledger changed. The replies
+// include the records that this box can clear.
 func (s *Spread) Hear(d Datagram, from string, now time.Duration) (replies []Packet, changed bool) {
 	var corrections []Record
 	for _, r := range d.Records {
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -9,7 +9,6 @@
 	grantTTL          = time.Second            // after which the waiting request may have left
 )
 
-// trialMessage is the kind of a message on a run on trial.
 type trialMessage byte
 
 const (
@@ -19,7 +18,7 @@
 	trialDenial                 // refuses a run for now
 )
 
-// trialQuery is the state of the requests of this box for a run on trial.
+// trialQuery is the state of this box's queries for a run of one request on trial.
 type trialQuery struct {
 	lastSent    time.Duration
 	ownerCursor int // position among the owners
@@ -45,8 +44,7 @@
 }
 
 // Try reports whether a request on trial may run now, and returns the message to its owner if
-// one is due; others returns the other boxes alive. It is called repeatedly while the request
-// waits.
+// one is due. It is called repeatedly while the request waits.
 func (w *Watch) Try(d Digest, others func() []Box, now time.Duration) (may bool, messages []Packet) {
 	q := w.trials.queries[d]
 	if q == nil {
@@ -166,8 +164,7 @@
 }
 
 // Trials returns the incarnations at which more than limit other requests run on trial that have
-// at least as many crashes as d. Spreading the runs separates requests with the same crashes:
-// of 100 a tenth share the next crash if ten replicas are left, and one or two the one after.
+// at least as many crashes as d. Spreading the runs separates requests with the same crashes.
 func (w *Watch) Trials(d Digest, limit int) []string {
 	var out []string
 	for incarnation, list := range w.trials.runs {
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -50,8 +50,7 @@
 	return OnTrial, 0
 }
 
-// attribution is whether a request with three or more crashes is their cause, given the crashes
-// of all requests.
+// attribution is whether a request with three or more crashes is their cause.
 type attribution int
 
 const (
@@ -107,7 +106,7 @@
 	}
 }
 
-// findCauses finds the requests that are the cause of their crashes, and returns these.
+// findCauses marks the requests that are the cause of their crashes, and returns these crashes.
 func (w *assessment) findCauses(list []*Record) map[Start]bool {
 	caused := make(map[Start]bool)
 	for _, r := range list {
@@ -122,7 +121,6 @@
 	return caused
 }
 
-// findExplained finds the requests whose crashes all have a cause.
 func (w *assessment) findExplained(list []*Record, caused map[Start]bool) {
 	for _, r := range list {
 		isOpen := slices.ContainsFunc(r.Ends, func(e End) bool { return !caused[e.Start] })
@@ -153,8 +151,7 @@
 	return out
 }
 
-// isCause reports whether a request has enough crashes that are no other request's, or one on
-// trial.
+// isCause reports whether enough crashes are no other request's, or one was on trial.
 func (w *assessment) isCause(r *Record) bool {
 	own := 0
 	for _, e := range r.Ends {
@@ -193,9 +190,8 @@
 }
 
 // isUnsettled reports whether the third crash of a request is within the settle window and
-// another suspect has one of its crashes. That suspect may turn out to have the other crashes
-// too, several poison requests may explain them, or a box may be about to report that it has
-// served the request.
+// another suspect has one of its crashes. Pending gossip may then still explain the crashes, or
+// report that a box has served the request.
 func (l *Ledger) isUnsettled(r *Record, now time.Duration) bool {
 	if now-r.latest() > settleWindow || len(r.Ends) != quarantineThreshold {
 		return false
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -10,8 +10,7 @@
 	retryFactor = 4               // by which each further crash multiplies the delay
 )
 
-// dialInterval is the minimum time between two connections that probe a replica after it
-// interrupted requests. One probe serves all of them, and is complete within this time.
+// dialInterval is the minimum time between two probes of a replica that interrupted requests.
 const dialInterval = time.Second
 
 // Watch is the state of a box on requests that crash their replicas. It belongs to one actor,
@@ -64,16 +63,14 @@
 }
 
 // Untried reports whether a request with a record has not been on trial yet. If it was served
-// before, it is put on trial: several poison requests may have crashed three replicas that all
-// ran this popular one, before the second crash of any of them became known.
+// before, it is put on trial: its crashes may be those of several poison requests.
 func (w *Watch) Untried(d Digest) bool {
 	r := w.ledger.Get(d)
 	return r != nil && r.trialBits() == 0
 }
 
-// Tries reports whether this box retries a quarantined request that was served before. Only the
-// first owner does, so that there is one retry over all boxes, with a delay that grows with
-// each crash.
+// Tries reports whether this box retries a quarantined request that was served before. Only its
+// first owner does, after a delay that grows with each crash.
 func (w *Watch) Tries(d Digest, others []Box, now time.Duration) bool {
 	r := w.ledger.Get(d)
 	if r == nil || len(r.Ends) < quarantineThreshold {
@@ -93,8 +90,7 @@
 	return true
 }
 
-// Clear records that a replica survived a request, and reports whether other boxes must be
-// notified.
+// Clear records that a replica survived a request, and reports whether to notify other boxes.
 func (w *Watch) Clear(d Digest, now time.Duration) bool {
 	waited := w.cuts.Clear(d)
 	if waited {
@@ -155,21 +151,18 @@
 // CutBy returns up to maxLoggedDigests requests that an incarnation interrupted.
 func (w *Watch) CutBy(incarnation string) []Digest { return w.cuts.CutBy(incarnation) }
 
-// addCrash records a crash under a request, and schedules the update if it is new.
 func (w *Watch) addCrash(d Digest, e End, now time.Duration) {
 	if w.ledger.addCrash(d, e) {
 		w.spread.Learned(d, now)
 	}
 }
 
-// Due returns the datagrams to send at now; others are the boxes alive, and rnd returns a
-// random number from 0 to n-1.
+// Due returns the datagrams to send at now, as Spread.Due does.
 func (w *Watch) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
 	return w.spread.Due(others, now, rnd)
 }
 
-// Hear processes a datagram from an address. It returns the replies, and whether the ledger
-// changed. A malformed datagram is dropped, as its records are sent again.
+// Hear is Spread.Hear for an encoded datagram. A malformed one is dropped.
 func (w *Watch) Hear(buf []byte, from string, now time.Duration) (replies []Packet, changed bool) {
 	d, err := Decode(buf, now)
 	if err != nil {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -78,10 +78,9 @@
 // token plus the interference cost to other requests. With explain it also returns why
 // each other replica was rejected.
 //
-// It evaluates the top-ranked replicas for Affinity and those that have the prefix cached;
-// if these are crowded, also the top-ranked ones for Spread; and if none of these is
-// usable, all replicas. The restriction keeps boxes with the same outdated state from
-// choosing the same replica.
+// It evaluates the top-ranked replicas for Affinity and those that have the prefix cached; if
+// these are crowded, also those for Spread; if none is usable, all. Boxes with the same outdated
+// state would otherwise all choose the same replica.
 func Decide(req Request, replicas []Replica, explain bool) Choice {
 	d := decision{
 		req:       req,
@@ -211,10 +210,9 @@
 	}
 }
 
-// interferenceCost returns the cost of the request to other requests at r. An uncached
-// prefill delays them and evicts cached prefixes. The top-ranked replica has a bonus, so
-// that all boxes prefer the same one. The cost of a nearly full replica rises steeply, to
-// limit tail latency at the expense of cache hits.
+// interferenceCost returns the cost of the request to other requests at r. An uncached prefill
+// delays them and evicts cached prefixes. The top-ranked replica has a bonus, so that all boxes
+// prefer it. Near full occupancy the cost rises steeply, to limit tail latency.
 func (d *decision) interferenceCost(rank int, r *Replica) time.Duration {
 	share := 0.0
 	if !r.Warm {
@@ -287,9 +285,8 @@
 	return slots + int(queue*float64(slots))
 }
 
-// Queueing returns the expected wait for a slot at r, where each request occupies one for
-// hold. It is positive also while slots are free, since requests in one batch slow each
-// other down.
+// Queueing returns the expected wait for a slot at r if each request occupies one for hold. It
+// is positive also while slots are free, since requests in one batch slow each other down.
 func Queueing(r *Replica, hold time.Duration) time.Duration {
 	slots := max(r.Slots, 1)
 	if r.Load < slots {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -44,8 +44,7 @@
 	return out
 }
 
-// TestADecisionIsAllowedRepeatableAndExplained guards against a choice of an unusable
-// replica, a nondeterministic choice and a rejection without a reason.
+// Guards against unusable or nondeterministic choices and rejections without a reason.
 func TestADecisionIsAllowedRepeatableAndExplained(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := drawReplicas(t)
