--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -18,8 +18,8 @@
 
 const replicaDialTimeout = 250 * time.Millisecond // within a region
 
-// lateWriteThreshold is the time from the selection of a replica to the write of the request
-// from which the write is reported to the rate limit of cold replicas.
+// lateWriteThreshold is the delay between the selection of a replica and the write of the
+// request above which the rate limit of cold replicas is notified of the write.
 const lateWriteThreshold = 20 * time.Millisecond
 
 // hopHeaders are the hop-by-hop headers, which are not forwarded.
@@ -50,7 +50,7 @@
 	return h
 }
 
-// attempt is one attempt at one replica or box.
+// attempt is one attempt to send a request to a replica or box.
 type attempt struct {
 	call           *call
 	target         *Target
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -169,7 +169,8 @@
 	return c.server.core.Place(c.newQuery())
 }
 
-// noteFailedDial records a failed connection, whose retry also pays for the next attempt.
+// noteFailedDial records a failed connection. If an earlier replica received the request, the
+// next attempt takes no further retry from the budget.
 func (c *call) noteFailedDial() {
 	c.failedDials++
 	c.retryGranted.Store(c.received)
--- a/ingress/poison.go
+++ b/ingress/poison.go
@@ -11,7 +11,7 @@
 	"github.com/havenrudder/havenrudder/poison"
 )
 
-// reasonTrial is the reason of a request that waited too long for its run on trial.
+// reasonTrial is the reason for refusing a request that waited too long for its run on trial.
 const reasonTrial placement.Reason = "on trial, replicas ended under it"
 
 const (
@@ -26,8 +26,8 @@
 // survived its request.
 const survivalTime = 2 * time.Second
 
-// Poison holds the functions that report crashes of replicas under requests, and query
-// the requests that are suspect.
+// Poison holds the functions that report crashes of replicas and query the state of suspect
+// requests.
 type Poison struct {
 	Quarantined func(content *poison.Content) (left time.Duration, quarantined bool)                // no replica may receive the request for the time left
 	Cut         func(c *placement.Choice, content *poison.Content, took time.Duration, closed bool) // a replica received the request and sent no complete response; closed: it closed the connection
--- a/node/activeboxes_test.go
+++ b/node/activeboxes_test.go
@@ -12,8 +12,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// newLargeRegionBox returns a box of an installation with a number of boxes per region, and with many
-// engines.
+// newLargeRegionBox returns a box of a region with a number of boxes and many engines.
 func newLargeRegionBox(name string, boxes int) *testBox {
 	b := newBox(name, "a", largeReplicas)
 	for n := range boxes {
--- a/node/coldstart_test.go
+++ b/node/coldstart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against an overloaded cold replica when all boxes start before their seeds: each box must take
-// its share of the rate limit by the size of the region, also while its roster is incomplete.
+// Guards against an overloaded cold replica when all boxes start before their seeds: with an incomplete
+// roster, each box must still compute its share of the rate limit from the size of the region.
 func TestBoxesThatAllStartBeforeTheirSeedsKeepThePaceOfAColdReplica(t *testing.T) {
 	in := newInstallation(1, 3, 21)
 	in.startAll(400*time.Millisecond, 700*time.Millisecond)
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -69,7 +69,7 @@
 	is.Equal(ageAfter(7, 9000), time.Second)
 }
 
-// Guards against an age of a read that omits the delay of datagrams and thus stays constant while boxes
+// Guards against an age of a read that omits the delay of datagrams, and so doesn't grow while boxes
 // exchange it.
 func TestAReadingGetsNoYoungerOnItsWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/node/home_test.go
+++ b/node/home_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Guards against a request that stays because a local replica is preferred for its segments,
-// though another region caches them.
+// Guards against a request that stays at the local preferred replica for its segments though
+// another region caches them.
 func TestAPromptGoesToTheHomeOfItsSegmentsAlsoWhereThisRegionHasReplicas(t *testing.T) {
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 2, "b": 2, "c": 2}, start)[0]
--- a/node/largefleet_test.go
+++ b/node/largefleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// fleetBox returns an active box of a fleet in three regions with ten times as many replicas.
+// fleetBox returns an active box of a fleet in three regions with ten replicas per box.
 func fleetBox(boxes int) *testBox {
 	perRegion := boxes / len(fleetRegions)
 	for n := 0; ; n++ {
--- a/node/largepolicy_test.go
+++ b/node/largepolicy_test.go
@@ -70,7 +70,6 @@
 	return p
 }
 
-// publish publishes a policy.
 func (l *listing) publish(p *catalog.Policy) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -69,7 +69,6 @@
 	return p
 }
 
-// publish publishes the current keys.
 func (k *keyring) publish() {
 	k.version += 1 + k.rnd.IntN(3)
 	k.listing.publish(k.policy())
@@ -92,13 +91,11 @@
 	k.publish()
 }
 
-// restore reissues all keys.
 func (k *keyring) restore() {
 	clear(k.revoked)
 	k.publish()
 }
 
-// topologyChanged records that the topology has changed.
 func (k *keyring) topologyChanged() { k.since = time.Now() }
 
 // cutOff partitions a set of boxes from all others.
@@ -116,14 +113,13 @@
 	}
 }
 
-// heal ends a partition.
 func (k *keyring) heal() {
 	k.cut.Store(nil)
 	k.topologyChanged()
 }
 
-// watch checks all boxes until d is over. reaches reports whether a box has a path to the listing, directly or
-// over other boxes.
+// watch checks all boxes until d is over. reaches reports whether a box reaches the listing, directly or over
+// others.
 func (k *keyring) watch(d time.Duration, reaches func(b *simBox) bool) {
 	for end := time.Now().Add(d); time.Now().Before(end) && k.violation == ""; {
 		time.Sleep(checkInterval)
@@ -290,7 +286,7 @@
 	})
 }
 
-// Guards against a box that loses the lease although other boxes reach the publisher, at one more seed.
+// Guards, with a further seed, against a box that loses the lease although others reach the publisher.
 func TestABoxThatIsTurnedAwayHoldsTheLeaseByOthersAtAnotherSeed(t *testing.T) {
 	for _, day := range keyScenarios {
 		if day.name != "some boxes rejected by the publisher" {
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// transmit returns the time in which a box sends a number of bytes after those in its queue.
+// transmit returns the time until a box has sent its queue and then a number of bytes.
 func (l *links) transmit(from *simBox, bytes int) time.Duration {
 	if l == nil {
 		return 0
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -54,7 +54,6 @@
 	return l
 }
 
-// put lists a replica.
 func (l *listing) put(r catalog.Replica) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +66,6 @@
 	})
 }
 
-// drop removes the entry of a replica.
 func (l *listing) drop(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,13 +77,11 @@
 	})
 }
 
-// addChange appends a change to the history.
 func (l *listing) addChange(c catalog.Change) {
 	l.history = append(l.history, c)
 	l.changed.Tell()
 }
 
-// dropHistory drops the history.
 func (l *listing) dropHistory() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,14 +125,12 @@
 	return l.down
 }
 
-// callCount returns the number of calls.
 func (l *listing) callCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls
 }
 
-// get returns the entry of a replica.
 func (l *listing) get(id string) catalog.Replica {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +144,6 @@
 	return slices.Sorted(maps.Keys(l.replicas))
 }
 
-// source returns the listing as a source for a box.
 func (l *listing) source(box string) catalog.Source {
 	return l.throughDownlink(box, catalog.Source{
 		First: func(ctx context.Context, goOn func(catalog.Snapshot) error) (catalog.Snapshot, error) {
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -74,7 +74,6 @@
 	return b
 }
 
-// policy returns the policy with the current quotas.
 func (b *quotaSimulation) policy(version int) *catalog.Policy {
 	p := policy(version)
 	p.Keyed = true
@@ -209,7 +208,6 @@
 	}
 }
 
-// scaleDemand multiplies the demand of an organisation.
 func (b *quotaSimulation) scaleDemand(name string, x float64) {
 	for _, o := range b.orgs {
 		if o.name == name {
--- a/node/removal_test.go
+++ b/node/removal_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Guards against late updates of replicas that leave or are removed.
+// Guards against boxes that learn too late that a replica leaves or is removed.
 func TestEachBoxLearnsInTimeThatAReplicaLeavesOrIsRemoved(t *testing.T) {
 	t.Parallel()
 	for _, run := range []struct {
@@ -136,7 +136,7 @@
 	seeds     = flag.Uint64("seeds", 1, "number of consecutive seeds")
 )
 
-// longAfterAnOutage removes replicas long after an outage, and while all watchers restart.
+// longAfterAnOutage removes replicas long after an outage, then while all watchers restart.
 func longAfterAnOutage(t *testing.T, seed uint64, boxes int) {
 	f := newSimulation(t.Context(), seed, boxes)
 	defer f.end()
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -134,7 +134,6 @@
 	}
 }
 
-// start starts a process on a machine.
 func (f *simulation) start(b *simBox) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	n := &Node{
@@ -211,7 +210,6 @@
 	return even + time.Duration(1-time.Now().UnixNano()%2)
 }
 
-// addToTrace adds an event to the trace.
 func (f *simulation) addToTrace(what ...any) { f.trace.Add(f.hash(what...)) }
 
 // kill stops the process on a machine at once.
@@ -363,7 +361,7 @@
 	})
 }
 
-// remove removes replicas for good and lists replacements.
+// remove removes replicas and lists replacements under new ids.
 func (f *simulation) remove(count int) {
 	for _, id := range f.someReplicas(count) {
 		r := f.listing.get(id)
@@ -375,7 +373,6 @@
 	}
 }
 
-// replaceReplica lists a replacement of a replica.
 func (f *simulation) replaceReplica(r catalog.Replica) {
 	f.replaced++
 	r.ID = fmt.Sprint(r.ID, "+", f.replaced)
@@ -419,10 +416,8 @@
 	return slices.Clone(ids[:min(count, len(ids))])
 }
 
-// someBox returns a random machine.
 func (f *simulation) someBox() *simBox { return f.boxes[f.rnd.IntN(len(f.boxes))] }
 
-// end stops all boxes.
 func (f *simulation) end() {
 	for _, b := range f.boxes {
 		f.kill(b)
--- a/node/simulationcalls_test.go
+++ b/node/simulationcalls_test.go
@@ -32,7 +32,6 @@
 	return n, way, ctx.Err()
 }
 
-// connection is a connection between two processes.
 type connection struct{ from, to *Node }
 
 // connect opens a connection between two processes unless one exists. It takes a round trip, and is not
@@ -52,7 +51,6 @@
 	return ctx.Err()
 }
 
-// requestCredit requests allocations from a quota allocator.
 func (f *simulation) requestCredit(ctx context.Context, from *simBox, addr string, asks []quota.Ask) ([]quota.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
@@ -70,7 +68,6 @@
 	return out, ctx.Err()
 }
 
-// fetchDemand requests the demand of another region.
 func (f *simulation) fetchDemand(ctx context.Context, from *simBox, addr string) (map[string]quota.Use, error) {
 	n, way, err := f.sendCall(ctx, from, addr, "demand")
 	if err != nil {
@@ -81,7 +78,6 @@
 	return out, ctx.Err()
 }
 
-// fetchProof requests a freshness proof.
 func (f *simulation) fetchProof(ctx context.Context, from *simBox, addr string) (proofResponse, error) {
 	n, way, err := f.sendCall(ctx, from, addr, "proof")
 	if err != nil {
@@ -105,7 +101,6 @@
 	return nil, nil, errors.Wrap(ctx.Err(), "box gone")
 }
 
-// fetchChanges requests catalog changes from a box.
 func (f *simulation) fetchChanges(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay+f.jitter(maxJitter, "asked", addr, after))
 	if err != nil {
--- a/placement/copy.go
+++ b/placement/copy.go
@@ -10,8 +10,8 @@
 	bitsPerByte    = 8
 )
 
-// copyTime returns the time to copy the cached state of so many prompt tokens to an engine.
-// It returns false if the engine can't copy it or prefills it faster.
+// copyTime returns the time to copy the cached state of prompt tokens to an engine. It returns
+// false if the engine can't copy it or prefills it faster.
 func (r *Replica) copyTime(tokens int) (time.Duration, bool) {
 	if tokens == 0 || r.service == nil || r.service.Engine == nil {
 		return 0, false
--- a/placement/incarnation.go
+++ b/placement/incarnation.go
@@ -28,8 +28,8 @@
 	return o != nil && o.listed
 }
 
-// describeRemoval returns why a replica is no longer listed. The newest are the latest
-// entries by address.
+// describeRemoval returns why a replica is no longer listed; newest holds the latest entry of
+// each address.
 func (v *View) describeRemoval(r *Replica, newest map[string]catalog.Replica) string {
 	switch {
 	case v.isReplaced(r):
--- a/placement/loss.go
+++ b/placement/loss.go
@@ -56,7 +56,7 @@
 )
 
 // longestGap estimates the longest gap between two events of a stream while the engine
-// prefills the last tokens of a prompt, if an event takes so many steps.
+// prefills the unread tokens at the end of a prompt. steps is the number of steps per event.
 func longestGap(prompt, unread, running int, steps float64) time.Duration {
 	chunks := min(float64(unread)/chunkTokens, steps)
 	context := max(float64(prompt)-steps*chunkTokens/2, float64(prompt)/2)
@@ -66,8 +66,8 @@
 }
 
 // Harm returns the interference cost of a prompt to the requests that run at the same
-// engine, in thousandths of a request's value. The engine has to prefill so many missing
-// tokens of its shared segments.
+// engine, in thousandths of a request's value. missing is the number of shared tokens that
+// the engine has to prefill.
 func (req *Request) Harm(missing, running int) float64 {
 	if req.Gap <= 0 || req.Prompt == 0 {
 		return 0
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -53,7 +53,7 @@
 	Missing int           // shared tokens to prefill
 	Load    Load          // load of the replica before this request
 	Reads   int           // prompt tokens that the request adds to it
-	Sharers int           // boxes that share its rate limit while it is cold; 0 for a warm one
+	Sharers int           // boxes that share its rate limit while it is cold; 0 for any other
 	AgeMs   int64         // age of the oldest record of another box's load
 
 	CopyFrom string // address of a replica to copy missing segments from; empty for none
@@ -294,7 +294,7 @@
 // lacks, of those that no box is recorded to have sent there.
 func expectedMissing(unsent int) int { return int((1 - expectedCachedShare) * float64(unsent)) }
 
-// ReadTime returns the time that an engine takes to prefill so many tokens.
+// ReadTime returns the time that an engine takes to prefill tokens.
 func ReadTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / prefillSpeed * float64(time.Millisecond))
 }
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -85,7 +85,7 @@
 		b.End(&c, placement.Answered, time.Millisecond, start+time.Millisecond)
 		b.recordReport(c.Replica, 6, 0, start+time.Millisecond+time.Duration(n))
 	}
-	is.True(got["engine-0"] <= 40) // four times its part, not all
+	is.True(got["engine-0"] <= 40) // four times its share, not all
 	is.True(got["engine-1"] <= 10) // above the mean
 }
 
--- a/placement/view.go
+++ b/placement/view.go
@@ -12,8 +12,8 @@
 	defaultColdTime = 3 * time.Second  // after an ejection or evacuation, unless the service defines it
 )
 
-// View is what a box has on record of the replicas of its region. Its methods must not be
-// called concurrently.
+// View is the recorded state of the replicas of a box's region. It isn't safe for concurrent
+// use.
 type View struct {
 	region    string
 	domain    string
@@ -318,8 +318,7 @@
 	}
 }
 
-// OthersFor sets for how long the reports of other boxes are valid. The minimum is the
-// constant peerLoadTTL.
+// OthersFor sets for how long the reports of other boxes are valid, at least peerLoadTTL.
 func (v *View) OthersFor(d time.Duration) { v.peerLoadTTL = max(d, peerLoadTTL) }
 
 // OwnLoad is the load of one box at one replica.
--- a/roster/agreement.go
+++ b/roster/agreement.go
@@ -38,9 +38,9 @@
 // is missing. The list is complete once a seed and each live box of the region have agreed.
 // Names are only added until then, so that earlier agreements stay valid.
 //
-// Of two boxes with complete lists, each has a record of the other: the seed that the later
-// one asked had a record of the earlier one, so the later one has asked that box, which
-// thereby has a record of it. The exception is boxes that no path connects.
+// Two boxes with complete lists have records of each other, unless no path connects them: the
+// later one received the name of the earlier one from a seed and asked it, and the question
+// made the earlier one record the later one.
 type agreement struct {
 	agreed       map[string]bool
 	seeds        map[string]bool          // addresses
@@ -106,8 +106,8 @@
 	a.lastContact = now
 }
 
-// updateAgreement works out whether the list is complete. After a time without contact
-// boxes may have started unnoticed, so the box asks again.
+// updateAgreement determines whether the list is complete. After a time without contact the
+// box asks again, since others may have started meanwhile.
 func (t *Table) updateAgreement(now time.Duration) {
 	a := &t.agreement
 	if now-a.lastContact > aliveTimeout {
--- a/roster/compactstate.go
+++ b/roster/compactstate.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// retire removes the ID of a record and keeps it for a while as a retired one.
+// retire removes the ID of a record, and remembers it as retired for a while.
 func (l *compactState) retire(r *record, now time.Duration) {
 	delete(l.byID, r.id)
 	l.retired[r.id] = now
--- a/roster/digest.go
+++ b/roster/digest.go
@@ -17,10 +17,9 @@
 const unprioritizedEvery = 4
 
 // Digest returns up to limit statuses of live boxes to relay, fewer if they don't fit a
-// datagram. Fresh ones come first, as few boxes of this region receive the heartbeats of a
-// box of another region directly. Then come those not relayed for longest, the latest seen
-// first. Loads are left out, and the capacity for all but the first box of each region,
-// since the boxes of one region report nearly the same.
+// datagram. Fresh ones come first, as few boxes of this region receive heartbeats of other
+// regions directly; then those not relayed for longest. Loads are left out, and the capacity
+// of all but one box per region, since the boxes of a region report nearly the same.
 func (t *Table) Digest(now time.Duration, limit int) []wire.BoxStatus {
 	list := t.digestOrder(now)
 	t.digestCount++
@@ -65,7 +64,7 @@
 	return list
 }
 
-// sortByTurn sorts records to relay: fresh ones first, then by turn, then the latest seen.
+// sortByTurn sorts records to relay: fresh ones first, then the lowest turn, then the latest seen.
 func sortByTurn(list []*record, fresh func(r *record) bool, turn func(r *record) int) {
 	rank := func(r *record) int {
 		if fresh(r) {
--- a/roster/domain.go
+++ b/roster/domain.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Limits for the failure of a whole failure domain.
+// Limits for the detection of a failed failure domain.
 const (
 	domainTimeout  = 1250 * time.Millisecond // without a heartbeat of any of its boxes
 	minSilentBoxes = 3                       // of the domain that still count as alive; fewer may fail independently
@@ -17,10 +17,10 @@
 	}
 }
 
-// SilentDomains returns the failure domains of the own region that have failed as a whole:
-// no box of the domain has sent a heartbeat for a time in which another domain has. Their
-// boxes should receive no callers, but keep their shares of quotas, as they may only be
-// partitioned from this box.
+// SilentDomains returns the failure domains of the own region that have probably failed: no
+// box of the domain has sent a heartbeat within domainTimeout, while one of another domain
+// has. Their boxes should receive no callers, but keep their shares of quotas, as they may
+// only be partitioned from this box.
 func (t *Table) SilentDomains(now time.Duration) []string {
 	var out []string
 	for domain, lastSeen := range t.domainLastSeen {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// otherDomainAlive reports whether another failure domain has sent a heartbeat recently. If
-// not, this box itself may be partitioned or paused.
+// otherDomainAlive reports whether another failure domain has sent a heartbeat recently.
+// Otherwise this box itself may be partitioned or paused.
 func (t *Table) otherDomainAlive(than string, now time.Duration) bool {
 	for domain, lastSeen := range t.domainLastSeen {
 		if domain != than && now-lastSeen <= domainTimeout {
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -12,8 +12,8 @@
 	maxDigest   = 8
 )
 
-// Tell returns the datagrams to send at this tick, of which it is called once. self is the
-// status of this box. rnd returns a random number from 0 to n-1.
+// Tell returns the datagrams to send at this tick. It must be called once per tick. self is
+// the status of this box. rnd returns a random number from 0 to n-1.
 func (t *Table) Tell(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	t.Adapt(now)
 	if !t.params.fullStatus {
@@ -21,7 +21,7 @@
 	}
 	t.setSelf(self)
 	var others []wire.BoxStatus
-	if t.ticks%digestEvery == 0 { // a digest uses up the turns of its boxes even if it isn't sent
+	if t.ticks%digestEvery == 0 { // a digest counts as a relay of its boxes even if it isn't sent
 		others = t.Digest(now, maxDigest)
 	}
 	targets := t.Targets(now, rnd)
--- a/roster/liveness.go
+++ b/roster/liveness.go
@@ -14,9 +14,9 @@
 
 const never = -time.Hour // earlier than any heartbeat
 
-// alive reports whether a box counts as alive. Where boxes send full statuses, its last
-// heartbeat is recent. Otherwise that applies to the own region, and a box of another
-// region is alive while the region is reachable and hasn't declared the box dead.
+// alive reports whether a box counts as alive. In the own region, and in all regions where
+// boxes send full statuses, its last heartbeat must be recent. Elsewhere its region must be
+// reachable and not have declared the box dead.
 func (t *Table) alive(r *record, now time.Duration) bool {
 	switch {
 	case t.params.fullStatus:
@@ -83,7 +83,7 @@
 	}.State()
 }
 
-// updateLiveness works out which boxes count as alive. After a pause of this process, or a
+// updateLiveness determines which boxes count as alive. After a pause of this process, or a
 // time without any datagram, this box reports no deaths for a while.
 func (t *Table) updateLiveness(now time.Duration) {
 	if now-t.compact.lastTick > pauseThreshold || now-t.compact.lastReceived > pauseThreshold {
--- a/roster/params.go
+++ b/roster/params.go
@@ -30,7 +30,7 @@
 // params holds the rates and timeouts that follow from the number of boxes.
 type params struct {
 	loads          int           // bytes of loads in one datagram; 0 if boxes don't send them
-	fullStatus     bool          // boxes send full statuses to the whole region at each tick
+	fullStatus     bool          // boxes send full statuses to all of the region at each tick
 	bytesPerSecond float64       // unlimited for few boxes
 	nearTimeout    time.Duration // since the last heartbeat of a box of the own region
 	regionTimeout  time.Duration // since the last heartbeat of another region
@@ -62,7 +62,7 @@
 	budget := minBytesPerSecond * max(1, math.Pow(fleet/minBytesPerSecond, budgetExponent))
 	tick := budget * Tick.Seconds()
 	loads := loadsBudget(budget, near)
-	// bytes of a liveness datagram and one of loads, with half of the room for loads used
+	// bytes of a liveness datagram and one of loads, with half of the bytes for loads used
 	livenessCost := float64(packetHeaderBytes + emptyCompactBytes + livenessBytes*(min(near+1, maxNearEntries)+regions+maxFarEntries) + loads/2)
 	loadsCost := float64(packetHeaderBytes + emptyCompactBytes + loads/2)
 	// datagrams of each kind per tick
--- a/roster/targets.go
+++ b/roster/targets.go
@@ -21,8 +21,8 @@
 	minAlive         = 2  // with fewer live boxes, each tick sends to the seeds
 )
 
-// Targets returns the distinct addresses to send to at this tick. It counts its calls, of
-// which each Tick has one, and expires members. rnd returns a random number from 0 to n-1.
+// Targets returns the distinct addresses to send to at this tick, and expires members. It
+// must be called once per Tick. rnd returns a random number from 0 to n-1.
 func (t *Table) Targets(now time.Duration, rnd func(n int) int) []string {
 	t.removeExpired(now)
 	tick := t.ticks
--- a/roster/targets_test.go
+++ b/roster/targets_test.go
@@ -31,7 +31,7 @@
 	own := []string{"north-00:1", "north-01:1"}
 	far := append(slices.Clone(own), "south-00:1", "south-01:1", "west-00:1")
 	is.Equal(tab.Targets(0, pickFirst), append(slices.Clone(far), "seed:1"))
-	for range startupTicks - 1 { // a box that starts makes itself known
+	for range startupTicks - 1 { // a box that starts also sends to other regions
 		is.Equal(tab.Targets(0, pickFirst), far)
 	}
 	is.Equal(tab.Targets(0, pickFirst), far)
