--- a/ingress/events_test.go
+++ b/ingress/events_test.go
@@ -104,8 +104,7 @@
 	is.Equal(c.lastEvent, "6")
 }
 
-// TestAStreamCutAnywhereIsPassedOnOnceAndInOrder joins interrupted runs that overlap and arrive
-// in chunks of any size. It guards against lost, repeated and reordered events.
+// Guards against lost, repeated and reordered events where interrupted runs overlap.
 func TestAStreamCutAnywhereIsPassedOnOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 12).Draw(t, "events")
--- a/ingress/probe_test.go
+++ b/ingress/probe_test.go
@@ -52,8 +52,7 @@
 	})
 }
 
-// Guards against cancelling a stream whose data has arrived but was not read, for the CPU of the
-// box is overloaded.
+// Guards against cancelling a stream whose data the overloaded box has not read yet.
 func TestAStreamIsNotEndedWhileItsAnswerLiesUnreadAtTheBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -105,8 +105,8 @@
 	k.topologyChanged()
 }
 
-// turnAllAway has the publisher reject all boxes but one for a while.
-func (k *keyring) turnAllAway(but *simBox, d time.Duration) {
+// rejectAllBut has the publisher reject all boxes but one for a while.
+func (k *keyring) rejectAllBut(but *simBox, d time.Duration) {
 	for _, b := range k.boxes {
 		k.listing.setRejects(b.settings.Box, b != but)
 		k.after(d, func() { k.listing.setRejects(b.settings.Box, false) })
@@ -181,11 +181,11 @@
 	}},
 	{"some boxes rejected by the publisher", func(k *keyring) {
 		k.watch(8*time.Second, anyBox)
-		k.turnAway(0.35, 9*time.Second)
+		k.rejectSome(0.35, 9*time.Second)
 		k.listing.setRejects(k.boxes[0].settings.Box, false) // one of them reaches the publisher
 		k.revoke(4, 300*time.Millisecond)
 		k.watch(12*time.Second, anyBox)
-		k.turnAllAway(k.someBox(), 9*time.Second)
+		k.rejectAllBut(k.someBox(), 9*time.Second)
 		k.revoke(4, 100*time.Millisecond)
 		k.watch(12*time.Second, anyBox)
 	}},
--- a/node/policies_test.go
+++ b/node/policies_test.go
@@ -47,7 +47,7 @@
 
 func TestBoxesThatCannotReadGetALargePolicyFromOthers(t *testing.T) {
 	runPolicyChurn(t, func(b *policyChurn) {
-		b.turnAway(0.4, 20*time.Second)
+		b.rejectSome(0.4, 20*time.Second)
 		b.replaceFor(0, 2*time.Second)
 		b.publish(largePolicies * extraRoutes)
 		b.replaceFor(4, policyBound+time.Second)
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -240,7 +240,7 @@
 
 // Guards against organisations that exceed the bound at eight times their typical demand.
 func TestHotOrganisationsUseNoMoreThanTheBound(t *testing.T) {
-	playQuotas(t, []quotaScenario{overloadScenario}, 1)
+	runQuotaScenarios(t, []quotaScenario{overloadScenario}, 1)
 }
 
 // overloadScenario multiplies the demand of all organisations by eight for a while.
@@ -293,18 +293,18 @@
 
 func playRegionCut(b *quotaSimulation) {
 	far := func(box *simBox) bool { return box.settings.Region == "region-1" }
-	b.playCut(func(from, to *simBox) bool { return far(from) != far(to) })
+	b.sendDuringPartition(func(from, to *simBox) bool { return far(from) != far(to) })
 }
 
 func playIsolated(b *quotaSimulation) {
 	for _, box := range b.boxes {
 		b.isolated[box] = b.rnd.Float64() < 0.3
 	}
-	b.playCut(func(from, to *simBox) bool { return b.isolated[from] || b.isolated[to] })
+	b.sendDuringPartition(func(from, to *simBox) bool { return b.isolated[from] || b.isolated[to] })
 }
 
-// playCut sends requests during a partition and after it.
-func (b *quotaSimulation) playCut(cut func(from, to *simBox) bool) {
+// sendDuringPartition sends requests during a partition and after it.
+func (b *quotaSimulation) sendDuringPartition(cut func(from, to *simBox) bool) {
 	b.cut.Store(&cut)
 	b.since = time.Now()
 	b.sendFor(10 * time.Second)
@@ -314,23 +314,23 @@
 	b.sendFor(4 * time.Second)
 }
 
-// playQuotas runs scenarios at several sizes, with a large organisation at four times its typical demand and a
-// small one at eight times.
-func playQuotas(t *testing.T, days []quotaScenario, maxRefused float64) {
+// runQuotaScenarios runs scenarios at several sizes. But for overload, the demand of the large organisation is
+// four times its typical one, that of the small one eight times.
+func runQuotaScenarios(t *testing.T, scenarios []quotaScenario, maxRefused float64) {
 	t.Parallel()
-	for _, day := range days {
+	for _, scenario := range scenarios {
 		for _, boxes := range []int{9, 60} {
-			t.Run(fmt.Sprint(day.name, "/", boxes), func(t *testing.T) {
+			t.Run(fmt.Sprint(scenario.name, "/", boxes), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(3) {
 					synctest.Test(t, func(t *testing.T) {
 						b := newQuotaSimulation(t, seed, boxes, typicalOrganisations()...)
 						b.sendFor(4 * time.Second)
-						if day.name != overloadScenario.name {
+						if scenario.name != overloadScenario.name {
 							b.scaleDemand("large", 4)
 							b.scaleDemand("small", 8)
 						}
-						day.play(b)
+						scenario.play(b)
 						b.verdict(maxRefused)
 					})
 				}
@@ -340,16 +340,16 @@
 }
 
 func TestQuotasHoldWhileRegionsAreCutOffOrAllBoxesKilled(t *testing.T) {
-	playQuotas(t, allocatorsReachable, 1)
+	runQuotaScenarios(t, allocatorsReachable, 1)
 }
 
 func TestQuotasHoldWhileBoxesAreCutOffOrKilled(t *testing.T) {
-	playQuotas(t, allocatorsUnreachable, 1)
+	runQuotaScenarios(t, allocatorsUnreachable, 1)
 }
 
 // Guards against rejections within the quotas of organisations that ask for more than their quota.
 func TestLittleWithinAQuotaIsRefusedWhileMoreIsAskedFor(t *testing.T) {
-	playQuotas(t, slices.Concat([]quotaScenario{overloadScenario}, allocatorsReachable, allocatorsUnreachable), troubleRefused)
+	runQuotaScenarios(t, slices.Concat([]quotaScenario{overloadScenario}, allocatorsReachable, allocatorsUnreachable), troubleRefused)
 }
 
 // BenchmarkQuotaCharge has a bound of 2 microseconds without an allocation.
--- a/node/removal_test.go
+++ b/node/removal_test.go
@@ -61,7 +61,7 @@
 	defer f.end()
 	f.pass(settleTime)
 	f.startGrace = 0 // the bound applies to starting boxes from now on
-	f.turnAway(0.3, 10*time.Second)
+	f.rejectSome(0.3, 10*time.Second)
 	f.outage(3*time.Second, 4)
 	f.pass(2500 * time.Millisecond)
 	f.leave(3)
@@ -96,7 +96,7 @@
 		f := newSimulation(t.Context(), 8, 60) // this seed has many entries that expire
 		defer f.end()
 		f.pass(8 * time.Second)
-		f.turnAway(0.3, 15*time.Second)
+		f.rejectSome(0.3, 15*time.Second)
 		f.outage(3*time.Second, 4)
 		for range 4 {
 			f.pass(2 * time.Second)
@@ -141,7 +141,7 @@
 	f := newSimulation(t.Context(), seed, boxes)
 	defer f.end()
 	f.pass(8 * time.Second)
-	f.turnAway(0.3, 15*time.Second)
+	f.rejectSome(0.3, 15*time.Second)
 	f.outage(3*time.Second, 4)
 	for range 8 {
 		f.pass(2 * time.Second)
@@ -208,7 +208,7 @@
 		func() { f.restart(f.someBox(), down()) },
 		func() { f.kill(f.someBox()) },
 		func() { f.restartWatchers(down()) },
-		func() { f.turnAway(0.4, down()) },
+		func() { f.rejectSome(0.4, down()) },
 		f.listing.dropHistory,
 		func() {
 			if !f.listing.isDown() {
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -394,8 +394,8 @@
 	}
 }
 
-// turnAway has the listing reject a random share of the boxes for a while.
-func (f *simulation) turnAway(share float64, d time.Duration) {
+// rejectSome has the listing reject a random share of the boxes for a while.
+func (f *simulation) rejectSome(share float64, d time.Duration) {
 	for _, b := range f.boxes {
 		if f.rnd.Float64() >= share {
 			continue
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -62,7 +62,7 @@
 
 const replayGap = 600 * time.Millisecond // latency target between events
 
-// loadSharing is how boxes learn of each other's requests.
+// loadSharing is the way in which boxes receive each other's loads.
 type loadSharing int
 
 const (
@@ -87,7 +87,7 @@
 	refused     int
 	reread      int // shared tokens prefilled although some engine has them cached
 	seen        map[string]bool
-	maxRequests int // most requests at one engine
+	maxRequests int // maximum at one engine
 	polls       int // polls of engines
 	gossiped    int // load reports sent to other boxes
 }
@@ -306,8 +306,8 @@
 
 func (c *replay) share() float64 { return float64(c.inTime) / float64(c.total) }
 
-// Guards against boxes that all choose the same engine from the same reports, or overload
-// one without reports, at the peak load of a region.
+// Guards against boxes that, at peak load, all choose the engine with the lowest report, or
+// overload one without reports.
 func TestManyBoxesServeNearlyAsManyRequestsAsASingleOne(t *testing.T) {
 	const d = 12 * time.Second
 	for _, load := range []float64{0.8, 1} {
--- a/roster/digest.go
+++ b/roster/digest.go
@@ -60,12 +60,12 @@
 		}
 	}
 	fresh := func(r *record) bool { return r.fresh && t.digestCount%unprioritizedEvery != 0 }
-	sortByTurn(list, fresh, func(r *record) int { return r.nextDigest })
+	sortForRelay(list, fresh, func(r *record) int { return r.nextDigest })
 	return list
 }
 
-// sortByTurn sorts records to relay: fresh ones first, then the lowest turn, then the latest seen.
-func sortByTurn(list []*record, fresh func(r *record) bool, turn func(r *record) int) {
+// sortForRelay sorts fresh records first, then by relayOrder, then the latest seen.
+func sortForRelay(list []*record, fresh func(r *record) bool, relayOrder func(r *record) int) {
 	rank := func(r *record) int {
 		if fresh(r) {
 			return 0
@@ -75,7 +75,7 @@
 	slices.SortFunc(list, func(a, b *record) int {
 		return cmp.Or(
 			cmp.Compare(rank(a), rank(b)),
-			cmp.Compare(turn(a), turn(b)),
+			cmp.Compare(relayOrder(a), relayOrder(b)),
 			cmp.Compare(b.Heard, a.Heard),
 			cmp.Compare(a.Status.Box, b.Status.Box),
 		)
--- a/roster/gossip_test.go
+++ b/roster/gossip_test.go
@@ -10,8 +10,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// A digest that isn't sent would use up the turn of its boxes, so that recently seen boxes of
-// other regions would be relayed after all others.
+// Guards against marking boxes as relayed by a digest that isn't sent.
 func TestDatagramsWithoutADigestUseUpNoTurn(t *testing.T) {
 	is := is.New(t)
 	self := wire.BoxStatus{
--- a/roster/incarnation_test.go
+++ b/roster/incarnation_test.go
@@ -41,8 +41,7 @@
 	return len(b.encode())
 }
 
-// The incarnation of a replica must not enlarge compact datagrams, which hold a hash of it,
-// and must keep the incarnations of a replica apart.
+// Guards against incarnations that enlarge compact datagrams, or that share a hash.
 func TestTheStartOfAReplicaTakesNoByteInCompactDatagrams(t *testing.T) {
 	is := is.New(t)
 	ids, starts := namedReplicas(0), namedReplicas(1764720000123)
--- a/roster/liveness_test.go
+++ b/roster/liveness_test.go
@@ -9,8 +9,8 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// The age of a liveness entry lacks the transit time, so a relayed heartbeat would get later
-// with each box if an entry that isn't newer counted.
+// Guards against a relayed heartbeat whose time advances with each relay, because the age of an
+// entry lacks the transit time.
 func TestARelayedHeartbeatGetsNoLater(t *testing.T) {
 	is := is.New(t)
 	table := New(wire.BoxStatus{
--- a/roster/loadreports_test.go
+++ b/roster/loadreports_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// A load report that gets younger while boxes relay it would never expire.
+// Guards against load reports that get younger while they are relayed, and never expire.
 func TestRelayedLoadReportsGetNoYounger(t *testing.T) {
 	is := is.New(t)
 	const transit = 2 * time.Millisecond
--- a/roster/oracle_test.go
+++ b/roster/oracle_test.go
@@ -77,7 +77,7 @@
 	left     map[int]bool // incarnations that were leaving
 }
 
-// oracle records all messages and works out its answers anew each time.
+// oracle records all messages and computes each answer from all of them.
 type oracle map[string]*expected
 
 func (o oracle) receive(m message, now time.Duration) {
@@ -112,8 +112,7 @@
 	return n
 }
 
-// Statuses that arrive late, repeatedly or in any order must leave the table as the oracle
-// has it.
+// Guards against a wrong table after statuses that arrive late, repeatedly or out of order.
 func TestATableAgreesWithAnOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab := New(status("a", "north", 2, 0))
@@ -165,7 +164,7 @@
 	}
 }
 
-// Two tables that receive the same messages in different orders must not differ.
+// Guards against tables that depend on the order of the messages.
 func TestTablesConvergeForAnyOrderOfDelivery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := statusSource{statuses: make(map[string]wire.BoxStatus)}
--- a/roster/round.go
+++ b/roster/round.go
@@ -139,5 +139,5 @@
 
 // sortByRelay sorts records: fresh ones, those relayed longest ago, then the latest seen.
 func sortByRelay(list []*record) {
-	sortByTurn(list, func(r *record) bool { return r.fresh }, func(r *record) int { return r.relayedRound })
+	sortForRelay(list, func(r *record) bool { return r.fresh }, func(r *record) int { return r.relayedRound })
 }
