--- a/ingress/auth.go
+++ b/ingress/auth.go
@@ -27,8 +27,8 @@
 type Keys struct {
 	Hold      func() bool                                                                                            // the table contains no key that was revoked too long ago; called before the table is read
 	Current   func() bool                                                                                            // the table contains all keys but those of the last seconds
-	Reserve   func(ctx context.Context, organisation string, tokens int) (cost float64, wait time.Duration, ok bool) // takes the cost of a request from the quota of its organisation, or returns when to retry
-	Unreserve func(organisation string, cost float64)                                                                // returns the cost of a request that is known not to have run
+	Reserve   func(ctx context.Context, organisation string, tokens int) (cost float64, wait time.Duration, ok bool) // subtracts the cost of a request from the quota of its organisation, or returns when to retry
+	Unreserve func(organisation string, cost float64)                                                                // adds the cost of a request that is known not to have run back to the quota
 }
 
 // authenticate finds the organisation of the caller and reports whether the request may
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -158,7 +158,7 @@
 	if c.relay == nil || c.state != stateStarted {
 		return
 	}
-	_, _ = fmt.Fprintf(c.w, "%s%d\n\n", sentCountPrefix, sent) // the other box has gone when this fails
+	_, _ = fmt.Fprintf(c.w, "%s%d\n\n", sentCountPrefix, sent) // fails only if the other box has closed the connection
 	c.flush()
 }
 
--- a/ingress/quota.go
+++ b/ingress/quota.go
@@ -28,7 +28,7 @@
 	return true
 }
 
-// unreserve returns the cost of a request that has not run.
+// unreserve adds the cost of a request that has not run back to the quota.
 func (c *call) unreserve() {
 	if c.reserved && c.cost > 0 {
 		c.server.core.Keys.Unreserve(c.organisation, c.cost)
--- a/ingress/relay.go
+++ b/ingress/relay.go
@@ -81,7 +81,7 @@
 	h.Set(headerResult, resultNotRun)
 	h.Set(headerSent, "0")
 	w.WriteHeader(http.StatusServiceUnavailable)
-	_, _ = w.Write([]byte(reason)) // the other box has gone when this fails
+	_, _ = w.Write([]byte(reason)) // fails only if the other box has closed the connection
 }
 
 // remoteSentCount returns the number of replicas that another box reports to have sent the
--- a/ingress/response.go
+++ b/ingress/response.go
@@ -155,7 +155,7 @@
 	c.setHeader(resp.responseHead)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(resp.body)))
 	c.w.WriteHeader(resp.status)
-	_, _ = c.w.Write(resp.body) // the caller has left when this fails
+	_, _ = c.w.Write(resp.body) // fails only if the caller has left
 	c.recordEnd(decision.Served, resp.status, string(reason))
 }
 
--- a/ingress/stall.go
+++ b/ingress/stall.go
@@ -19,7 +19,7 @@
 	boxStallTimeout    = 2 * time.Second        // longer than streamStallTimeout, for boxes resume streams themselves
 	stallPollInterval  = 50 * time.Millisecond
 	budgetPollInterval = 250 * time.Millisecond
-	reachabilityTTL    = time.Second            // for which a successful probe shows that the link of this box is free
+	reachabilityTTL    = time.Second            // of a successful probe, which shows that the link of this box is free
 	receivedWindow     = 250 * time.Millisecond // the same for bytes received from others; at most half of the stall timeout
 )
 
--- a/node/directory_test.go
+++ b/node/directory_test.go
@@ -56,7 +56,7 @@
 	b.receiveState("goes", "d", leavingState, false, start)
 	is.Equal(b.directoryAddrs(host, "d", servingState, start), callersOf("home"))
 	is.Equal(b.directoryAddrs("SHOP.example:80", "d", servingState, start), callersOf("home"))
-	is.Equal(b.directoryAddrs("other.example", "d", servingState, start), callersOf("goes")) // its data is free
+	is.Equal(b.directoryAddrs("other.example", "d", servingState, start), callersOf("goes")) // its data may enter any region
 }
 
 func TestAHomeOfSomeDataOfAHostIsNotOneOfAll(t *testing.T) {
@@ -79,7 +79,7 @@
 	is.Equal(b.directoryAddrs(host, "a", servingState, start), callersOf("goes")) // a leaving box may process the data
 	b.receiveState("goes", "b", leavingState, true, start+time.Millisecond)
 	is.Equal(len(b.directoryAddrs(host, "a", servingState, start+time.Millisecond)), 0)
-	is.Equal(b.directoryAddrs("other.example", "a", servingState, start), callersOf("self")) // its data is free
+	is.Equal(b.directoryAddrs("other.example", "a", servingState, start), callersOf("self")) // its data may enter any region
 	is.Equal(b.directoryAddrs(host, "c", servingState, start), callersOf("self"))            // the caller's own region
 }
 
@@ -115,7 +115,7 @@
 	b := newBox("self", "a", 0)
 	b.state = newState(b.settings, b.self, 0)
 	b.receiveState("far", "b", "", false, start)
-	is.Equal(len(b.directoryAddrs(host, "a", servingState, start)), 0) // the data may be bound
+	is.Equal(len(b.directoryAddrs(host, "a", servingState, start)), 0) // the data may be restricted to some regions
 	is.Equal(b.directoryAddrs(host, "b", servingState, start), callersOf("far"))
 }
 
--- a/node/place_test.go
+++ b/node/place_test.go
@@ -213,7 +213,7 @@
 	b.markUnreachable("box-b", now)
 	now += time.Second
 	b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, 0))
-	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b") // the back-off starts anew
+	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b") // the back-off starts again
 }
 
 func TestRequestsThatFailTogetherLeaveABoxOutOnce(t *testing.T) {
--- a/placement/loss.go
+++ b/placement/loss.go
@@ -10,7 +10,7 @@
 	lossScale        = 1000.0 // thousandths of the value
 	waitLossStart    = 0.4    // share of the latency target above which a wait costs value
 	waitLossFull     = 1.0    // share of the latency target at which an answer is late
-	failureLossStart = 0.35   // share of failures that is attributed to the requests, not the replica
+	failureLossStart = 0.35   // share of failures up to which the requests, not the replica, are the likely cause
 	failureLossFull  = 1.0
 	prefillLossStart = 0.6 // share of the engines' time spent on prefill above which streams slow down
 	prefillLossFull  = 1.1 // share at which all streams miss their targets
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -17,7 +17,7 @@
 	expectedCachedShare    = 0.9                     // share of missing segments that are expected to be cached for other boxes
 	rereadFactor           = 2.5                     // cost of prefilling a shared segment, as a multiple of its duration
 	crossDomainCost        = 3 * time.Millisecond    // traffic between failure domains is charged
-	meanAnswerShare        = 0.6                     // mean share of the answer's tokens in memory while a request runs
+	meanAnswerShare        = 0.6                     // mean share of the answer's tokens that a running request holds in memory
 	costTolerance          = 500 * time.Microsecond  // costs that differ by less are equal
 	maxPrefillInterference = 400.0                   // thousandths of a stream's value lost at an engine that is always prefilling
 	interferenceTime       = 300 * time.Microsecond  // cost per thousandth of another request's value
--- a/poison/record.go
+++ b/poison/record.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	quarantineThreshold = 3                // crashes; with two, a request interrupted twice beside a poison request would be quarantined
-	publishThreshold    = 2                // crashes from which a record goes to all boxes, so that a complete response anywhere clears it before the third
-	clearanceWindow     = 3 * time.Second  // after a complete response, in which crashes don't count; limits the gossip on popular requests
+	quarantineThreshold = 3                // crashes; an innocent request may share two with a poison request
+	publishThreshold    = 2                // crashes from which all boxes receive a record, so that any can clear it before the third
+	clearanceWindow     = 3 * time.Second  // after a complete response, in which crashes don't count, to limit the gossip on popular requests
 	quarantineTTL       = 10 * time.Minute // after the third crash; doubled by each further one
 	suspectTTL          = 10 * time.Minute // of the record of a request that isn't quarantined
 	maxCrashes          = 8                // kept per record, the latest
-	maxSkew             = time.Second      // tolerated in a received time: the delay of each datagram adds to it, without end between two boxes
+	maxSkew             = time.Second      // by which a received time must exceed the recorded one: each relay of the same time adds the transit delay
 )
 
 // Start identifies an incarnation of a replica.
@@ -120,7 +120,7 @@
 func (r *Record) clearsAny(ends []End) bool { return slices.ContainsFunc(ends, r.clears) }
 
 // merge adds another record of the request, and reports whether the crashes changed. A crash
-// beyond maxCrashes is not a change, or it would be gossiped for ever.
+// beyond maxCrashes is not a change, or it would be gossiped forever.
 func (r *Record) merge(in Record) bool {
 	before := slices.Clone(r.Ends)
 	if in.Answered > r.Answered+maxSkew {
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	trialTimeout      = 3 * time.Second        // 2 s that a replica must survive the run, and the delay of the gossip
+	trialTimeout      = 3 * time.Second        // the 2 s that a replica must survive the run, plus the delay of gossip
 	trialPollInterval = 100 * time.Millisecond // between two requests of a box for a run of one request
 	ownerTimeout      = 250 * time.Millisecond // above the round trip between regions; then the next owner is asked
 	grantTTL          = time.Second            // after which the waiting request may have left
--- a/poison/trial_test.go
+++ b/poison/trial_test.go
@@ -127,7 +127,7 @@
 	l := NewLedger()
 	list := recordOfCrashes(poisonous.Digest(), maxCrashes+4, testStart)
 	is.True(l.Take(list, testStart))
-	is.True(!l.Take(list, testStart)) // or it would be gossiped for ever
+	is.True(!l.Take(list, testStart)) // or it would be gossiped forever
 }
 
 func TestTrialMessagesRoundTrip(t *testing.T) {
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxEarlyTrials   = 3                      // crashed runs on trial in close succession; an innocent request may share a replica with the poison one in some
+	maxEarlyTrials   = 3                      // crashed runs on trial without a delay; an innocent request may share a replica in some of them
 	maxTrials        = 5                      // crashed runs on trial in all
-	earlyTrialWindow = 5 * time.Second        // from the first kept crash to the last early trial; past it no further run is made
-	settleWindow     = 500 * time.Millisecond // in which a crash becomes known to all boxes: two sends to the owners, one to all, and two rounds of gossip
+	earlyTrialWindow = 5 * time.Second        // from the first crash to the last early trial; if it took longer, no further run follows
+	settleWindow     = 500 * time.Millisecond // in which all boxes receive a crash: two sends to the owners, one to all, and two rounds of gossip
 )
 
 // Verdict returns how to handle a request, and the time left in quarantine.
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -21,7 +21,7 @@
 	}
 	t.setSelf(self)
 	var others []wire.BoxStatus
-	if t.ticks%digestEvery == 0 { // a digest counts as a relay of its boxes even if it isn't sent
+	if t.ticks%digestEvery == 0 { // only now, as Digest marks its boxes as relayed
 		others = t.Digest(now, maxDigest)
 	}
 	targets := t.Targets(now, rnd)
--- a/roster/params.go
+++ b/roster/params.go
@@ -13,7 +13,7 @@
 	packetHeaderBytes   = 28
 	nearStatusBytes     = 450              // typical full status with loads
 	farStatusBytes      = 900              // the same with statuses of other boxes
-	maxDebtTicks        = 1                // of the budget that changes and replies may overdraw; the excess is forgiven
+	maxDebtTicks        = 1                // of the budget that changes and replies may overdraw; any excess is dropped
 	maxSavedTicks       = 2                // of unused budget
 	loadsDivisor        = 4                // of a tick's bytes; the quotient limits the loads in one datagram
 	minLoadsBytes       = 60               // some five loads
--- a/roster/table.go
+++ b/roster/table.go
@@ -183,7 +183,7 @@
 	return t.each(func(*record) bool { return true })
 }
 
-// AllServing iterates over the members that Serving returns, in the manner of All.
+// AllServing iterates over the members that Serving returns, without allocating, as All does.
 func (t *Table) AllServing(region string, now time.Duration) iter.Seq[*Member] {
 	return t.each(func(r *record) bool { return t.isServing(r, region, now) })
 }
