--- a/node/place_test.go
+++ b/node/place_test.go
@@ -304,7 +304,7 @@
 		return float64(n) / drawRange
 	}
 	is.Equal(share(0), 0.0)
-	is.Equal(share(crossRegionCost), 0.0) // not for what the bytes cost
+	is.Equal(share(crossRegionCost), 0.0) // no gain beyond the cost of the transfer
 	is.Equal(share(crossRegionCost+fullShareGain/2), 0.5)
 	is.Equal(share(crossRegionCost+fullShareGain), 1.0)
 	rapid.Check(t, func(t *rapid.T) {
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -140,7 +140,7 @@
 }
 
 // Hear processes a datagram from an address, and reports whether the ledger changed. The replies
-// include the records that this box can clear.
+// include own records that clear the received crashes.
 func (s *Spread) Hear(d Datagram, from string, now time.Duration) (replies []Packet, changed bool) {
 	var corrections []Record
 	for _, r := range d.Records {
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -157,12 +157,12 @@
 	}
 }
 
-// Due returns the datagrams to send at now, as Spread.Due does.
+// Due returns the datagrams to send at now. rnd returns a random number from 0 to n-1.
 func (w *Watch) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
 	return w.spread.Due(others, now, rnd)
 }
 
-// Hear is Spread.Hear for an encoded datagram. A malformed one is dropped.
+// Hear processes the records and the trial message of a datagram. It drops malformed ones.
 func (w *Watch) Hear(buf []byte, from string, now time.Duration) (replies []Packet, changed bool) {
 	d, err := Decode(buf, now)
 	if err != nil {
