--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -69,7 +69,6 @@
 	return p
 }
 
-// publish publishes the current keys.
 func (k *keyring) publish() {
 	k.version += 1 + k.rnd.IntN(3)
 	k.listing.publish(k.policy())
@@ -92,13 +91,11 @@
 	k.publish()
 }
 
-// restore reissues all keys.
 func (k *keyring) restore() {
 	clear(k.revoked)
 	k.publish()
 }
 
-// topologyChanged records that the topology has changed.
 func (k *keyring) topologyChanged() { k.since = time.Now() }
 
 // cutOff partitions a set of boxes from all others.
@@ -108,22 +105,21 @@
 	k.topologyChanged()
 }
 
-// turnAllAway has the publisher reject all boxes but one for a while.
-func (k *keyring) turnAllAway(but *simBox, d time.Duration) {
+// rejectAllBut has the publisher reject all boxes but one for a while.
+func (k *keyring) rejectAllBut(but *simBox, d time.Duration) {
 	for _, b := range k.boxes {
 		k.listing.setRejects(b.settings.Box, b != but)
 		k.after(d, func() { k.listing.setRejects(b.settings.Box, false) })
 	}
 }
 
-// heal ends a partition.
 func (k *keyring) heal() {
 	k.cut.Store(nil)
 	k.topologyChanged()
 }
 
-// watch checks all boxes until d is over. reaches reports whether a box has a path to the listing, directly or
-// over other boxes.
+// watch checks all boxes until d is over. reaches reports whether a box reaches the listing, directly or over
+// others.
 func (k *keyring) watch(d time.Duration, reaches func(b *simBox) bool) {
 	for end := time.Now().Add(d); time.Now().Before(end) && k.violation == ""; {
 		time.Sleep(checkInterval)
@@ -185,11 +181,11 @@
 	}},
 	{"some boxes rejected by the publisher", func(k *keyring) {
 		k.watch(8*time.Second, anyBox)
-		k.turnAway(0.35, 9*time.Second)
+		k.rejectSome(0.35, 9*time.Second)
 		k.listing.setRejects(k.boxes[0].settings.Box, false) // one of them reaches the publisher
 		k.revoke(4, 300*time.Millisecond)
 		k.watch(12*time.Second, anyBox)
-		k.turnAllAway(k.someBox(), 9*time.Second)
+		k.rejectAllBut(k.someBox(), 9*time.Second)
 		k.revoke(4, 100*time.Millisecond)
 		k.watch(12*time.Second, anyBox)
 	}},
@@ -290,7 +286,7 @@
 	})
 }
 
-// Guards against a box that loses the lease although other boxes reach the publisher, at one more seed.
+// Guards, with a further seed, against a box that loses the lease although others reach the publisher.
 func TestABoxThatIsTurnedAwayHoldsTheLeaseByOthersAtAnotherSeed(t *testing.T) {
 	for _, day := range keyScenarios {
 		if day.name != "some boxes rejected by the publisher" {
--- a/node/place_test.go
+++ b/node/place_test.go
@@ -213,7 +213,7 @@
 	b.markUnreachable("box-b", now)
 	now += time.Second
 	b.receiveStatus(status("box-b", "b"), now, serviceCapacity(3, 0))
-	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b") // the back-off starts anew
+	is.Equal(b.place(ask(route()), now, lowest).Box, "box-b") // the back-off starts again
 }
 
 func TestRequestsThatFailTogetherLeaveABoxOutOnce(t *testing.T) {
@@ -304,7 +304,7 @@
 		return float64(n) / drawRange
 	}
 	is.Equal(share(0), 0.0)
-	is.Equal(share(crossRegionCost), 0.0) // not for what the bytes cost
+	is.Equal(share(crossRegionCost), 0.0) // no gain beyond the cost of the transfer
 	is.Equal(share(crossRegionCost+fullShareGain/2), 0.5)
 	is.Equal(share(crossRegionCost+fullShareGain), 1.0)
 	rapid.Check(t, func(t *rapid.T) {
