--- a/admission/admission.go
+++ b/admission/admission.go
@@ -16,11 +16,11 @@
 
 // Codes of refusals.
 const (
-	None         Code = ""
-	NoCapacity   Code = "no_capacity"   // the limit of requests is reached
-	ShareReached Code = "share_reached" // the organisation uses its share while capacity is contended
-	Reserved     Code = "reserved"      // the free slots are reserved for other priorities
-	NotInvited   Code = "not_invited"   // the free slots are reserved for callers of this region
+	None                Code = ""
+	NoCapacity          Code = "no_capacity"   // the limit of requests is reached
+	ShareReached        Code = "share_reached" // the organisation uses its share while capacity is contended
+	Reserved            Code = "reserved"      // the free slots are reserved for other priorities
+	ForeignLimitReached Code = "not_invited"   // the free slots are reserved for callers of this region
 )
 
 const (
@@ -34,11 +34,11 @@
 
 // Capacity is a box's estimate of the capacity of a service's replicas.
 type Capacity struct {
-	Limit   int  // requests that may be sent to all replicas together
-	Slots   int  // requests that the replicas run concurrently
-	Used    int  // estimated requests in flight
-	Boxes   int  // serving boxes that share the replicas, including this one
-	Foreign bool // whether the request comes from another region
+	Limit    int  // requests that may be sent to all replicas together
+	Slots    int  // requests that the replicas run concurrently
+	InFlight int  // estimated requests in flight
+	Boxes    int  // serving boxes that share the replicas, including this one
+	Foreign  bool // whether the request comes from another region
 }
 
 // Limiter counts the requests of one service on one box. It is not safe for
@@ -62,16 +62,16 @@
 // Admit decides whether a request of org is admitted, without counting it.
 func (l *Limiter) Admit(org wire.Organisation, priorities []wire.Priority, c Capacity) Code {
 	boxes := max(c.Boxes, 1)
-	if c.Used >= c.Limit {
+	if c.InFlight >= c.Limit {
 		return NoCapacity
 	}
-	if c.Foreign && float64(c.Used) >= maxForeignUtilization*float64(c.Slots) {
-		return NotInvited
+	if c.Foreign && float64(c.InFlight) >= maxForeignUtilization*float64(c.Slots) {
+		return ForeignLimitReached
 	}
-	if c.Used+1 > c.Limit-l.reservedForOthers(org.Priority, priorities, c.Limit, boxes) {
+	if c.InFlight+1 > c.Limit-l.reservedForOthers(org.Priority, priorities, c.Limit, boxes) {
 		return Reserved
 	}
-	busy := float64(c.Used) >= contendedUtilization*float64(c.Limit)
+	busy := float64(c.InFlight) >= contendedUtilization*float64(c.Limit)
 	if busy && float64((l.byOrg[org.Name]+1)*boxes) > max(org.Share*float64(c.Limit), float64(boxes)) {
 		return ShareReached
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -29,10 +29,10 @@
 func ExampleLimiter() {
 	l := NewLimiter()
 	full := Capacity{
-		Limit: 10,
-		Slots: 10,
-		Used:  8,
-		Boxes: 1,
+		Limit:    10,
+		Slots:    10,
+		InFlight: 8,
+		Boxes:    1,
 	}
 	fmt.Println(l.Admit(org("shop", "app", 1), priorities, full))
 	fmt.Println(l.Admit(org("drivers", "line", 1), priorities, full) == None)
@@ -49,31 +49,31 @@
 		l.Begin(o)
 	}
 	is.Equal(l.Admit(o, nil, Capacity{
-		Limit: 10,
-		Slots: 10,
-		Used:  3,
-		Boxes: 1,
+		Limit:    10,
+		Slots:    10,
+		InFlight: 3,
+		Boxes:    1,
 	}), None)
 	is.Equal(l.Admit(o, nil, Capacity{
-		Limit: 10,
-		Slots: 10,
-		Used:  7,
-		Boxes: 1,
+		Limit:    10,
+		Slots:    10,
+		InFlight: 7,
+		Boxes:    1,
 	}), ShareReached)
 }
 
 func TestRequestsOfOtherRegionsAreAdmittedOnlyWithSpareCapacity(t *testing.T) {
 	is := is.New(t)
 	c := Capacity{
-		Limit: 15,
-		Slots: 10,
-		Used:  8,
-		Boxes: 1,
+		Limit:    15,
+		Slots:    10,
+		InFlight: 8,
+		Boxes:    1,
 	}
 	l := NewLimiter()
 	is.Equal(l.Admit(org("o", "app", 1), nil, c), None)
 	c.Foreign = true
-	is.Equal(l.Admit(org("o", "app", 1), nil, c), NotInvited)
+	is.Equal(l.Admit(org("o", "app", 1), nil, c), ForeignLimitReached)
 }
 
 // Guards against requests of other priorities that use up the reserved share of one.
@@ -85,10 +85,10 @@
 		var open []wire.Organisation
 		capacity := func() Capacity {
 			return Capacity{
-				Limit: limit,
-				Slots: limit,
-				Used:  used,
-				Boxes: 1,
+				Limit:    limit,
+				Slots:    limit,
+				InFlight: used,
+				Boxes:    1,
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
--- a/box/box.go
+++ b/box/box.go
@@ -36,7 +36,7 @@
 	inc       int
 	started   time.Time
 	listen    Listen
-	dial      peer.Dial
+	dial      peer.DialFunc
 	addrs     Addrs
 	listeners [3]net.Listener
 
@@ -73,7 +73,7 @@
 func WithLog(log *logrus.Entry) Option { return func(b *Box) { b.log = log } }
 
 // WithNetwork sets how listeners and connections are opened.
-func WithNetwork(l Listen, d peer.Dial) Option {
+func WithNetwork(l Listen, d peer.DialFunc) Option {
 	return func(b *Box) {
 		b.listen = l
 		b.dial = d
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,7 +1,7 @@
 // Package budget limits the retries of each service without coordination between the
 // boxes. Over all boxes and in every sliding window of length W
 //
-//	retries <= Ratio x requests + Extra
+//	retries <= Ratio x requests + Allowance
 //
 // holds, also while boxes crash, restart without state, freeze or are partitioned.
 //
@@ -12,7 +12,7 @@
 //
 //	retries in (s, t] <= a x requests in (s, t] + e(t)
 //	a    = 0.85 x Ratio
-//	e(t) = 0.5 x Extra / d x min(1, t / W')
+//	e(t) = 0.5 x Allowance / d x min(1, t / W')
 //	W'   = 1.1 x W
 //
 // where t is the age of the process and d the number of boxes, plus one if there
@@ -28,12 +28,12 @@
 //
 //	retries <= a x its requests in the window + e(its age at t)
 //
-// For the process that runs at s, e <= E = 0.5 x Extra / d. The ages of the later
+// For the process that runs at s, e <= E = 0.5 x Allowance / d. The ages of the later
 // processes add up to at most W, so their e add up to at most E x W/W' < E. Each box
 // exceeds its requests by less than 2E. With N boxes, d >= N if the number of boxes
 // passed in is at least N-1 (at least N for N <= 2):
 //
-//	sum <= a x requests + N x 2E <= 0.85 x Ratio x requests + Extra
+//	sum <= a x requests + N x 2E <= 0.85 x Ratio x requests + Allowance
 //
 // The rule depends only on the order of a box's own events, so a frozen process or a
 // stopped clock makes it stricter. The unused 15% of the ratio and 10% of the window
@@ -48,40 +48,40 @@
 
 const (
 	ratioFraction      = 0.85 // of the ratio that a box uses; the rest covers requests that leave the window while a retry is sent
-	extraFraction      = 0.5  // of Extra that all running processes hold; the rest is for those that restart in the window
+	extraFraction      = 0.5  // of Allowance that all running processes hold; the rest is for those that restart in the window
 	windowSlackDivisor = 10   // lengthens the window by a tenth for clock drift and delays
 	minBoxesForMargin  = 2    // from which one more is assumed, as a new box may not be listed yet
 	sweepThreshold     = 1024 // services from which idle ones are removed
 )
 
-// Terms is the limit for all boxes together.
-type Terms struct {
-	Ratio  float64       // retries per request, for example 0.2
-	Window time.Duration // length of the sliding window
-	Extra  int           // retries in a window beyond the ratio
+// Limit is the limit for all boxes together.
+type Limit struct {
+	Ratio     float64       // retries per request, for example 0.2
+	Window    time.Duration // length of the sliding window
+	Allowance int           // retries in a window beyond the ratio
 }
 
-func (t Terms) span() time.Duration {
+func (t Limit) span() time.Duration {
 	return t.Window + t.Window/windowSlackDivisor
 }
 
 // Budget counts the requests and retries of one box.
 type Budget struct {
-	terms    Terms
+	terms    Limit
 	services map[string]*counts
 	latest   time.Duration
 }
 
-// New returns a budget under terms.
-func New(terms Terms) *Budget {
+// New returns a budget with a limit.
+func New(terms Limit) *Budget {
 	return &Budget{
 		terms:    terms,
 		services: make(map[string]*counts),
 	}
 }
 
-// SetTerms replaces the terms, for windows that begin after it, and keeps the counts.
-func (b *Budget) SetTerms(terms Terms) {
+// SetLimit replaces the limit, for windows that begin after it, and keeps the counts.
+func (b *Budget) SetLimit(terms Limit) {
 	b.terms = terms
 	for _, c := range b.services {
 		c.resize(bucketsFor(terms.span()))
@@ -98,16 +98,16 @@
 // of boxes includes this one and all that may have sent in the last window, also
 // those that are unreachable.
 func (b *Budget) Take(service string, boxes int, now time.Duration) bool {
-	if b.Left(service, boxes, now) < 1 {
+	if b.Remaining(service, boxes, now) < 1 {
 		return false
 	}
 	b.counts(service).bucketAt(bucketOf(b.latest)).retries++
 	return true
 }
 
-// Left returns the number of retries of service that Take would allow now, including
+// Remaining returns the number of retries of service that Take would allow now, including
 // the fraction of a further one. It takes the same number of boxes as Take.
-func (b *Budget) Left(service string, boxes int, now time.Duration) float64 {
+func (b *Budget) Remaining(service string, boxes int, now time.Duration) float64 {
 	now = b.advance(now)
 	extra := b.extra(boxes, now)
 	c := b.services[service]
@@ -117,13 +117,13 @@
 	return max(0, c.remaining(ratioFraction*b.terms.Ratio, extra, bucketOf(now)))
 }
 
-// extra returns this box's allocation of Extra at the age now.
+// extra returns this box's allocation of Allowance at the age now.
 func (b *Budget) extra(boxes int, now time.Duration) float64 {
 	divisor := max(boxes, 1)
 	if divisor >= minBoxesForMargin {
 		divisor++
 	}
-	allocation := extraFraction * float64(b.terms.Extra) / float64(divisor)
+	allocation := extraFraction * float64(b.terms.Allowance) / float64(divisor)
 	span := b.terms.span()
 	if now >= span {
 		return allocation
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -11,24 +11,24 @@
 
 const service = "chat"
 
-// fullAge is the age from which a box has its full allocation of Extra.
+// fullAge is the age from which a box has its full allocation of Allowance.
 const fullAge = 11 * time.Second
 
-var testTerms = Terms{
-	Ratio:  0.2,
-	Window: 10 * time.Second,
-	Extra:  56,
+var testTerms = Limit{
+	Ratio:     0.2,
+	Window:    10 * time.Second,
+	Allowance: 56,
 }
 
 func ExampleBudget_Take() {
-	b := New(Terms{
-		Ratio:  0.2,
-		Window: 10 * time.Second,
-		Extra:  56,
+	b := New(Limit{
+		Ratio:     0.2,
+		Window:    10 * time.Second,
+		Allowance: 56,
 	})
 	now := time.Minute
 	b.Request("chat", now)
-	fmt.Println(b.Take("chat", 3, now), b.Left("chat", 3, now))
+	fmt.Println(b.Take("chat", 3, now), b.Remaining("chat", 3, now))
 	// Output: true 6
 }
 
@@ -66,11 +66,11 @@
 
 func TestTheShareGrowsOverTheFirstWindow(t *testing.T) {
 	is := is.New(t)
-	is.Equal(New(testTerms).Left(service, 1, 0), 0.0)
-	is.True(almostEqual(New(testTerms).Left(service, 1, fullAge/4), 7))
-	is.True(almostEqual(New(testTerms).Left(service, 1, fullAge/2), 14))
-	is.True(almostEqual(New(testTerms).Left(service, 1, fullAge), 28))
-	is.True(almostEqual(New(testTerms).Left(service, 1, time.Hour), 28))
+	is.Equal(New(testTerms).Remaining(service, 1, 0), 0.0)
+	is.True(almostEqual(New(testTerms).Remaining(service, 1, fullAge/4), 7))
+	is.True(almostEqual(New(testTerms).Remaining(service, 1, fullAge/2), 14))
+	is.True(almostEqual(New(testTerms).Remaining(service, 1, fullAge), 28))
+	is.True(almostEqual(New(testTerms).Remaining(service, 1, time.Hour), 28))
 }
 
 func TestARetryCountsForOneWindowAndItsSlack(t *testing.T) {
@@ -106,16 +106,16 @@
 	is := is.New(t)
 	b := New(testTerms)
 	is.Equal(drain(b, 3, fullAge), 7)
-	before := b.Left(service, 1, fullAge)
+	before := b.Remaining(service, 1, fullAge)
 	is.True(!b.Take(service, 3, fullAge))
-	is.Equal(b.Left(service, 1, fullAge), before)
+	is.Equal(b.Remaining(service, 1, fullAge), before)
 }
 
 func TestServicesDoNotShareABudget(t *testing.T) {
 	is := is.New(t)
 	b := New(testTerms)
 	is.Equal(drain(b, 3, fullAge), 7)
-	is.True(almostEqual(b.Left("other", 3, fullAge), 7))
+	is.True(almostEqual(b.Remaining("other", 3, fullAge), 7))
 }
 
 func TestAClockThatGoesBackCountsAtTheLatestTime(t *testing.T) {
@@ -132,10 +132,10 @@
 			is := is.New(t)
 			b := New(testTerms)
 			is.Equal(drain(b, 1, time.Minute), 28)
-			b.SetTerms(Terms{
-				Ratio:  0.2,
-				Window: window,
-				Extra:  60,
+			b.SetLimit(Limit{
+				Ratio:     0.2,
+				Window:    window,
+				Allowance: 60,
 			})
 			is.Equal(drain(b, 1, time.Minute+time.Second), 2)
 		})
@@ -144,13 +144,13 @@
 
 func TestCountsInTheFirstBucketSurviveNewTerms(t *testing.T) {
 	is := is.New(t)
-	b := New(Terms{
-		Ratio:  0.2,
-		Window: 0, // the share doesn't grow over a first window
-		Extra:  56,
+	b := New(Limit{
+		Ratio:     0.2,
+		Window:    0, // the share doesn't grow over a first window
+		Allowance: 56,
 	})
 	is.Equal(drain(b, 1, 0), 28)
-	b.SetTerms(testTerms)
+	b.SetLimit(testTerms)
 	is.Equal(drain(b, 1, 0), 0)
 	is.Equal(drain(b, 1, 10*time.Second), 0)
 }
--- a/budget/fuzz_test.go
+++ b/budget/fuzz_test.go
@@ -28,7 +28,7 @@
 
 // maxExcess returns the maximum excess of retries over ratio x requests in any window;
 // it checks only windows that begin and end with a retry, where the maximum is.
-func (o *oracle) maxExcess(terms Terms) float64 {
+func (o *oracle) maxExcess(terms Limit) float64 {
 	maxExcess := 0.0
 	for i, first := range o.events {
 		if !first.retry {
@@ -64,7 +64,7 @@
 
 type fleet struct {
 	t     *rapid.T
-	terms Terms
+	terms Limit
 	now   time.Duration
 	boxes []*process
 	sends oracle
@@ -203,12 +203,12 @@
 				f.run()
 				maxExcess := f.sends.maxExcess(f.terms)
 				seen = max(seen, maxExcess)
-				if maxExcess > float64(f.terms.Extra)+1e-9 {
+				if maxExcess > float64(f.terms.Allowance)+1e-9 {
 					t.Fatalf("%.2f retries beyond the ratio", maxExcess)
 				}
 			})
-			t.Logf("maximum of retries beyond the ratio: %.2f of %d", seen, testTerms.Extra)
-			is.New(t).True(seen >= float64(testTerms.Extra)/4) // otherwise the runs don't test the bound
+			t.Logf("maximum of retries beyond the ratio: %.2f of %d", seen, testTerms.Allowance)
+			is.New(t).True(seen >= float64(testTerms.Allowance)/4) // otherwise the runs don't test the bound
 		})
 	}
 }
@@ -230,7 +230,7 @@
 					spent += drain(New(testTerms), view, testTerms.Window/time.Duration(lives))
 				}
 			}
-			is.True(spent <= testTerms.Extra)
+			is.True(spent <= testTerms.Allowance)
 		}
 	}
 }
--- a/catalog/behind_test.go
+++ b/catalog/behind_test.go
@@ -17,25 +17,25 @@
 		f.set(silent)
 		f.put(plainReplica("c", 0)) // ends the current watch; the next one is silent
 		time.Sleep(soon)
-		f.Equal(f.feed.Known(), f.now().Revision)
+		f.Equal(f.feed.Revision(), f.now().Revision)
 		rev := f.put(plainReplica("d", 0))
 		time.Sleep(catchUpTime)
 		f.True(!f.has("d"))
-		f.feed.Behind(rev)
+		f.feed.NotifyRevision(rev)
 		time.Sleep(catchUpTime)
 		f.True(f.has("d"))
-		f.Equal(f.feed.Known(), rev)
+		f.Equal(f.feed.Revision(), rev)
 	}, notReader, catalog.WithReread(time.Hour))
 }
 
 func TestARecordedRevisionCausesNoRead(t *testing.T) {
 	feedTestRun(t, func(f feedTest) {
 		rev := f.put(plainReplica("c", 0))
-		f.feed.Behind(rev) // the watch delivers it in time
+		f.feed.NotifyRevision(rev) // the watch delivers it in time
 		time.Sleep(catchUpTime)
 		f.True(f.has("c"))
-		f.feed.Behind(rev)
-		f.feed.Behind(rev - 1)
+		f.feed.NotifyRevision(rev)
+		f.feed.NotifyRevision(rev - 1)
 		time.Sleep(catchUpTime)
 		reads, _ := f.calls()
 		f.Equal(reads, 1)
@@ -51,7 +51,7 @@
 		rev := f.put(plainReplica("d", 0))
 		time.Sleep(11 * time.Second) // ends the watch
 		f.True(!f.has("d"))
-		f.feed.Behind(rev)
+		f.feed.NotifyRevision(rev)
 		time.Sleep(catchUpTime)
 		f.True(f.has("d"))
 	}, notReader, catalog.WithReread(time.Hour))
--- a/catalog/change.go
+++ b/catalog/change.go
@@ -6,39 +6,39 @@
 )
 
 // Change is one published change. Exactly one of its fields is set, except for Revision, and
-// Unusable beside Gone.
+// Unusable beside Removed.
 type Change struct {
 	Revision    int64    `json:"revision"`
 	Policy      *Policy  `json:"policy,omitempty"`
 	Replica     *Replica `json:"replica,omitempty"`
-	Gone        string   `json:"gone,omitempty"`        // id of a replica whose entry was removed
+	Removed     string   `json:"gone,omitempty"`        // id of a replica whose entry was removed
 	Unusable    bool     `json:"-"`                     // the entry exists but no longer describes a replica
 	Evacuated   string   `json:"evacuated,omitempty"`   // failure domain
 	Unevacuated string   `json:"unevacuated,omitempty"` // failure domain that is in use again
 }
 
-// News is a catalog update that a box sends to another: the changes since a revision, or a
+// ChangeSet is a catalog update that a box sends to another: the changes since a revision, or a
 // snapshot if those are unknown. It has only the version of the policy, whose many routes
 // would delay small and urgent changes.
-type News struct {
-	Snapshot *Snapshot `json:"snapshot,omitempty"`
-	Changes  []Change  `json:"changes,omitempty"`
-	Doubts   []Doubt   `json:"doubts,omitempty"` // unconfirmed removals
-	Policy   int       `json:"policy,omitempty"` // newest version that the box has a record of
-	Revision int64     `json:"revision"`
-	Read     Millis    `json:"-"` // age of the last read of the publisher that found nothing newer; 0 if unknown
-	Wait     Millis    `json:"-"` // the update is empty: the sender is rate-limited for this long
+type ChangeSet struct {
+	Snapshot            *Snapshot            `json:"snapshot,omitempty"`
+	Changes             []Change             `json:"changes,omitempty"`
+	UnconfirmedRemovals []UnconfirmedRemoval `json:"doubts,omitempty"`
+	PolicyVersion       int                  `json:"policy,omitempty"` // newest version that the box has a record of
+	Revision            int64                `json:"revision"`
+	ReadAge             Millis               `json:"-"` // age of the last read of the publisher that found nothing newer; 0 if unknown
+	RetryAfter          Millis               `json:"-"` // the update is empty: the sender is rate-limited for this long
 }
 
 // Update returns the catalog update as an update of a box's copy.
-func (n News) Update() Update {
+func (n ChangeSet) Update() Update {
 	return Update{
-		Snapshot: n.Snapshot,
-		Changes:  n.Changes,
-		Doubts:   n.Doubts,
-		Policy:   n.Policy,
-		Revision: n.Revision,
-		Settled:  true, // the sender lists its unconfirmed removals
+		Snapshot:            n.Snapshot,
+		Changes:             n.Changes,
+		UnconfirmedRemovals: n.UnconfirmedRemovals,
+		PolicyVersion:       n.PolicyVersion,
+		Revision:            n.Revision,
+		Settled:             true, // the sender lists its unconfirmed removals
 	}
 }
 
@@ -132,37 +132,39 @@
 	}
 }
 
-// Lapses returns the number of unconfirmed removals that were confirmed.
-func (c *Content) Lapses() int { return c.history.confirmedCount }
+// ConfirmedRemovals returns the number of unconfirmed removals that were confirmed.
+func (c *Content) ConfirmedRemovals() int { return c.history.confirmedCount }
 
-// TellsAll reports whether a box with a revision receives a snapshot, because the changes
+// NeedsSnapshot reports whether a box with a revision receives a snapshot, because the changes
 // since are unknown.
-func (c *Content) TellsAll(revision int64) bool { return revision < c.history.since || revision == 0 }
+func (c *Content) NeedsSnapshot(revision int64) bool {
+	return revision < c.history.since || revision == 0
+}
 
-// Since returns the changes from a revision on that still hold, or a snapshot without the
+// ChangesSince returns the changes from a revision on that still hold, or a snapshot without the
 // policy if they are unknown. Whatever the revision, it includes the unconfirmed and the
 // latest confirmed removals, as the receiver may have a later revision without them.
-func (c *Content) Since(revision int64) News {
-	if c.TellsAll(revision) {
+func (c *Content) ChangesSince(revision int64) ChangeSet {
+	if c.NeedsSnapshot(revision) {
 		s := c.Snapshot()
 		s.Policy = nil
-		return News{
-			Snapshot: &s,
-			Doubts:   c.unconfirmedForPeers(),
-			Policy:   c.newestPolicyVersion(),
-			Revision: s.Revision,
+		return ChangeSet{
+			Snapshot:            &s,
+			UnconfirmedRemovals: c.unconfirmedForPeers(),
+			PolicyVersion:       c.newestPolicyVersion(),
+			Revision:            s.Revision,
 		}
 	}
-	out := News{
-		Doubts:   c.unconfirmedForPeers(),
-		Policy:   c.newestPolicyVersion(),
-		Revision: c.newest,
+	out := ChangeSet{
+		UnconfirmedRemovals: c.unconfirmedForPeers(),
+		PolicyVersion:       c.newestPolicyVersion(),
+		Revision:            c.newest,
 	}
 	for _, id := range c.history.removedSince(revision) {
 		if _, back := c.replicas[id]; !back {
 			out.Changes = append(out.Changes, Change{
 				Revision: c.history.removals[id],
-				Gone:     id,
+				Removed:  id,
 			})
 		}
 	}
--- a/catalog/change_test.go
+++ b/catalog/change_test.go
@@ -24,7 +24,7 @@
 func (c *sourceCopy) update(t *rapid.T) {
 	if c.revision == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
 		s := c.snapshot()
-		c.copy.Take(catalog.Update{
+		c.copy.Apply(catalog.Update{
 			Snapshot: &s,
 			Revision: s.Revision,
 			Settled:  true,
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.copy.Take(catalog.Update{
+	c.copy.Apply(catalog.Update{
 		Changes:  changes,
 		Revision: rev,
 		Settled:  true,
@@ -83,15 +83,15 @@
 			if rapid.IntRange(0, 2).Draw(t, "asked") > 0 {
 				continue
 			}
-			data, err := json.Marshal(c.copy.Since(receiver.Revision()))
+			data, err := json.Marshal(c.copy.ChangesSince(receiver.Revision()))
 			if err != nil {
 				t.Fatal(err)
 			}
-			var news catalog.News
+			var news catalog.ChangeSet
 			if err := json.Unmarshal(data, &news); err != nil {
 				t.Fatal(err)
 			}
-			receiver.Take(news.Update())
+			receiver.Apply(news.Update())
 			requestPolicy(t, receiver, c.copy, deltas)
 			got, want := receiver.Snapshot(), c.copy.Snapshot()
 			if !reflect.DeepEqual(got, want) {
@@ -107,7 +107,7 @@
 	c := catalog.NewContent()
 	p.put(plainReplica("stays", 0))
 	s := p.snapshot()
-	c.Take(catalog.Update{Snapshot: &s, Revision: s.Revision, Settled: true})
+	c.Apply(catalog.Update{Snapshot: &s, Revision: s.Revision, Settled: true})
 	start := c.Revision()
 	for n := range 600 {
 		id := fmt.Sprint("r-", n)
@@ -116,11 +116,11 @@
 	}
 	changes, rev, _, err := p.since(start)
 	is.NoErr(err)
-	c.Take(catalog.Update{Changes: changes, Revision: rev, Settled: true})
-	is.True(c.Since(start).Snapshot != nil)
-	is.True(c.Since(rev).Snapshot == nil)
-	is.Equal(len(c.Since(rev).Changes), 1) // changes at the revision itself
-	is.True(c.Since(0).Snapshot != nil)    // for a box without a copy
+	c.Apply(catalog.Update{Changes: changes, Revision: rev, Settled: true})
+	is.True(c.ChangesSince(start).Snapshot != nil)
+	is.True(c.ChangesSince(rev).Snapshot == nil)
+	is.Equal(len(c.ChangesSince(rev).Changes), 1) // changes at the revision itself
+	is.True(c.ChangesSince(0).Snapshot != nil)    // for a box without a copy
 }
 
 // Guards against sending a snapshot of a large catalog when a failure domain is lost.
@@ -139,30 +139,30 @@
 					}
 				}
 				takeSnapshot(sender, before, int64(all), true)
-				receiver.Take(sender.Since(0).Update())
+				receiver.Apply(sender.ChangesSince(0).Update())
 				asked := receiver.Revision()
 				takeSnapshot(sender, after, int64(all+1), settled)
 				time.Sleep(3 * time.Second) // longer than any removal stays unconfirmed
-				sender.Settle()
+				sender.ConfirmRemovals()
 				for _, revision := range []int64{asked, int64(all + 1)} { // it may have received the later revision before the removals were confirmed
-					news := sender.Since(revision)
+					news := sender.ChangesSince(revision)
 					is.True(news.Snapshot == nil)
 					if revision == asked || !settled {
 						is.Equal(len(removals(news)), all/4)
 					}
 				}
-				receiver.Take(sender.Since(asked).Update())
+				receiver.Apply(sender.ChangesSince(asked).Update())
 				is.Equal(len(receiver.Replicas()), len(after))
 			})
 		}
 	}
 }
 
-func removals(news catalog.News) []string {
+func removals(news catalog.ChangeSet) []string {
 	var out []string
 	for _, ch := range news.Changes {
-		if ch.Gone != "" {
-			out = append(out, ch.Gone)
+		if ch.Removed != "" {
+			out = append(out, ch.Removed)
 		}
 	}
 	return out
@@ -180,7 +180,7 @@
 }
 
 func takeSnapshot(c *catalog.Content, list []catalog.Replica, revision int64, settled bool) {
-	c.Take(catalog.Update{
+	c.Apply(catalog.Update{
 		Snapshot: &catalog.Snapshot{
 			Revision: revision,
 			Replicas: list,
--- a/catalog/changelog.go
+++ b/catalog/changelog.go
@@ -19,10 +19,10 @@
 	t.ids = append(t.ids, id)
 }
 
-// Touched returns the ids whose entries or unconfirmed removals changed after a count of
+// ChangedIDs returns the ids whose entries or unconfirmed removals changed after a count of
 // changes, sorted, and the current count. It returns false if these changes are no longer
 // listed or the count is not positive: any entry may have changed then.
-func (c *Content) Touched(after int) (ids []string, count int, ok bool) {
+func (c *Content) ChangedIDs(after int) (ids []string, count int, ok bool) {
 	count = c.changeLog.dropped + len(c.changeLog.ids)
 	if after <= 0 || after < c.changeLog.dropped || after > count {
 		return nil, count, false
--- a/catalog/compatibility_test.go
+++ b/catalog/compatibility_test.go
@@ -23,21 +23,21 @@
 
 func earlierReplica(n int) catalog.Replica {
 	return catalog.Replica{
-		ID: fmt.Sprintf("i-%03d", n), Born: 1796200000000 + int64(n), Service: "chat", Addr: fmt.Sprintf("10.0.0.%d:8308", n),
-		Domain: "north-hall-2", Region: "north", Slots: 8, Leaving: n == 1, ColdLeft: 1500.5, Revision: 400 + int64(n), Told: n == 1,
+		ID: fmt.Sprintf("i-%03d", n), StartedAt: 1796200000000 + int64(n), Service: "chat", Addr: fmt.Sprintf("10.0.0.%d:8308", n),
+		Domain: "north-hall-2", Region: "north", Slots: 8, Leaving: n == 1, ColdRemaining: 1500.5, Revision: 400 + int64(n), SelfReported: n == 1,
 	}
 }
 
 // earlierPolicies returns two policies, the second without a route of the first and with a new one.
 func earlierPolicies() (first, second *catalog.Policy) {
 	route := catalog.Route{
-		Name: "chat", Host: "chat.example", Prefix: "/v1/", Kind: catalog.Stream, Attempts: 3, Timeout: 60000, Goal: 800, GapGoal: 150,
+		Name: "chat", Host: "chat.example", Prefix: "/v1/", Kind: catalog.Stream, Attempts: 3, Timeout: 60000, LatencyTarget: 800, GapTarget: 150,
 		Priority: 1, Shares: []catalog.Share{{Service: "chat", Weight: 9}, {Service: "chat-b", Weight: 1}},
 		Resumable: true, Homes: []string{"north"}, Public: true,
 	}
 	barred := catalog.Route{
 		Name: "barred", Host: "chat.example", Prefix: "/", Kind: catalog.Once, Attempts: 1, Timeout: 1000,
-		Shares: []catalog.Share{{Service: "chat", Weight: 1}}, Nowhere: true,
+		Shares: []catalog.Share{{Service: "chat", Weight: 1}}, NoRegion: true,
 	}
 	dropped := barred
 	dropped.Name = "dropped"
@@ -47,61 +47,61 @@
 		Routes:  []catalog.Route{route, barred},
 		Services: []catalog.Service{{
 			Name: "chat", HealthPath: "/health", Connections: 64, ColdFor: 30000, ColdPerSecond: 0.5,
-			Engine: &catalog.Engine{Slots: 8, Memory: 64000, TokenBytes: 131072, LinkMbps: 1e4, Copies: true},
+			Engine: &catalog.Engine{Slots: 8, Memory: 64000, TokenBytes: 131072, LinkMbps: 1e4, CopiesCache: true},
 		}},
 		Limits: catalog.Limits{BodyBytes: 1 << 20},
 		Keyed:  true,
 		Organisations: []catalog.Organisation{{
 			Name: "acme", Keys: []catalog.Key{catalog.KeyOf("key of acme")}, Priority: 2, Homes: []string{"north", "south"},
-			Quota: catalog.Quota{PerSecond: 100, Burst: 500, Unit: catalog.Tokens, Plain: 40},
+			Quota: catalog.Quota{PerSecond: 100, Burst: 500, Unit: catalog.Tokens, DefaultTokens: 40},
 		}},
 	}
 	return first, second
 }
 
 // earlierNews returns a full state with a number of replicas.
-func earlierNews(replicas int) catalog.News {
+func earlierNews(replicas int) catalog.ChangeSet {
 	s := &catalog.Snapshot{Revision: 412, Evacuated: []string{"south-hall-1"}}
 	for n := range replicas {
 		s.Replicas = append(s.Replicas, earlierReplica(n))
 	}
-	return catalog.News{
-		Snapshot: s, Policy: 31, Revision: 412,
-		Doubts: []catalog.Doubt{{Replica: "i-001", Born: 1796200000001, Revision: 409, Left: 2500}},
+	return catalog.ChangeSet{
+		Snapshot: s, PolicyVersion: 31, Revision: 412,
+		UnconfirmedRemovals: []catalog.UnconfirmedRemoval{{Replica: "i-001", StartedAt: 1796200000001, Revision: 409, Remaining: 2500}},
 	}
 }
 
-func earlierNewsOfChanges() catalog.News {
+func earlierNewsOfChanges() catalog.ChangeSet {
 	r := earlierReplica(1)
 	first, _ := earlierPolicies()
-	return catalog.News{
+	return catalog.ChangeSet{
 		Changes: []catalog.Change{
 			{Revision: 401, Replica: &r},
-			{Revision: 402, Gone: "i-002"},
+			{Revision: 402, Removed: "i-002"},
 			{Revision: 403, Evacuated: "south-hall-1"},
 			{Revision: 404, Unevacuated: "south-hall-2"},
 			{Revision: 405, Policy: first},
 		},
-		Policy: 30, Revision: 405,
+		PolicyVersion: 30, Revision: 405,
 	}
 }
 
 // Guards against changes of the form of catalog updates, which boxes of two builds exchange.
 func TestUpdatesOfAnEarlierBuildAreDecodedAndEncodedAlike(t *testing.T) {
 	is := is.New(t)
-	for text, want := range map[string]catalog.News{
+	for text, want := range map[string]catalog.ChangeSet{
 		earlierChanges:  earlierNewsOfChanges(),
 		earlierSnapshot: earlierNews(2),
 	} {
-		var p catalog.EncodedNews
+		var p catalog.EncodedChangeSet
 		is.NoErr(json.Unmarshal([]byte(text), &p))
 		got, err := p.Decode()
 		is.NoErr(err)
-		want.Read = 250
+		want.ReadAge = 250
 		is.Equal(got, want)
 		again, err := got.Encode()
 		is.NoErr(err)
-		again.Read = got.Read
+		again.ReadAge = got.ReadAge
 		data, err := json.Marshal(again)
 		is.NoErr(err)
 		is.Equal(string(data), text)
@@ -111,15 +111,15 @@
 // Guards against changes of the answer of a rate-limited box.
 func TestAWaitOfAnEarlierBuildIsDecodedAndEncodedAlike(t *testing.T) {
 	is := is.New(t)
-	var p catalog.EncodedNews
+	var p catalog.EncodedChangeSet
 	is.NoErr(json.Unmarshal([]byte(earlierWait), &p))
-	is.Equal(p, catalog.EncodedNews{Wait: 40.5})
+	is.Equal(p, catalog.EncodedChangeSet{RetryAfter: 40.5})
 	data, err := json.Marshal(p)
 	is.NoErr(err)
 	is.Equal(string(data), earlierWait)
-	var policy catalog.PolicyNews
+	var policy catalog.PolicyResponse
 	is.NoErr(json.Unmarshal([]byte(earlierPolicyWait), &policy))
-	is.Equal(policy, catalog.PolicyNews{Version: 31, Wait: 40.5})
+	is.Equal(policy, catalog.PolicyResponse{Version: 31, RetryAfter: 40.5})
 	data, err = json.Marshal(policy)
 	is.NoErr(err)
 	is.Equal(string(data), earlierPolicyWait)
@@ -130,9 +130,9 @@
 	is := is.New(t)
 	data, err := os.ReadFile(largeSnapshot)
 	is.NoErr(err)
-	var p catalog.EncodedNews
+	var p catalog.EncodedChangeSet
 	is.NoErr(json.Unmarshal(data, &p))
-	is.True(p.News == nil)
+	is.True(p.ChangeSet == nil)
 	got, err := p.Decode()
 	is.NoErr(err)
 	is.Equal(got, earlierNews(60))
@@ -142,7 +142,7 @@
 func TestAPolicyUpdateOfAnEarlierBuildIsApplied(t *testing.T) {
 	is := is.New(t)
 	first, second := earlierPolicies()
-	var news catalog.PolicyNews
+	var news catalog.PolicyResponse
 	is.NoErr(json.Unmarshal([]byte(earlierPolicy), &news))
 	is.Equal(news.Version, 31)
 	got, err := news.Delta()
@@ -150,7 +150,7 @@
 	want, err := catalog.DeltaOf(first, second)
 	is.NoErr(err)
 	is.Equal(got, want)
-	is.Equal(got.Sum, uint64(0x87619e106bfef7da))
+	is.Equal(got.Checksum, uint64(0x87619e106bfef7da))
 	p, err := got.Apply(first)
 	is.NoErr(err)
 	is.Equal(p, second)
--- a/catalog/compress.go
+++ b/catalog/compress.go
@@ -14,29 +14,29 @@
 	minCompressed   = 8 << 10 // bytes from which a catalog update is compressed
 )
 
-// EncodedNews is a catalog update as it is sent to another box.
-type EncodedNews struct {
-	News       *News  `json:"news,omitempty"`
-	Compressed []byte `json:"compressed,omitempty"` // the same, if it is large
-	Wait       Millis `json:"wait_ms,omitempty"`    // until the sender is below its rate limit, if it can't answer now
-	Read       Millis `json:"read_ms,omitempty"`    // age of the last read of the publisher that found nothing newer; 0 if unknown
+// EncodedChangeSet is a catalog update as it is sent to another box.
+type EncodedChangeSet struct {
+	ChangeSet  *ChangeSet `json:"news,omitempty"`
+	Compressed []byte     `json:"compressed,omitempty"` // the same, if it is large
+	RetryAfter Millis     `json:"wait_ms,omitempty"`    // until the sender is below its rate limit, if it can't answer now
+	ReadAge    Millis     `json:"read_ms,omitempty"`    // age of the last read of the publisher that found nothing newer; 0 if unknown
 }
 
 // Encode returns the catalog update as it is sent to another box, compressed if it is large.
-func (n News) Encode() (EncodedNews, error) {
+func (n ChangeSet) Encode() (EncodedChangeSet, error) {
 	if !n.isLarge() {
-		return EncodedNews{
-			News: &n,
+		return EncodedChangeSet{
+			ChangeSet: &n,
 		}, nil
 	}
 	out, err := compress(n)
-	return EncodedNews{
+	return EncodedChangeSet{
 		Compressed: out,
 	}, err
 }
 
 // isLarge reports whether the catalog update is worth compressing.
-func (n News) isLarge() bool {
+func (n ChangeSet) isLarge() bool {
 	const replicaBytes = 160 // typical length in JSON
 	items := len(n.Changes)
 	if n.Snapshot != nil {
@@ -46,17 +46,17 @@
 }
 
 // Decode returns the catalog update.
-func (p EncodedNews) Decode() (out News, err error) {
-	if p.Wait > 0 {
-		out.Wait = p.Wait
+func (p EncodedChangeSet) Decode() (out ChangeSet, err error) {
+	if p.RetryAfter > 0 {
+		out.RetryAfter = p.RetryAfter
 		return out, nil
 	}
-	if p.News != nil {
-		out = *p.News
+	if p.ChangeSet != nil {
+		out = *p.ChangeSet
 	} else {
 		err = decompress(p.Compressed, &out)
 	}
-	out.Read = p.Read
+	out.ReadAge = p.ReadAge
 	return out, err
 }
 
--- a/catalog/compress_test.go
+++ b/catalog/compress_test.go
@@ -11,14 +11,14 @@
 )
 
 // transfer encodes and decodes an update, and returns its encoded size.
-func transfer(t testing.TB, news catalog.News) (got catalog.News, bytes int) {
+func transfer(t testing.TB, news catalog.ChangeSet) (got catalog.ChangeSet, bytes int) {
 	t.Helper()
 	is := is.New(t)
 	p, err := news.Encode()
 	is.NoErr(err)
 	data, err := json.Marshal(p)
 	is.NoErr(err)
-	var out catalog.EncodedNews
+	var out catalog.EncodedChangeSet
 	is.NoErr(json.Unmarshal(data, &out))
 	got, err = out.Decode()
 	is.NoErr(err)
@@ -28,14 +28,14 @@
 func TestLargeUpdatesAreCompressed(t *testing.T) {
 	is := is.New(t)
 	for _, replicas := range []int{0, 10, 4000} {
-		news := catalog.News{
+		news := catalog.ChangeSet{
 			Snapshot: &catalog.Snapshot{
 				Revision:  7,
 				Replicas:  []catalog.Replica{},
 				Evacuated: []string{"hall"},
 			},
-			Policy:   3,
-			Revision: 7,
+			PolicyVersion: 3,
+			Revision:      7,
 		}
 		for n := range replicas {
 			r := plainReplica(fmt.Sprintf("i-%08x", n*2654435761), 0)
@@ -46,7 +46,7 @@
 		is.Equal(got, news)
 		is.True(bytes < 400+30*replicas || replicas < 100)
 	}
-	_, err := catalog.EncodedNews{
+	_, err := catalog.EncodedChangeSet{
 		Compressed: []byte("nothing"),
 	}.Decode()
 	is.True(err != nil)
--- a/catalog/confirm.go
+++ b/catalog/confirm.go
@@ -79,8 +79,8 @@
 
 // reportFreshness passes on the freshness proof of a snapshot's policy.
 func (d *Feed) reportFreshness(s Snapshot) {
-	if s.Policy != nil && !s.PolicyAt.IsZero() {
-		d.onConfirmed(s.Policy.Version, s.PolicyAt)
+	if s.Policy != nil && !s.PolicyConfirmedAt.IsZero() {
+		d.onConfirmed(s.Policy.Version, s.PolicyConfirmedAt)
 	}
 }
 
--- a/catalog/delta.go
+++ b/catalog/delta.go
@@ -9,10 +9,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PolicyNews is the answer to a box that asks for the newest policy.
-type PolicyNews struct {
+// PolicyResponse is the answer to a box that asks for the newest policy.
+type PolicyResponse struct {
 	Version    int    `json:"version"`              // of the sender's newest policy
-	Wait       Millis `json:"wait_ms,omitempty"`    // until the sender is below its rate limit, if it can't answer now
+	RetryAfter Millis `json:"wait_ms,omitempty"`    // until the sender is below its rate limit, if it can't answer now
 	Compressed []byte `json:"compressed,omitempty"` // the Delta as compressed JSON
 }
 
@@ -25,7 +25,7 @@
 	Limits        Limits               `json:"limits"`
 	Keyed         bool                 `json:"keyed,omitempty"`
 	Organisations []Span[Organisation] `json:"organisations,omitempty"`
-	Sum           uint64               `json:"sum"` // checksum of the later policy
+	Checksum      uint64               `json:"sum"` // checksum of the later policy
 }
 
 // Span is a run of items of the earlier list, or of new ones.
@@ -59,7 +59,7 @@
 		Keyed:    later.Keyed,
 	}
 	var err error
-	if out.Sum, err = later.checksum(); err != nil {
+	if out.Checksum, err = later.checksum(); err != nil {
 		return out, err
 	}
 	base := &Policy{}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if checksum != a.Sum {
+	if checksum != a.Checksum {
 		return nil, errors.Newf("delta from policy %d to %d: checksum mismatch", a.From, a.Version)
 	}
 	return out, out.Check()
@@ -182,7 +182,7 @@
 }
 
 // Delta returns the decompressed delta.
-func (n PolicyNews) Delta() (out Delta, err error) {
+func (n PolicyResponse) Delta() (out Delta, err error) {
 	err = decompress(n.Compressed, &out)
 	return out, errors.Wrap(err, "delta")
 }
--- a/catalog/delta_test.go
+++ b/catalog/delta_test.go
@@ -25,7 +25,7 @@
 
 // requestPolicy requests the newest reported policy from another copy, in encoded form.
 func requestPolicy(t *rapid.T, receiver, from *catalog.Content, deltas *catalog.Deltas) {
-	if receiver.PolicyDue() == 0 {
+	if receiver.MissingPolicyVersion() == 0 {
 		return
 	}
 	have := 0
@@ -36,13 +36,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := json.Marshal(catalog.PolicyNews{
+	data, err := json.Marshal(catalog.PolicyResponse{
 		Compressed: compressed,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var news catalog.PolicyNews
+	var news catalog.PolicyResponse
 	if err := json.Unmarshal(data, &news); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	receiver.Take(catalog.Update{
+	receiver.Apply(catalog.Update{
 		Changes: []catalog.Change{{
 			Policy: p,
 		}},
@@ -130,7 +130,7 @@
 	take := func(version, routes int) {
 		p := plainPolicy(version)
 		p.Routes = make([]catalog.Route, routes)
-		c.Take(catalog.Update{Changes: []catalog.Change{{Policy: p}}})
+		c.Apply(catalog.Update{Changes: []catalog.Change{{Policy: p}}})
 	}
 	for version := range 20 {
 		take(1+version, 40)
@@ -148,14 +148,14 @@
 func TestACopyRecordsWhichPolicyIsMissing(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
-	is.Equal(c.PolicyDue(), 0)
-	c.Take(catalog.Update{Policy: 3, Revision: 5})
-	is.Equal(c.PolicyDue(), 3)
-	is.Equal(c.Since(5).Policy, 3) // sent together with the revision
-	c.Take(catalog.Update{Changes: []catalog.Change{{Policy: plainPolicy(2)}}})
-	is.Equal(c.PolicyDue(), 3)
+	is.Equal(c.MissingPolicyVersion(), 0)
+	c.Apply(catalog.Update{PolicyVersion: 3, Revision: 5})
+	is.Equal(c.MissingPolicyVersion(), 3)
+	is.Equal(c.ChangesSince(5).PolicyVersion, 3) // sent together with the revision
+	c.Apply(catalog.Update{Changes: []catalog.Change{{Policy: plainPolicy(2)}}})
+	is.Equal(c.MissingPolicyVersion(), 3)
 	is.Equal(c.Policy().Version, 2)
-	c.Take(catalog.Update{Changes: []catalog.Change{{Policy: plainPolicy(4)}}})
-	is.Equal(c.PolicyDue(), 0)
-	is.Equal(c.Since(5).Policy, 4)
+	c.Apply(catalog.Update{Changes: []catalog.Change{{Policy: plainPolicy(4)}}})
+	is.Equal(c.MissingPolicyVersion(), 0)
+	is.Equal(c.ChangesSince(5).PolicyVersion, 4)
 }
--- a/catalog/doubt.go
+++ b/catalog/doubt.go
@@ -14,30 +14,30 @@
 	recoverySlack      = 100 * time.Millisecond         // for changes to arrive after the recovery window
 )
 
-// Doubt is an unconfirmed removal: the entry is missing but may reappear after an outage of
-// the publisher. It is confirmed when its time is over.
-type Doubt struct {
-	Replica  string `json:"replica"`
-	Born     int64  `json:"born,omitempty"` // start time of the replica, if known
-	Revision int64  `json:"revision"`       // since which the entry may be removed
-	Left     Millis `json:"left_ms"`        // until it is confirmed
+// UnconfirmedRemoval is a removal whose entry may reappear after an outage of the publisher. It
+// is confirmed when its time is over.
+type UnconfirmedRemoval struct {
+	Replica   string `json:"replica"`
+	StartedAt int64  `json:"born,omitempty"` // start time of the replica, if known
+	Revision  int64  `json:"revision"`       // since which the entry may be removed
+	Remaining Millis `json:"left_ms"`        // until it is confirmed
 }
 
 // UnmarshalJSON decodes and validates an unconfirmed removal.
-func (d *Doubt) UnmarshalJSON(data []byte) error {
-	type plain Doubt
+func (d *UnconfirmedRemoval) UnmarshalJSON(data []byte) error {
+	type plain UnconfirmedRemoval
 	var v plain
 	if err := json.Unmarshal(data, &v); err != nil {
 		return errors.Wrap(err, "doubt")
 	}
-	*d = Doubt(v)
-	if d.Replica == "" || d.Left < 0 {
-		return errors.Newf("unconfirmed removal of replica %q with %d ms left", d.Replica, d.Left)
+	*d = UnconfirmedRemoval(v)
+	if d.Replica == "" || d.Remaining < 0 {
+		return errors.Newf("unconfirmed removal of replica %q with %d ms left", d.Replica, d.Remaining)
 	}
 	return nil
 }
 
-// unconfirmedRemoval is the state of a Doubt in a copy.
+// unconfirmedRemoval is the state of an UnconfirmedRemoval in a copy.
 type unconfirmedRemoval struct {
 	revision int64
 	until    time.Time
@@ -57,7 +57,7 @@
 }
 
 func (c *Content) clearUnconfirmed(id string) {
-	if !c.InDoubt(id) {
+	if !c.IsUnconfirmed(id) {
 		return
 	}
 	delete(c.unconfirmed, id)
@@ -65,15 +65,15 @@
 	c.changeLog.add(id)
 }
 
-// Newest returns the newest recorded revision. Each removal up to it is either confirmed or
-// unconfirmed.
-func (c *Content) Newest() int64 { return c.newest }
+// NewestRevision returns the newest recorded revision. Each removal up to it is either confirmed
+// or unconfirmed.
+func (c *Content) NewestRevision() int64 { return c.newest }
 
-// Doubtful reports whether any removal is unconfirmed.
-func (c *Content) Doubtful() bool { return len(c.unconfirmed) > 0 }
+// HasUnconfirmedRemovals reports whether any removal is unconfirmed.
+func (c *Content) HasUnconfirmedRemovals() bool { return len(c.unconfirmed) > 0 }
 
-// InDoubt reports whether the removal of a replica is unconfirmed.
-func (c *Content) InDoubt(id string) bool {
+// IsUnconfirmed reports whether the removal of a replica is unconfirmed.
+func (c *Content) IsUnconfirmed(id string) bool {
 	_, ok := c.unconfirmed[id]
 	return ok
 }
@@ -97,12 +97,12 @@
 	c.changeLog.add(id)
 }
 
-// Doubts returns the replicas with an unconfirmed removal, sorted.
-func (c *Content) Doubts() []string { return slices.Sorted(maps.Keys(c.unconfirmed)) }
+// UnconfirmedRemovals returns the replicas with an unconfirmed removal, sorted.
+func (c *Content) UnconfirmedRemovals() []string { return slices.Sorted(maps.Keys(c.unconfirmed)) }
 
-// Settle confirms the removals whose time is over and reports whether there were any. This
-// needs no further read, which followers make rarely.
-func (c *Content) Settle() bool {
+// ConfirmRemovals confirms the removals whose time is over and reports whether there were any.
+// This needs no further read, which followers make rarely.
+func (c *Content) ConfirmRemovals() bool {
 	settled := false
 	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) { // sorted for a deterministic order of the confirmed removals
 		d := c.unconfirmed[id]
@@ -116,15 +116,15 @@
 	return settled
 }
 
-func (c *Content) unconfirmedForPeers() []Doubt {
-	var out []Doubt
+func (c *Content) unconfirmedForPeers() []UnconfirmedRemoval {
+	var out []UnconfirmedRemoval
 	for _, id := range slices.Sorted(maps.Keys(c.unconfirmed)) {
 		d := c.unconfirmed[id]
-		out = append(out, Doubt{
-			Replica:  id,
-			Born:     c.replicas[id].Born,
-			Revision: d.revision,
-			Left:     Millis(max(d.until.Sub(c.now()), 0).Milliseconds()),
+		out = append(out, UnconfirmedRemoval{
+			Replica:   id,
+			StartedAt: c.replicas[id].StartedAt,
+			Revision:  d.revision,
+			Remaining: Millis(max(d.until.Sub(c.now()), 0).Milliseconds()),
 		})
 	}
 	return out
@@ -132,10 +132,10 @@
 
 // mergeUnconfirmed records unconfirmed removals of another box, except for replicas that have
 // changed since.
-func (c *Content) mergeUnconfirmed(list []Doubt) {
+func (c *Content) mergeUnconfirmed(list []UnconfirmedRemoval) {
 	for _, d := range list {
-		if r, ok := c.replicas[d.Replica]; ok && r.Revision <= d.Revision && isSameIncarnation(r.Born, d.Born) {
-			c.markUnconfirmed(d.Replica, d.Revision, d.Left.Duration())
+		if r, ok := c.replicas[d.Replica]; ok && r.Revision <= d.Revision && isSameIncarnation(r.StartedAt, d.StartedAt) {
+			c.markUnconfirmed(d.Replica, d.Revision, d.Remaining.Duration())
 		}
 	}
 }
--- a/catalog/doubt_test.go
+++ b/catalog/doubt_test.go
@@ -15,20 +15,20 @@
 // unconfirmedAfter returns an update with a removal that stays unconfirmed for a time.
 func unconfirmedAfter(revision int64, gone string, settles time.Duration) catalog.Update {
 	return catalog.Update{
-		Revision: revision,
-		Settles:  settles,
+		Revision:  revision,
+		SettlesIn: settles,
 		Changes: []catalog.Change{{
 			Revision: revision,
-			Gone:     gone,
+			Removed:  gone,
 		}},
 	}
 }
 
-func ExampleContent_Newest() {
+func ExampleContent_NewestRevision() {
 	c := catalog.NewContent()
-	c.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
-	c.Take(snapshot(12, false, plainReplica("a", 1))) // read just after an outage
-	fmt.Println(c.Newest(), c.Revision(), replicaIDs(c), c.InDoubt("b"))
+	c.Apply(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
+	c.Apply(snapshot(12, false, plainReplica("a", 1))) // read just after an outage
+	fmt.Println(c.NewestRevision(), c.Revision(), replicaIDs(c), c.IsUnconfirmed("b"))
 	// Output: 12 10 [a b] true
 }
 
@@ -36,17 +36,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := catalog.NewContent()
-		c.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
-		c.Take(unconfirmedAfter(11, "a", time.Second))
-		c.Take(unconfirmedAfter(11, "a", time.Minute)) // sent again; the earlier deadline stays
+		c.Apply(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
+		c.Apply(unconfirmedAfter(11, "a", time.Second))
+		c.Apply(unconfirmedAfter(11, "a", time.Minute)) // sent again; the earlier deadline stays
 		time.Sleep(time.Second - time.Millisecond)
-		is.True(!c.Settle())
+		is.True(!c.ConfirmRemovals())
 		is.Equal(replicaIDs(c), []string{"a", "b"})
 		time.Sleep(time.Millisecond)
-		is.True(c.Settle())
+		is.True(c.ConfirmRemovals())
 		is.Equal(replicaIDs(c), []string{"b"})
-		is.True(!c.Doubtful())
-		is.Equal(c.Lapses(), 1)
+		is.True(!c.HasUnconfirmedRemovals())
+		is.Equal(c.ConfirmedRemovals(), 1)
 	})
 }
 
@@ -54,15 +54,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := catalog.NewContent()
-		c.Take(snapshot(10, true, plainReplica("a", 1)))
-		c.Take(unconfirmedAfter(11, "a", time.Second))
+		c.Apply(snapshot(10, true, plainReplica("a", 1)))
+		c.Apply(unconfirmedAfter(11, "a", time.Second))
 		back := plainReplica("a", 12)
-		c.Take(changed(12, true, catalog.Change{
+		c.Apply(changed(12, true, catalog.Change{
 			Revision: 12,
 			Replica:  &back,
 		}))
 		time.Sleep(time.Minute)
-		is.True(!c.Settle())
+		is.True(!c.ConfirmRemovals())
 		is.Equal(replicaIDs(c), []string{"a"})
 	})
 }
@@ -73,18 +73,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		sender, receiver, newcomer := catalog.NewContent(), catalog.NewContent(), catalog.NewContent()
-		sender.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
-		receiver.Take(sender.Since(0).Update())
-		sender.Take(unconfirmedAfter(11, "a", 2*time.Second))
+		sender.Apply(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
+		receiver.Apply(sender.ChangesSince(0).Update())
+		sender.Apply(unconfirmedAfter(11, "a", 2*time.Second))
 		time.Sleep(1500 * time.Millisecond)
 		for _, c := range []*catalog.Content{receiver, newcomer} {
-			c.Take(overTheWire(t, sender.Since(c.Revision())).Update())
-			is.Equal(c.Newest(), int64(11))
-			is.True(c.InDoubt("a"))
+			c.Apply(overTheWire(t, sender.ChangesSince(c.Revision())).Update())
+			is.Equal(c.NewestRevision(), int64(11))
+			is.True(c.IsUnconfirmed("a"))
 		}
 		time.Sleep(500 * time.Millisecond)
 		for _, c := range []*catalog.Content{sender, receiver, newcomer} {
-			is.True(c.Settle())
+			is.True(c.ConfirmRemovals())
 			is.Equal(replicaIDs(c), []string{"b"})
 		}
 	})
@@ -94,19 +94,19 @@
 	is := is.New(t)
 	unsure, informed := catalog.NewContent(), catalog.NewContent()
 	first := snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1))
-	unsure.Take(first)
-	informed.Take(first)
-	unsure.Take(unconfirmedAfter(11, "a", time.Minute))
-	unsure.Take(changed(13, true))
-	informed.Take(changed(11, true, catalog.Change{
+	unsure.Apply(first)
+	informed.Apply(first)
+	unsure.Apply(unconfirmedAfter(11, "a", time.Minute))
+	unsure.Apply(changed(13, true))
+	informed.Apply(changed(11, true, catalog.Change{
 		Revision: 11,
-		Gone:     "a",
+		Removed:  "a",
 	}))
-	informed.Take(unsure.Since(11).Update())
+	informed.Apply(unsure.ChangesSince(11).Update())
 	is.Equal(replicaIDs(informed), []string{"b"})
-	informed.Take(unsure.Since(0).Update()) // the full state
+	informed.Apply(unsure.ChangesSince(0).Update()) // the full state
 	is.Equal(replicaIDs(informed), []string{"b"})
-	is.Equal(informed.Newest(), int64(13))
+	is.Equal(informed.NewestRevision(), int64(13))
 }
 
 // Guards against sending requests to a replica whose entry another writer overwrote.
@@ -114,14 +114,14 @@
 	for _, settled := range []bool{true, false} {
 		is := is.New(t)
 		c := catalog.NewContent()
-		c.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
+		c.Apply(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 1)))
 		u := snapshot(12, settled, plainReplica("a", 1))
 		u.Snapshot.Unusable = []string{"b", "never-known"}
-		c.Take(u)
+		c.Apply(u)
 		is.Equal(replicaIDs(c), []string{"a"}) // the entry exists, so it has not expired
-		is.True(!c.Doubtful())
+		is.True(!c.HasUnconfirmedRemovals())
 		is.Equal(c.Revision(), int64(12))
-		c.Take(changed(13, settled, entryChange(plainReplica("b", 13))))
+		c.Apply(changed(13, settled, entryChange(plainReplica("b", 13))))
 		is.Equal(replicaIDs(c), []string{"a", "b"})
 	}
 }
@@ -130,40 +130,40 @@
 	for _, settled := range []bool{true, false} {
 		is := is.New(t)
 		c := catalog.NewContent()
-		c.Take(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 8)))
+		c.Apply(snapshot(10, true, plainReplica("a", 1), plainReplica("b", 8)))
 		foreign := func(id string, revision int64) catalog.Change {
 			return catalog.Change{
 				Revision: revision,
-				Gone:     id,
+				Removed:  id,
 				Unusable: true,
 			}
 		}
-		c.Take(changed(11, settled, foreign("a", 11), foreign("never-known", 11), foreign("b", 7)))
+		c.Apply(changed(11, settled, foreign("a", 11), foreign("never-known", 11), foreign("b", 7)))
 		is.Equal(replicaIDs(c), []string{"b"}) // the newer entry stays
-		is.True(!c.Doubtful())
-		news := overTheWire(t, c.Since(10)) // includes the removal, but not the entry that never described a replica
+		is.True(!c.HasUnconfirmedRemovals())
+		news := overTheWire(t, c.ChangesSince(10)) // includes the removal, but not the entry that never described a replica
 		is.Equal(len(news.Changes), 1)
-		is.Equal(news.Changes[0].Gone, "a")
+		is.Equal(news.Changes[0].Removed, "a")
 		is.Equal(news.Changes[0].Revision, int64(11))
 	}
 }
 
 func TestAnUnconfirmedRemovalIsCheckedWhenDecoded(t *testing.T) {
 	is := is.New(t)
-	var d catalog.Doubt
+	var d catalog.UnconfirmedRemoval
 	is.NoErr(json.Unmarshal([]byte(`{"replica":"a","revision":3,"left_ms":20}`), &d))
-	is.Equal(d.Left.Duration(), 20*time.Millisecond)
+	is.Equal(d.Remaining.Duration(), 20*time.Millisecond)
 	is.True(json.Unmarshal([]byte(`{"revision":3,"left_ms":20}`), &d) != nil)
 	is.True(json.Unmarshal([]byte(`{"replica":"a","left_ms":-1}`), &d) != nil)
 }
 
-func overTheWire(t *testing.T, n catalog.News) catalog.News {
+func overTheWire(t *testing.T, n catalog.ChangeSet) catalog.ChangeSet {
 	t.Helper()
 	data, err := json.Marshal(n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out catalog.News
+	var out catalog.ChangeSet
 	if err := json.Unmarshal(data, &out); err != nil {
 		t.Fatal(err)
 	}
--- a/catalog/feed.go
+++ b/catalog/feed.go
@@ -18,8 +18,9 @@
 // that a full read is needed.
 var ErrHistoryGone = errors.New("catalog: history no longer available")
 
-// ErrTold reports that another box has sent the full state, so that a read is not needed.
-var ErrTold = errors.New("catalog: state sent by another box")
+// ErrReceivedFromPeer reports that another box has sent the full state, so that a read is not
+// needed.
+var ErrReceivedFromPeer = errors.New("catalog: state sent by another box")
 
 const (
 	watchTimeout       = 10 * time.Second       // each call to the publisher has a cost
@@ -35,30 +36,30 @@
 //
 // Read returns the full state. Wait returns the changes after a revision and the revision that
 // they lead to, as soon as there are any or after a time; it fails with ErrHistoryGone if they
-// are unknown. The other functions may be nil. Newest returns the newest revision alone. Keep
-// is called often enough for the source to recognise at the next Read that a large value is
-// unchanged. Confirm returns the policy and the evacuations alone. First is Read for a box
-// without a copy: if it needs many calls, it calls goOn between them, and returns the partial
-// state with an error of goOn.
+// are unknown. The other functions may be nil. Newest returns the newest revision alone.
+// KeepAlive is called often enough for the source to recognise at the next Read that a large
+// value is unchanged. Confirm returns the policy and the evacuations alone. InitialRead is Read
+// for a box without a copy: if it needs many calls, it calls goOn between them, and returns the
+// partial state with an error of goOn.
 type Source struct {
-	Read   func(ctx context.Context) (Snapshot, error)
-	First  func(ctx context.Context, goOn func(read Snapshot) error) (Snapshot, error)
-	Wait   func(ctx context.Context, after int64, wait time.Duration) ([]Change, int64, error)
-	Newest func(ctx context.Context) (int64, error)
-	Keep   func(ctx context.Context) error
+	Read        func(ctx context.Context) (Snapshot, error)
+	InitialRead func(ctx context.Context, goOn func(read Snapshot) error) (Snapshot, error)
+	Wait        func(ctx context.Context, after int64, wait time.Duration) ([]Change, int64, error)
+	Newest      func(ctx context.Context) (int64, error)
+	KeepAlive   func(ctx context.Context) error
 
 	Confirm func(ctx context.Context) (Snapshot, error)
 }
 
 // Update is what a feed delivers: a full snapshot, or changes up to a revision.
 type Update struct {
-	Snapshot *Snapshot
-	Changes  []Change
-	Doubts   []Doubt // unconfirmed removals of the box that sent this
-	Policy   int     // newest recorded version of a policy; 0 for none
-	Revision int64
-	Settled  bool          // false while entries may be missing after an outage of the publisher
-	Settles  time.Duration // remaining time until settled, if known
+	Snapshot            *Snapshot
+	Changes             []Change
+	UnconfirmedRemovals []UnconfirmedRemoval // unconfirmed removals of the box that sent this
+	PolicyVersion       int                  // newest recorded version of a policy; 0 for none
+	Revision            int64
+	Settled             bool          // false while entries may be missing after an outage of the publisher
+	SettlesIn           time.Duration // remaining time until settled, if known
 }
 
 // PolicyUpdate returns an update with a policy alone.
@@ -71,7 +72,7 @@
 	}
 }
 
-func (u Update) unconfirmedTimeout() time.Duration { return cmp.Or(u.Settles, unconfirmedTimeout) }
+func (u Update) unconfirmedTimeout() time.Duration { return cmp.Or(u.SettlesIn, unconfirmedTimeout) }
 
 // Feed keeps a copy of the catalog up to date from a source.
 type Feed struct {
@@ -120,7 +121,7 @@
 func WithReread(interval time.Duration) FeedOption { return func(d *Feed) { d.interval = interval } }
 
 // WithReader sets a function that reports whether this box rereads on behalf of others. Other
-// boxes rely on Behind and reread less often.
+// boxes rely on NotifyRevision and reread less often.
 func WithReader(f func() bool) FeedOption { return func(d *Feed) { d.isReader = f } }
 
 // WithFollowing sets functions that report whether other boxes watch on behalf of this one,
@@ -132,10 +133,10 @@
 	}
 }
 
-// WithTurn sets a function that an initial read of many calls waits for after its first calls,
-// with their duration, and calls again between the later ones. It fails with ErrTold once
-// another box has sent the full state.
-func WithTurn(f func(ctx context.Context, took time.Duration, first bool) error) FeedOption {
+// WithReadGate sets a function that an initial read of many calls waits for after its first
+// calls, with their duration, and calls again between the later ones. It fails with
+// ErrReceivedFromPeer once another box has sent the full state.
+func WithReadGate(f func(ctx context.Context, took time.Duration, first bool) error) FeedOption {
 	return func(d *Feed) { d.readGate = f }
 }
 
@@ -171,8 +172,8 @@
 	return d
 }
 
-// Behind notifies the feed that another box has a revision.
-func (d *Feed) Behind(revision int64) {
+// NotifyRevision notifies the feed that another box has a revision.
+func (d *Feed) NotifyRevision(revision int64) {
 	if revision <= d.delivered.Load() {
 		return
 	}
@@ -183,9 +184,9 @@
 	}
 }
 
-// Learned records the revision up to which another box sent changes, and the number of
+// RecordRevision records the revision up to which another box sent changes, and the number of
 // replicas.
-func (d *Feed) Learned(revision int64, replicas int) {
+func (d *Feed) RecordRevision(revision int64, replicas int) {
 	d.recordDelivered(revision)
 	d.replicas.Store(int64(replicas))
 }
@@ -198,8 +199,8 @@
 	d.requestReread()
 }
 
-// Known returns the newest delivered revision.
-func (d *Feed) Known() int64 { return d.delivered.Load() }
+// Revision returns the newest delivered revision.
+func (d *Feed) Revision() int64 { return d.delivered.Load() }
 
 // Run watches the source until ctx ends, and makes a full read at intervals, as a watch may
 // miss changes without an error.
@@ -207,7 +208,7 @@
 	var watching sync.WaitGroup
 	watching.Go(func() { d.watch(ctx) })
 	defer watching.Wait()
-	if d.source.Keep != nil {
+	if d.source.KeepAlive != nil {
 		watching.Go(func() { d.keepAlive(ctx) })
 	}
 	if d.source.Confirm != nil {
@@ -233,10 +234,10 @@
 // returns whether missing entries are known to be removed.
 func (d *Feed) read(ctx context.Context) (settled bool, err error) {
 	s, err := d.readOnce(ctx)
-	if errors.Is(err, ErrTold) {
+	if errors.Is(err, ErrReceivedFromPeer) {
 		d.reportFreshness(s)
 		if !d.isCurrent(ctx) { // the revision read may be outdated after the wait
-			d.Behind(s.Revision)
+			d.NotifyRevision(s.Revision)
 		}
 		d.resumeWatch(d.delivered.Load())
 		return true, nil
@@ -258,12 +259,12 @@
 // readOnce makes a full read. The initial one delivers the policy at once, and stops if
 // another box sends the rest.
 func (d *Feed) readOnce(ctx context.Context) (Snapshot, error) {
-	if d.source.First == nil || d.delivered.Load() > 0 {
+	if d.source.InitialRead == nil || d.delivered.Load() > 0 {
 		return d.source.Read(ctx)
 	}
 	first := true
 	began := d.now()
-	return d.source.First(ctx, func(read Snapshot) error {
+	return d.source.InitialRead(ctx, func(read Snapshot) error {
 		if first && read.Policy != nil {
 			d.update(PolicyUpdate(read.Policy))
 		}
@@ -275,7 +276,7 @@
 
 // deliver passes an update on. It returns whether missing entries are known to be removed.
 func (d *Feed) deliver(u Update) (settled bool) {
-	u.Settled, u.Settles = d.isSettled()
+	u.Settled, u.SettlesIn = d.isSettled()
 	d.recordDelivered(u.Revision) // a concurrent lower revision only costs one more call
 	d.update(u)
 	return u.Settled
--- a/catalog/following_test.go
+++ b/catalog/following_test.go
@@ -87,7 +87,7 @@
 	followerRun(t, func(f feedTest, w *peers) {
 		w.reportReadsFor(2 * time.Second)
 		rev := f.put(plainReplica("c", 0))
-		f.feed.Behind(rev)
+		f.feed.NotifyRevision(rev)
 		time.Sleep(soon)
 		f.True(f.has("c"))
 	})
--- a/catalog/fuzz_test.go
+++ b/catalog/fuzz_test.go
@@ -126,7 +126,7 @@
 	w.published = append(w.published, w.rev)
 	old := len(w.published) - 1 - int(peerLag/step)
 	if w.peersRead && old >= 0 {
-		w.feed.Behind(w.published[old])
+		w.feed.NotifyRevision(w.published[old])
 	}
 }
 
--- a/catalog/incarnation.go
+++ b/catalog/incarnation.go
@@ -2,23 +2,23 @@
 
 import "strconv"
 
-// StartMark separates the id from the start time in the name of an incarnation. Ids don't
-// contain it.
-const StartMark = '@'
+// IncarnationSeparator separates the id from the start time in the name of an incarnation. Ids
+// don't contain it.
+const IncarnationSeparator = '@'
 
 // incarnationBase is the base of start times in names; it keeps them short in datagrams.
 const incarnationBase = 36
 
-// MaxBorn bounds Born, in the year 2109. It has nine digits in incarnationBase.
-const MaxBorn = 1 << 42
+// MaxStartedAt bounds StartedAt, in the year 2109. It has nine digits in incarnationBase.
+const MaxStartedAt = 1 << 42
 
-// Start returns the name of the replica's incarnation, which distinguishes it from other
+// Incarnation returns the name of the replica's incarnation, which distinguishes it from other
 // processes under the same id. It is the id alone if the start time is unknown.
-func (r Replica) Start() string {
-	if r.Born == 0 {
+func (r Replica) Incarnation() string {
+	if r.StartedAt == 0 {
 		return r.ID
 	}
-	return r.ID + string(StartMark) + strconv.FormatInt(r.Born, incarnationBase)
+	return r.ID + string(IncarnationSeparator) + strconv.FormatInt(r.StartedAt, incarnationBase)
 }
 
 // replaces reports whether an entry replaces the recorded one of the same id. An earlier
@@ -26,11 +26,11 @@
 // after its successor has started. An incarnation that only the replica itself reported yields
 // to any later published entry.
 func (r Replica) replaces(recorded Replica) bool {
-	if recorded.Told && r.Revision > recorded.Revision {
+	if recorded.SelfReported && r.Revision > recorded.Revision {
 		return true
 	}
-	if r.Born > 0 && recorded.Born > 0 && r.Born != recorded.Born {
-		return r.Born > recorded.Born
+	if r.StartedAt > 0 && recorded.StartedAt > 0 && r.StartedAt != recorded.StartedAt {
+		return r.StartedAt > recorded.StartedAt
 	}
 	return r.Revision >= recorded.Revision
 }
--- a/catalog/incarnations_fuzz_test.go
+++ b/catalog/incarnations_fuzz_test.go
@@ -89,7 +89,7 @@
 func (w *incarnationRun) writeForeign() {
 	key := rapid.SampledFrom([]string{"a", "b", "other"}).Draw(w.T, "key")
 	w.removed[key] = append(w.removed[key], w.change(catalog.Change{
-		Gone:     key,
+		Removed:  key,
 		Unusable: true,
 	}))
 }
@@ -120,22 +120,22 @@
 
 func (w *incarnationRun) requestChanges() {
 	w.follower.mu.Lock()
-	data, err := json.Marshal(w.content.Since(w.asking.Revision()))
+	data, err := json.Marshal(w.content.ChangesSince(w.asking.Revision()))
 	w.follower.mu.Unlock()
 	if err != nil {
 		w.fail("news: %v", err)
 	}
-	var news catalog.News
+	var news catalog.ChangeSet
 	if err := json.Unmarshal(data, &news); err != nil {
 		w.fail("news %s: %v", data, err)
 	}
 	for _, ch := range news.Changes {
-		if ch.Gone == "other" {
+		if ch.Removed == "other" {
 			w.fail("received an entry that never described a replica")
 		}
 	}
-	w.asking.Take(news.Update())
-	w.asking.Settle()
+	w.asking.Apply(news.Update())
+	w.asking.ConfirmRemovals()
 }
 
 func (w *incarnationRun) check() {
@@ -166,7 +166,7 @@
 		there[key] = true
 		held := w.held[key]
 		between := func(at int64) bool { return held.Revision < at && at < r.Revision }
-		if r.Born < held.Born && !slices.ContainsFunc(w.removed[r.ID], between) {
+		if r.StartedAt < held.StartedAt && !slices.ContainsFunc(w.removed[r.ID], between) {
 			w.fail("%s: %v replaced by %v", key, held, r)
 		}
 		w.held[key] = r
@@ -186,8 +186,8 @@
 	}
 	for i, r := range want.Replicas {
 		held := got.Replicas[i]
-		same := held.Born == r.Born && held.Leaving == r.Leaving
-		if held.ID != r.ID || held.Born < r.Born || r.Born == w.current[r.ID] && !same {
+		same := held.StartedAt == r.StartedAt && held.Leaving == r.Leaving
+		if held.ID != r.ID || held.StartedAt < r.StartedAt || r.StartedAt == w.current[r.ID] && !same {
 			w.fail("%s: held %v, published %v", name, held, r)
 		}
 	}
--- a/catalog/keep_test.go
+++ b/catalog/keep_test.go
@@ -11,7 +11,7 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// countKeeps returns how often a feed of so many replicas calls Keep in a minute.
+// countKeeps returns how often a feed of so many replicas calls KeepAlive in a minute.
 func countKeeps(t *testing.T, replicas int, follows bool) (n int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute-time.Second)
@@ -31,7 +31,7 @@
 				return nil, after, ctx.Err()
 			},
 			Newest: func(context.Context) (int64, error) { return 1, nil },
-			Keep: func(context.Context) error {
+			KeepAlive: func(context.Context) error {
 				n++
 				return nil
 			},
--- a/catalog/late_test.go
+++ b/catalog/late_test.go
@@ -15,16 +15,16 @@
 	is := is.New(t)
 	const before, removed, read, later = 10, 11, 12, 15
 	watcher, follower := unsentRemoval(before, removed, removed, false)
-	follower.Take(watcher.Since(before).Update())
+	follower.Apply(watcher.ChangesSince(before).Update())
 	is.Equal(follower.Revision(), int64(removed))
 
-	watcher.Take(snapshot(read, true, plainReplica("kept", 1)))
+	watcher.Apply(snapshot(read, true, plainReplica("kept", 1)))
 	is.Equal(len(watcher.Replicas()), 1)
-	follower.Take(catalog.Update{ // from another box
+	follower.Apply(catalog.Update{ // from another box
 		Revision: later,
 		Settled:  true,
 	})
-	follower.Take(watcher.Since(later).Update())
+	follower.Apply(watcher.ChangesSince(later).Update())
 	is.Equal(len(follower.Replicas()), 1)
 }
 
@@ -32,13 +32,13 @@
 // of a follower that has not received it.
 func unsentRemoval(before, removed, upTo int64, settled bool) (watcher, follower *catalog.Content) {
 	watcher = catalog.NewContent()
-	watcher.Take(snapshot(before, true, plainReplica("kept", 1), plainReplica("gone", 1)))
+	watcher.Apply(snapshot(before, true, plainReplica("kept", 1), plainReplica("gone", 1)))
 	follower = catalog.NewContent()
-	follower.Take(watcher.Since(0).Update())
-	watcher.Take(catalog.Update{
+	follower.Apply(watcher.ChangesSince(0).Update())
+	watcher.Apply(catalog.Update{
 		Changes: []catalog.Change{{
 			Revision: removed,
-			Gone:     "gone",
+			Removed:  "gone",
 		}},
 		Revision: upTo,
 		Settled:  settled,
@@ -52,7 +52,7 @@
 	is := is.New(t)
 	const before, removed, read = 10, 11, 12
 	watcher, follower := unsentRemoval(before, removed, read, true)
-	follower.Take(snapshot(read, false, plainReplica("kept", 1)))
-	follower.Take(watcher.Since(follower.Revision()).Update())
+	follower.Apply(snapshot(read, false, plainReplica("kept", 1)))
+	follower.Apply(watcher.ChangesSince(follower.Revision()).Update())
 	is.Equal(len(follower.Replicas()), 1)
 }
--- a/catalog/news_fuzz_test.go
+++ b/catalog/news_fuzz_test.go
@@ -19,20 +19,20 @@
 		f.Add([]byte(data))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var news catalog.News
+		var news catalog.ChangeSet
 		if json.Unmarshal(data, &news) != nil {
 			return
 		}
 		c := catalog.NewContent()
-		c.Take(snapshot(5, true, startedReplica("a", 50, 2), plainReplica("b", 1)))
-		c.Take(news.Update())
-		c.Settle()
+		c.Apply(snapshot(5, true, startedReplica("a", 50, 2), plainReplica("b", 1)))
+		c.Apply(news.Update())
+		c.ConfirmRemovals()
 		for _, r := range c.Replicas() {
-			if r.ID == "" || r.Addr == "" || r.Born < 0 || r.Born > catalog.MaxBorn {
+			if r.ID == "" || r.Addr == "" || r.StartedAt < 0 || r.StartedAt > catalog.MaxStartedAt {
 				t.Fatalf("%+v", r)
 			}
 		}
-		overTheWire(t, c.Since(0))
-		overTheWire(t, c.Since(news.Revision))
+		overTheWire(t, c.ChangesSince(0))
+		overTheWire(t, c.ChangesSince(news.Revision))
 	})
 }
--- a/catalog/organisation.go
+++ b/catalog/organisation.go
@@ -50,10 +50,10 @@
 
 // Quota bounds the use by an organisation's requests over all boxes.
 type Quota struct {
-	PerSecond float64 `json:"per_second,omitempty"` // units; 0 for no bound
-	Burst     float64 `json:"burst,omitempty"`      // additional units
-	Unit      Unit    `json:"unit,omitempty"`
-	Plain     float64 `json:"plain,omitempty"` // cost of a request without its own token count
+	PerSecond     float64 `json:"per_second,omitempty"` // units; 0 for no bound
+	Burst         float64 `json:"burst,omitempty"`      // additional units
+	Unit          Unit    `json:"unit,omitempty"`
+	DefaultTokens float64 `json:"plain,omitempty"` // cost of a request without its own token count
 }
 
 // Bounded reports whether there is a bound.
@@ -85,7 +85,7 @@
 		return errors.Newf("organisation %.60q: a name of %d bytes", o.Name, len(o.Name))
 	case !fitsHeader(o.Name):
 		return errors.Newf("organisation %.60q: a name that no header can hold", o.Name)
-	case !(o.Quota.PerSecond >= 0) || !(o.Quota.Burst >= 0) || !(o.Quota.Plain >= 0):
+	case !(o.Quota.PerSecond >= 0) || !(o.Quota.Burst >= 0) || !(o.Quota.DefaultTokens >= 0):
 		return errors.Newf("organisation %q: a quota below zero", o.Name)
 	case o.Quota.Unit != Requests && o.Quota.Unit != Tokens:
 		return errors.Newf("organisation %q: unknown unit %q", o.Name, o.Quota.Unit)
@@ -139,9 +139,9 @@
 // Quotas reports whether any organisation has a quota.
 func (t *Table) Quotas() bool { return t.quotas }
 
-// For returns the route for the requests of an organisation, nil for none: their data may
-// enter only regions that both the route and the organisation allow.
-func (r *Route) For(o *Organisation) *Route {
+// ForOrganisation returns the route for the requests of an organisation, nil for none: their
+// data may enter only regions that both the route and the organisation allow.
+func (r *Route) ForOrganisation(o *Organisation) *Route {
 	if o == nil || len(o.Homes) == 0 {
 		return r
 	}
@@ -150,6 +150,6 @@
 	if len(r.Homes) > 0 {
 		out.Homes = slices.DeleteFunc(slices.Clone(r.Homes), func(region string) bool { return !slices.Contains(o.Homes, region) })
 	}
-	out.Nowhere = r.Nowhere || len(out.Homes) == 0
+	out.NoRegion = r.NoRegion || len(out.Homes) == 0
 	return &out
 }
--- a/catalog/organisation_test.go
+++ b/catalog/organisation_test.go
@@ -70,10 +70,10 @@
 			return len(list) == 0
 		}
 		for _, region := range []string{"a", "b", "c", "d"} {
-			if got, want := r.For(&o).Allows(region), isHome(r.Homes, region) && isHome(o.Homes, region); got != want {
+			if got, want := r.ForOrganisation(&o).Allows(region), isHome(r.Homes, region) && isHome(o.Homes, region); got != want {
 				t.Fatalf("region %s: allowed is %t, want %t", region, got, want)
 			}
-			if r.For(nil).Allows(region) != isHome(r.Homes, region) {
+			if r.ForOrganisation(nil).Allows(region) != isHome(r.Homes, region) {
 				t.Fatalf("region %s without an organisation", region)
 			}
 		}
--- a/catalog/policies.go
+++ b/catalog/policies.go
@@ -44,13 +44,13 @@
 // Policies returns some recent policies, the newest last. They must not be changed.
 func (c *Content) Policies() []*Policy { return c.policies.list }
 
-// HeardOfPolicy records that a version of the policy exists.
-func (c *Content) HeardOfPolicy(version int) {
+// RecordPolicyVersion records that a version of the policy exists.
+func (c *Content) RecordPolicyVersion(version int) {
 	c.policies.announced = max(c.policies.announced, version)
 }
 
-// PolicyDue returns the version of a reported policy that is missing here, 0 for none.
-func (c *Content) PolicyDue() int {
+// MissingPolicyVersion returns the version of a reported policy that is missing here, 0 for none.
+func (c *Content) MissingPolicyVersion() int {
 	if p := c.Policy(); p != nil && p.Version >= c.policies.announced {
 		return 0
 	}
@@ -59,7 +59,7 @@
 
 // newestPolicyVersion returns the newest version of a policy that is recorded or reported.
 func (c *Content) newestPolicyVersion() int {
-	if due := c.PolicyDue(); due > 0 {
+	if due := c.MissingPolicyVersion(); due > 0 {
 		return due
 	}
 	if p := c.Policy(); p != nil {
--- a/catalog/policy.go
+++ b/catalog/policy.go
@@ -40,20 +40,20 @@
 
 // Route is a rule for requests with a host and a path prefix.
 type Route struct {
-	Name      string   `json:"name"`
-	Host      string   `json:"host"`
-	Prefix    string   `json:"prefix"` // begins and ends with a slash
-	Kind      Kind     `json:"kind"`
-	Attempts  int      `json:"attempts"`          // maximum number of attempts on different replicas
-	Timeout   Millis   `json:"timeout_ms"`        // until the response is complete
-	Goal      Millis   `json:"goal_ms"`           // target of the time to the response, or to a stream's first event
-	GapGoal   Millis   `json:"gap_goal_ms"`       // target of the maximum gap between events; 0 for none
-	Priority  int      `json:"priority"`          // 0 is the most urgent
-	Shares    []Share  `json:"shares"`            // services that run it
-	Resumable bool     `json:"resumable"`         // a stream can be resumed on another replica after an event
-	Homes     []string `json:"homes,omitempty"`   // regions that its data may enter; empty for all
-	Nowhere   bool     `json:"nowhere,omitempty"` // no region may process its data
-	Public    bool     `json:"public,omitempty"`  // its requests need no key
+	Name          string   `json:"name"`
+	Host          string   `json:"host"`
+	Prefix        string   `json:"prefix"` // begins and ends with a slash
+	Kind          Kind     `json:"kind"`
+	Attempts      int      `json:"attempts"`          // maximum number of attempts on different replicas
+	Timeout       Millis   `json:"timeout_ms"`        // until the response is complete
+	LatencyTarget Millis   `json:"goal_ms"`           // target of the time to the response, or to a stream's first event
+	GapTarget     Millis   `json:"gap_goal_ms"`       // target of the maximum gap between events; 0 for none
+	Priority      int      `json:"priority"`          // 0 is the most urgent
+	Shares        []Share  `json:"shares"`            // services that run it
+	Resumable     bool     `json:"resumable"`         // a stream can be resumed on another replica after an event
+	Homes         []string `json:"homes,omitempty"`   // regions that its data may enter; empty for all
+	NoRegion      bool     `json:"nowhere,omitempty"` // no region may process its data
+	Public        bool     `json:"public,omitempty"`  // its requests need no key
 }
 
 // Repeatable reports whether a request may run again when its outcome is unknown.
@@ -64,7 +64,7 @@
 // Allows reports whether the route's data may be processed in a region. All residency
 // decisions are made here.
 func (r *Route) Allows(region string) bool {
-	return !r.Nowhere && (len(r.Homes) == 0 || slices.Contains(r.Homes, region))
+	return !r.NoRegion && (len(r.Homes) == 0 || slices.Contains(r.Homes, region))
 }
 
 // Service returns the service that runs the request of an id. The choice depends on the id
@@ -111,11 +111,11 @@
 
 // Engine describes the replicas of a model service.
 type Engine struct {
-	Slots      int     `json:"slots"`                 // concurrent requests
-	Memory     int     `json:"memory"`                // tokens, shared by running requests and cached prompts
-	TokenBytes int     `json:"token_bytes,omitempty"` // bytes of memory per token
-	LinkMbps   float64 `json:"link_mbps,omitempty"`   // bandwidth between two replicas, in Mbit/s; 0 for none
-	Copies     bool    `json:"copies,omitempty"`      // replicas copy their caches to each other
+	Slots       int     `json:"slots"`                 // concurrent requests
+	Memory      int     `json:"memory"`                // tokens, shared by running requests and cached prompts
+	TokenBytes  int     `json:"token_bytes,omitempty"` // bytes of memory per token
+	LinkMbps    float64 `json:"link_mbps,omitempty"`   // bandwidth between two replicas, in Mbit/s; 0 for none
+	CopiesCache bool    `json:"copies,omitempty"`      // replicas copy their caches to each other
 }
 
 // Service is a group of replicas that run the same requests.
@@ -225,20 +225,20 @@
 	return nil, false
 }
 
-// HomeOfAll reports whether some routes of a host are bound to regions and all routes allow
+// AllowsAllRoutes reports whether some routes of a host are bound to regions and all routes allow
 // this one.
-func (t *Table) HomeOfAll(host, region string) bool {
+func (t *Table) AllowsAllRoutes(host, region string) bool {
 	barred := func(r *Route) bool { return !r.Allows(region) }
-	return t.Bound(host) && !slices.ContainsFunc(t.byHost[hostName(host)], barred)
+	return t.IsRegionBound(host) && !slices.ContainsFunc(t.byHost[hostName(host)], barred)
 }
 
-// Bound reports whether any route of a host is bound to regions.
-func (t *Table) Bound(host string) bool {
+// IsRegionBound reports whether any route of a host is bound to regions.
+func (t *Table) IsRegionBound(host string) bool {
 	return slices.ContainsFunc(t.byHost[hostName(host)], func(r *Route) bool { return len(r.Homes) > 0 })
 }
 
-// Homes returns the routes of a host that are bound to regions.
-func (t *Table) Homes(host string) []*Route {
+// RegionBoundRoutes returns the routes of a host that are bound to regions.
+func (t *Table) RegionBoundRoutes(host string) []*Route {
 	var out []*Route
 	for _, r := range t.byHost[hostName(host)] {
 		if len(r.Homes) > 0 {
--- a/catalog/publisher_test.go
+++ b/catalog/publisher_test.go
@@ -75,11 +75,11 @@
 		ch.Replica = &r
 		p.replicas[r.ID] = r
 		delete(p.unusable, r.ID)
-	case ch.Gone != "":
-		delete(p.replicas, ch.Gone)
-		delete(p.unusable, ch.Gone)
+	case ch.Removed != "":
+		delete(p.replicas, ch.Removed)
+		delete(p.unusable, ch.Removed)
 		if ch.Unusable {
-			p.unusable[ch.Gone] = true
+			p.unusable[ch.Removed] = true
 		}
 	case ch.Evacuated != "":
 		p.evacuated[ch.Evacuated] = true
@@ -99,7 +99,7 @@
 
 func (p *publisher) drop(id string) int64 {
 	return p.change(catalog.Change{
-		Gone: id,
+		Removed: id,
 	})
 }
 
@@ -247,7 +247,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	rev, policy := f.content.Revision(), f.content.Policy()
-	f.content.Take(u)
+	f.content.Apply(u)
 	if f.wrong == "" && f.content.Revision() < rev {
 		f.wrong = "the revision decreased"
 	}
--- a/catalog/reread.go
+++ b/catalog/reread.go
@@ -106,14 +106,14 @@
 	return d.untilSettled(out)
 }
 
-// keepAlive calls Keep at intervals while this box reads too rarely for the source's history.
-// The next read reports failures.
+// keepAlive calls KeepAlive at intervals while this box reads too rarely for the source's
+// history. The next read reports failures.
 func (d *Feed) keepAlive(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep.For(ctx, d.jittered(keepAliveInterval))
 		replicas := d.replicaCount()
 		if ctx.Err() == nil && replicas <= maxKeepAlive && (d.isFollower() || d.isLarge(replicas)) {
-			_ = d.source.Keep(ctx)
+			_ = d.source.KeepAlive(ctx)
 		}
 	}
 }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -13,17 +13,17 @@
 
 // Replica is one process of a service, as published.
 type Replica struct {
-	ID       string `json:"id"`             // of its entry, and the one it identifies itself with
-	Born     int64  `json:"born,omitempty"` // start time of its process, in Unix milliseconds; 0 if unknown
-	Service  string `json:"service"`
-	Addr     string `json:"addr"`
-	Domain   string `json:"failure_domain"`
-	Region   string `json:"region"`
-	Slots    int    `json:"slots"`
-	Leaving  bool   `json:"leaving,omitempty"`
-	ColdLeft Millis `json:"cold_left_ms,omitempty"` // remaining cold time when this was published
-	Revision int64  `json:"revision"`               // of its last change
-	Told     bool   `json:"told,omitempty"`         // this incarnation was reported by the replica itself and is not published yet
+	ID            string `json:"id"`             // of its entry, and the one it identifies itself with
+	StartedAt     int64  `json:"born,omitempty"` // start time of its process, in Unix milliseconds; 0 if unknown
+	Service       string `json:"service"`
+	Addr          string `json:"addr"`
+	Domain        string `json:"failure_domain"`
+	Region        string `json:"region"`
+	Slots         int    `json:"slots"`
+	Leaving       bool   `json:"leaving,omitempty"`
+	ColdRemaining Millis `json:"cold_left_ms,omitempty"` // remaining cold time when this was published
+	Revision      int64  `json:"revision"`               // of its last change
+	SelfReported  bool   `json:"told,omitempty"`         // this incarnation was reported by the replica itself and is not published yet
 }
 
 // UnmarshalJSON decodes and validates a replica.
@@ -37,8 +37,8 @@
 	if r.ID == "" || r.Addr == "" || r.Service == "" {
 		return errors.Newf("replica %q: id, address and service are required", r.ID)
 	}
-	if r.Born < 0 || r.Born > MaxBorn {
-		return errors.Newf("replica %q: invalid start time %d", r.ID, r.Born)
+	if r.StartedAt < 0 || r.StartedAt > MaxStartedAt {
+		return errors.Newf("replica %q: invalid start time %d", r.ID, r.StartedAt)
 	}
 	return nil
 }
@@ -46,12 +46,12 @@
 // Snapshot is the full published state at one revision. Of two snapshots the one with the
 // higher revision is the newer.
 type Snapshot struct {
-	Revision  int64     `json:"revision"`
-	Policy    *Policy   `json:"policy,omitempty"` // nil if none is published yet
-	Replicas  []Replica `json:"replicas"`
-	Evacuated []string  `json:"evacuated"` // failure domains
-	Unusable  []string  `json:"-"`         // ids of entries that describe no replica
-	PolicyAt  time.Time `json:"-"`         // time at which the policy is known to be the newest, on the reading box's clock; zero if unknown
+	Revision          int64     `json:"revision"`
+	Policy            *Policy   `json:"policy,omitempty"` // nil if none is published yet
+	Replicas          []Replica `json:"replicas"`
+	Evacuated         []string  `json:"evacuated"` // failure domains
+	Unusable          []string  `json:"-"`         // ids of entries that describe no replica
+	PolicyConfirmedAt time.Time `json:"-"`         // time at which the policy is known to be the newest, on the reading box's clock; zero if unknown
 }
 
 // Content is a box's copy of the published state.
@@ -124,16 +124,16 @@
 // Evacuated returns the evacuated failure domains, sorted.
 func (c *Content) Evacuated() []string { return slices.Sorted(maps.Keys(c.evacuated)) }
 
-// Take applies an update. It returns false for a snapshot older than the copy. A policy never
+// Apply applies an update. It returns false for a snapshot older than the copy. A policy never
 // replaces one with a higher version. While the feed isn't settled, missing replicas stay as
 // unconfirmed removals.
-func (c *Content) Take(u Update) bool {
-	c.HeardOfPolicy(u.Policy)
+func (c *Content) Apply(u Update) bool {
+	c.RecordPolicyVersion(u.PolicyVersion)
 	if u.Snapshot == nil {
 		for _, ch := range u.Changes {
 			c.apply(ch, u)
 		}
-		c.mergeUnconfirmed(u.Doubts)
+		c.mergeUnconfirmed(u.UnconfirmedRemovals)
 		c.setNewest(max(c.newest, u.Revision))
 		return true
 	}
@@ -142,7 +142,7 @@
 		return false
 	}
 	c.replace(*u.Snapshot, u)
-	c.mergeUnconfirmed(u.Doubts)
+	c.mergeUnconfirmed(u.UnconfirmedRemovals)
 	return true
 }
 
@@ -193,7 +193,7 @@
 }
 
 func (c *Content) removeMissing(id string, revision int64) {
-	wasUnconfirmed := c.InDoubt(id)
+	wasUnconfirmed := c.IsUnconfirmed(id)
 	c.drop(id)
 	if wasUnconfirmed {
 		c.history.confirmRemoval(id, revision, len(c.replicas))
@@ -225,12 +225,12 @@
 		c.policies.add(ch.Policy)
 	case ch.Replica != nil && ch.Replica.replaces(c.replicas[ch.Replica.ID]) && !c.history.isRemoved(*ch.Replica):
 		c.put(*ch.Replica)
-	case ch.Unusable && c.replicas[ch.Gone].ID == "": // the entry never described a replica
-	case ch.Gone != "" && !u.Settled && !ch.Unusable:
-		c.markUnconfirmed(ch.Gone, ch.Revision, u.unconfirmedTimeout())
-	case ch.Gone != "" && ch.Revision >= c.replicas[ch.Gone].Revision:
-		c.drop(ch.Gone)
-		c.history.recordRemoval(ch.Gone, ch.Revision, len(c.replicas))
+	case ch.Unusable && c.replicas[ch.Removed].ID == "": // the entry never described a replica
+	case ch.Removed != "" && !u.Settled && !ch.Unusable:
+		c.markUnconfirmed(ch.Removed, ch.Revision, u.unconfirmedTimeout())
+	case ch.Removed != "" && ch.Revision >= c.replicas[ch.Removed].Revision:
+		c.drop(ch.Removed)
+		c.history.recordRemoval(ch.Removed, ch.Revision, len(c.replicas))
 	case ch.Evacuated != "" && ch.Revision > c.read:
 		c.evacuated[ch.Evacuated] = true
 		c.history.recordEvacuation(ch.Evacuated, true, ch.Revision)
--- a/catalog/snapshot_test.go
+++ b/catalog/snapshot_test.go
@@ -50,9 +50,9 @@
 	return out
 }
 
-func ExampleContent_Take() {
+func ExampleContent_Apply() {
 	c := catalog.NewContent()
-	c.Take(catalog.Update{
+	c.Apply(catalog.Update{
 		Snapshot: &catalog.Snapshot{
 			Revision:  4,
 			Replicas:  []catalog.Replica{plainReplica("b", 3), plainReplica("a", 4)},
@@ -61,9 +61,9 @@
 		Revision: 4,
 		Settled:  true,
 	})
-	c.Take(changed(5, true, catalog.Change{
+	c.Apply(changed(5, true, catalog.Change{
 		Revision: 5,
-		Gone:     "b",
+		Removed:  "b",
 	}))
 	fmt.Println(c.Revision(), replicaIDs(c), c.Evacuated())
 	// Output: 5 [a] [hall]
@@ -72,24 +72,24 @@
 func TestAnOlderSnapshotIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
-	is.True(c.Take(snapshot(5, true, plainReplica("a", 5))))
-	is.True(!c.Take(snapshot(4, true, plainReplica("b", 4))))
+	is.True(c.Apply(snapshot(5, true, plainReplica("a", 5))))
+	is.True(!c.Apply(snapshot(4, true, plainReplica("b", 4))))
 	is.Equal(replicaIDs(c), []string{"a"})
 	is.Equal(c.Revision(), int64(5))
-	is.True(c.Take(snapshot(5, true, plainReplica("a", 5), plainReplica("b", 4)))) // at the same revision
+	is.True(c.Apply(snapshot(5, true, plainReplica("a", 5), plainReplica("b", 4)))) // at the same revision
 	is.Equal(replicaIDs(c), []string{"a", "b"})
 }
 
 func TestASnapshotOlderThanChangesIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
-	c.Take(snapshot(1, true))
+	c.Apply(snapshot(1, true))
 	r := plainReplica("a", 3)
-	c.Take(changed(3, true, catalog.Change{
+	c.Apply(changed(3, true, catalog.Change{
 		Revision: 3,
 		Replica:  &r,
 	}))
-	is.True(!c.Take(snapshot(2, true)))
+	is.True(!c.Apply(snapshot(2, true)))
 	is.Equal(replicaIDs(c), []string{"a"})
 }
 
@@ -99,9 +99,9 @@
 	c := catalog.NewContent()
 	leaving := plainReplica("a", 7)
 	leaving.Leaving = true
-	c.Take(snapshot(7, true, leaving))
+	c.Apply(snapshot(7, true, leaving))
 	ready := plainReplica("a", 6)
-	c.Take(changed(6, true, catalog.Change{
+	c.Apply(changed(6, true, catalog.Change{
 		Revision: 6,
 		Replica:  &ready,
 	}))
@@ -116,19 +116,19 @@
 	take := func(rev int64, p *catalog.Policy) {
 		u := snapshot(rev, true)
 		u.Snapshot.Policy = p
-		is.True(c.Take(u))
+		is.True(c.Apply(u))
 	}
 	take(1, plainPolicy(3))
 	take(2, plainPolicy(2))
 	is.Equal(c.Policy().Version, 3)
 	take(3, nil)
 	is.Equal(c.Policy().Version, 3)
-	c.Take(changed(4, true, catalog.Change{
+	c.Apply(changed(4, true, catalog.Change{
 		Revision: 4,
 		Policy:   plainPolicy(1),
 	}))
 	is.Equal(c.Policy().Version, 3)
-	c.Take(changed(5, true, catalog.Change{
+	c.Apply(changed(5, true, catalog.Change{
 		Revision: 5,
 		Policy:   plainPolicy(4),
 	}))
@@ -139,26 +139,26 @@
 func TestMissingReplicasStayUntilTheFeedIsSettled(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
-	c.Take(snapshot(1, true, plainReplica("a", 1), plainReplica("b", 1)))
-	is.True(c.Take(snapshot(2, false, plainReplica("c", 2))))
+	c.Apply(snapshot(1, true, plainReplica("a", 1), plainReplica("b", 1)))
+	is.True(c.Apply(snapshot(2, false, plainReplica("c", 2))))
 	is.Equal(replicaIDs(c), []string{"a", "b", "c"})
-	c.Take(changed(3, false, catalog.Change{
+	c.Apply(changed(3, false, catalog.Change{
 		Revision: 3,
-		Gone:     "a",
+		Removed:  "a",
 	}))
 	is.Equal(replicaIDs(c), []string{"a", "b", "c"})
 	b := plainReplica("b", 4)
 	b.Leaving = true
-	c.Take(changed(4, false, catalog.Change{
+	c.Apply(changed(4, false, catalog.Change{
 		Revision: 4,
 		Replica:  &b,
 	}))
 	is.True(c.Replicas()[1].Leaving) // published changes are applied all the same
-	c.Take(snapshot(5, true, b))
+	c.Apply(snapshot(5, true, b))
 	is.Equal(replicaIDs(c), []string{"b"})
-	c.Take(changed(6, true, catalog.Change{
+	c.Apply(changed(6, true, catalog.Change{
 		Revision: 6,
-		Gone:     "b",
+		Removed:  "b",
 	}))
 	is.Equal(replicaIDs(c), []string{})
 }
@@ -166,7 +166,7 @@
 func TestEvacuationsBeginAndEnd(t *testing.T) {
 	is := is.New(t)
 	c := catalog.NewContent()
-	c.Take(changed(2, true, catalog.Change{
+	c.Apply(changed(2, true, catalog.Change{
 		Revision:  1,
 		Evacuated: "hall",
 	}, catalog.Change{
@@ -174,16 +174,16 @@
 		Evacuated: "attic",
 	}))
 	is.Equal(c.Evacuated(), []string{"attic", "hall"})
-	c.Take(changed(3, false, catalog.Change{
+	c.Apply(changed(3, false, catalog.Change{
 		Revision:    3,
 		Unevacuated: "attic",
 	}))
 	is.Equal(c.Evacuated(), []string{"hall"})
 	u := snapshot(4, false)
 	u.Snapshot.Evacuated = []string{"cellar"}
-	c.Take(u)
+	c.Apply(u)
 	is.Equal(c.Evacuated(), []string{"cellar"})
-	c.Take(snapshot(5, true))
+	c.Apply(snapshot(5, true))
 	is.Equal(len(c.Evacuated()), 0)
 }
 
@@ -195,7 +195,7 @@
 			if c.Policy() != nil {
 				version = c.Policy().Version
 			}
-			c.Take(anyUpdate(t))
+			c.Apply(anyUpdate(t))
 			s := c.Snapshot()
 			switch {
 			case c.Revision() < rev:
@@ -234,7 +234,7 @@
 	case 3:
 		return changed(rev, settled, catalog.Change{
 			Revision: rev,
-			Gone:     id,
+			Removed:  id,
 		})
 	case 4:
 		return changed(rev, settled, catalog.Change{
--- a/commands/box.go
+++ b/commands/box.go
@@ -50,7 +50,7 @@
 		return Fail(err)
 	}
 	if c.metrics != "" {
-		settings.Metrics = net.JoinHostPort(settings.IP, c.metrics)
+		settings.MetricsAddr = net.JoinHostPort(settings.IP, c.metrics)
 	}
 	n, err := node.New(settings, adapter, node.WithOutput(os.Stdout))
 	if err != nil {
@@ -70,6 +70,6 @@
 			n.Reload()
 			continue
 		}
-		n.Leave()
+		n.Drain()
 	}
 }
--- a/exchange/activity.go
+++ b/exchange/activity.go
@@ -43,7 +43,7 @@
 	return h.last.at
 }
 
-// Heard returns when bytes were last received from, or a connection was last established
-// to, any address but excluded; zero for never. It distinguishes a failed server from a
-// failed link of this box.
-func (p *Pool) Heard(excluded string) time.Time { return p.activity.lastExcept(excluded) }
+// LastActivityExcept returns when bytes were last received from, or a connection was last
+// established to, any address but excluded; zero for never. It distinguishes a failed server
+// from a failed link of this box.
+func (p *Pool) LastActivityExcept(excluded string) time.Time { return p.activity.lastExcept(excluded) }
--- a/exchange/activity_test.go
+++ b/exchange/activity_test.go
@@ -21,24 +21,24 @@
 	})
 	other := newServer(t, respondWith(okResponse))
 	p := newTestPool(t)
-	is.True(p.Heard("").IsZero())
+	is.True(p.LastActivityExcept("").IsZero())
 	start := time.Now()
 	a, err := p.Do(t.Context(), get(s.addr))
 	is.NoErr(err)
-	head := p.Heard("")
+	head := p.LastActivityExcept("")
 	is.True(head.After(start))
-	is.True(p.Heard(s.addr).IsZero()) // no other address
+	is.True(p.LastActivityExcept(s.addr).IsZero()) // no other address
 
-	is.NoErr(p.Reach(t.Context(), other.addr, time.Second))
-	connected := p.Heard(s.addr)
+	is.NoErr(p.Probe(t.Context(), other.addr, time.Second))
+	connected := p.LastActivityExcept(s.addr)
 	is.True(connected.After(head)) // a new connection counts
-	is.Equal(p.Heard(other.addr), head)
+	is.Equal(p.LastActivityExcept(other.addr), head)
 
 	more <- struct{}{}
 	_, err = io.ReadFull(a, make([]byte, 2))
 	is.NoErr(err)
-	is.True(p.Heard(other.addr).After(connected)) // bytes of a body
-	is.Equal(p.Heard(s.addr), connected)
+	is.True(p.LastActivityExcept(other.addr).After(connected)) // bytes of a body
+	is.Equal(p.LastActivityExcept(s.addr), connected)
 	is.NoErr(a.Close())
 }
 
@@ -58,7 +58,7 @@
 	})
 	req := get(s.addr)
 	var unread func() bool
-	req.Begin = func(f func() bool) { unread = f }
+	req.OnWrite = func(f func() bool) { unread = f }
 	a, err := newTestPool(t).Do(t.Context(), req)
 	is.NoErr(err)
 	is.True(!unread())
--- a/exchange/answer.go
+++ b/exchange/answer.go
@@ -17,8 +17,8 @@
 
 var errReadClosed = errors.New("exchange: read from a closed response")
 
-// Answer is a response whose header has been read. It is not safe for concurrent use.
-type Answer struct {
+// Response is a response whose header has been read. It is not safe for concurrent use.
+type Response struct {
 	ctx            context.Context
 	stop           func() bool // stops watching ctx; returns false if ctx has ended
 	conn           *conn
@@ -31,8 +31,8 @@
 	closed         bool
 }
 
-func newResponse(ctx context.Context, stop func() bool, req *Request, c *conn, rw *requestWrite, resp *http.Response) *Answer {
-	a := &Answer{
+func newResponse(ctx context.Context, stop func() bool, req *Request, c *conn, rw *requestWrite, resp *http.Response) *Response {
+	a := &Response{
 		ctx:            ctx,
 		stop:           stop,
 		conn:           c,
@@ -49,33 +49,33 @@
 }
 
 // Status returns the status code.
-func (a *Answer) Status() int {
+func (a *Response) Status() int {
 	return a.resp.StatusCode
 }
 
 // Header returns the header fields as received, without Transfer-Encoding and Trailer.
-func (a *Answer) Header() http.Header {
+func (a *Response) Header() http.Header {
 	return a.resp.Header
 }
 
-// Framed returns the Content-Length, -1 if absent, and whether the body is chunked.
+// BodyLength returns the Content-Length, -1 if absent, and whether the body is chunked.
 // With neither, the body ends with the connection. For HEAD both describe the omitted body.
-func (a *Answer) Framed() (length int64, chunked bool) {
+func (a *Response) BodyLength() (length int64, chunked bool) {
 	return a.resp.ContentLength, len(a.resp.TransferEncoding) > 0
 }
 
 // Reused reports whether the connection has carried an earlier request.
-func (a *Answer) Reused() bool {
+func (a *Response) Reused() bool {
 	return a.reused
 }
 
-// LimitUnacked sets the TCP user timeout of the connection for the rest of the response.
-// It is meant for pools without WithBusyTimeout.
-func (a *Answer) LimitUnacked(d time.Duration) { a.conn.setConnTimeout(d) }
+// SetUserTimeout sets the TCP user timeout of the connection for the rest of the response.
+// It is meant for pools without WithBusyUserTimeout.
+func (a *Response) SetUserTimeout(d time.Duration) { a.conn.setConnTimeout(d) }
 
 // Read reads the body. It returns io.EOF only if the body is complete, the context's
 // error once the context has ended, and another error if the connection breaks.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	if a.err != nil {
 		return 0, a.err
 	}
@@ -98,7 +98,7 @@
 }
 
 // fail closes the connection; further reads return err.
-func (a *Answer) fail(err error) error {
+func (a *Response) fail(err error) error {
 	a.err = err
 	a.conn.close()
 	return err
@@ -107,8 +107,8 @@
 // truncated reports whether a body that ends with the connection was cut off by a reset.
 // The kernel reports a reset only once; if the writer received it, the reader sees a
 // regular EOF.
-func (a *Answer) truncated() bool {
-	length, chunked := a.Framed()
+func (a *Response) truncated() bool {
+	length, chunked := a.BodyLength()
 	if length >= 0 || chunked {
 		return false
 	}
@@ -119,7 +119,7 @@
 
 // Close ends the exchange. The connection returns to the pool if both the request and
 // the response are complete; otherwise it is closed. Close always returns nil.
-func (a *Answer) Close() error {
+func (a *Response) Close() error {
 	if a.closed {
 		return nil
 	}
@@ -138,12 +138,12 @@
 }
 
 // reusable reports whether the connection can carry another request.
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	return a.complete && a.write.succeeded() && !a.closeRequested && !a.resp.Close && a.conn.reader.Buffered() == 0
 }
 
 // maxIdle returns how long the connection may stay idle.
-func (a *Answer) maxIdle() time.Duration {
+func (a *Response) maxIdle() time.Duration {
 	maxIdle := a.conn.pool.idleTime
 	if timeout, ok := keepAliveTimeout(a.resp.Header); ok {
 		maxIdle = min(maxIdle, timeout-idleMargin)
--- a/exchange/answer_test.go
+++ b/exchange/answer_test.go
@@ -58,7 +58,7 @@
 			_, again := a.Read(make([]byte, 1))
 			is.Equal(again == io.EOF, tc.ok)
 			is.NoErr(a.Close())
-			is.Equal(a.conn.pool.Open(s.addr) == 1, tc.name == "length" || tc.name == "chunks")
+			is.Equal(a.conn.pool.OpenConns(s.addr) == 1, tc.name == "length" || tc.name == "chunks")
 		})
 	}
 }
@@ -151,7 +151,7 @@
 	a, body, err := fetch(p, req)
 	is.NoErr(err)
 	is.Equal(body, "ok")
-	is.Equal(p.Open(s.addr), 0)
+	is.Equal(p.OpenConns(s.addr), 0)
 	<-a.write.done // the write ends though the server keeps the connection open
 	close(gone)
 }
@@ -195,7 +195,7 @@
 		_, err := p.Do(t.Context(), req)
 		sent, stage := errorDetails(t, err)
 		is.Equal(sent, true)
-		is.Equal(stage, Response)
+		is.Equal(stage, StageResponse)
 		is.Equal(time.Since(start), responseGrace)
 	})
 }
@@ -225,11 +225,11 @@
 			for range 2 {
 				a, err := p.Do(t.Context(), req)
 				is.NoErr(err)
-				length, chunked := a.Framed()
+				length, chunked := a.BodyLength()
 				is.Equal(length, tc.length)
 				is.Equal(chunked, tc.chunked)
 				is.NoErr(a.Close())
-				is.Equal(p.Open(s.addr), 1) // idle, though nothing was read
+				is.Equal(p.OpenConns(s.addr), 1) // idle, though nothing was read
 				_, err = a.Read(make([]byte, 1))
 				is.Equal(err, io.EOF)
 			}
@@ -263,7 +263,7 @@
 			}
 			sent, stage := errorDetails(t, err)
 			is.Equal(sent, true)
-			is.Equal(stage, Response)
+			is.Equal(stage, StageResponse)
 		})
 	}
 }
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -108,23 +108,23 @@
 	for range maxInformational {
 		resp, err := c.readHeader(req.Method)
 		if err != nil {
-			return nil, Response, err
+			return nil, StageResponse, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, Response, errProtocolSwitch
+			return nil, StageResponse, errProtocolSwitch
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if req.Owns == nil || req.Owns(resp.Header) {
-			return resp, Response, nil
+		if req.Matches == nil || req.Matches(resp.Header) {
+			return resp, StageResponse, nil
 		}
 		if discarded || !c.discardBody(resp) {
-			return nil, Crossed, errMismatch
+			return nil, StageMismatch, errMismatch
 		}
 		discarded = true
 	}
-	return nil, Response, errTooManyInformational
+	return nil, StageResponse, errTooManyInformational
 }
 
 func (c *conn) readHeader(method string) (*http.Response, error) {
--- a/exchange/errors.go
+++ b/exchange/errors.go
@@ -9,22 +9,22 @@
 
 // The stages of an exchange.
 const (
-	Dial     Stage = iota // no connection could be established
-	Write                 // the request could not be written
-	Response              // no complete response header was received
-	Crossed               // the response belongs to another request
+	StageDial     Stage = iota // no connection could be established
+	StageWrite                 // the request could not be written
+	StageResponse              // no complete response header was received
+	StageMismatch              // the response belongs to another request
 )
 
 // String returns the name of the stage.
 func (s Stage) String() string {
 	switch s {
-	case Dial:
+	case StageDial:
 		return "dial"
-	case Write:
+	case StageWrite:
 		return "write"
-	case Response:
+	case StageResponse:
 		return "response"
-	case Crossed:
+	case StageMismatch:
 		return "crossed"
 	}
 	return fmt.Sprintf("stage %d", int(s))
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -38,14 +38,14 @@
 	Header http.Header // sent as is, without a default User-Agent
 	Body   []byte
 
-	// Owns reports whether a response with these header fields belongs to this request.
+	// Matches reports whether a response with these header fields belongs to this request.
 	// If nil, every response does.
-	Owns func(h http.Header) bool
+	Matches func(h http.Header) bool
 
-	// Begin, if not nil, is called before each write of the request to a connection, so
+	// OnWrite, if not nil, is called before each write of the request to a connection, so
 	// twice on a retry. unread reports whether the connection has received bytes that are
 	// not read yet; it may be called until Do has failed or the response is closed.
-	Begin func(unread func() bool)
+	OnWrite func(unread func() bool)
 
 	DialTimeout time.Duration // 500 ms when 0
 }
@@ -100,16 +100,16 @@
 // Do sends the request and returns once the response header is read. The caller must
 // close the response. Errors are of type *Error. The end of ctx closes the connection,
 // also while the body is read.
-func (p *Pool) Do(ctx context.Context, req Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, req Request) (*Response, error) {
 	if err := req.prepare(); err != nil {
 		return nil, &Error{
-			stage: Write,
+			stage: StageWrite,
 			err:   err,
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, &Error{
-			stage: Dial,
+			stage: StageDial,
 			err:   err,
 		}
 	}
@@ -126,7 +126,7 @@
 	c, err := p.connect(ctx, &req)
 	if err != nil {
 		return nil, &Error{
-			stage: Dial,
+			stage: StageDial,
 			err:   contextErrOr(ctx, err),
 		}
 	}
@@ -139,13 +139,13 @@
 
 // roundTrip sends the request on c and reads the response header. After a failure c is
 // closed and the request's body is no longer read.
-func roundTrip(ctx context.Context, req *Request, c *conn) (*Answer, *Error) {
+func roundTrip(ctx context.Context, req *Request, c *conn) (*Response, *Error) {
 	stop := context.AfterFunc(ctx, c.close)
-	if req.Begin != nil {
-		req.Begin(func() bool { return hasUnread(c.nc) })
+	if req.OnWrite != nil {
+		req.OnWrite(func() bool { return hasUnread(c.nc) })
 	}
 	s := c.send(req)
-	stage := Write
+	stage := StageWrite
 	err := s.immediateErr
 	var resp *http.Response
 	if err == nil {
@@ -157,7 +157,7 @@
 		<-s.done
 		sent := c.written > 0
 		if !sent {
-			stage = Write
+			stage = StageWrite
 		}
 		return nil, &Error{
 			stage: stage,
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -67,7 +67,7 @@
 		_, err := p.Do(t.Context(), req)
 		sent, stage := errorDetails(t, err)
 		is.Equal(sent, false)
-		is.Equal(stage, Write)
+		is.Equal(stage, StageWrite)
 	}
 }
 
@@ -79,9 +79,9 @@
 	_, err := p.Do(t.Context(), get("x"))
 	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
-	is.Equal(stage, Dial)
+	is.Equal(stage, StageDial)
 	is.True(errors.Is(err, errBroken))
-	is.Equal(p.Open("x"), 0)
+	is.Equal(p.OpenConns("x"), 0)
 }
 
 func TestADialEndsAtItsTimeout(t *testing.T) {
@@ -96,7 +96,7 @@
 		is.Equal(time.Since(start), 500*time.Millisecond)
 		sent, stage := errorDetails(t, err)
 		is.Equal(sent, false)
-		is.Equal(stage, Dial)
+		is.Equal(stage, StageDial)
 	})
 }
 
@@ -124,7 +124,7 @@
 	_, _, err = fetch(p, req)
 	sent, stage := errorDetails(t, err)
 	is.Equal(sent, true)
-	is.Equal(stage, Response)
+	is.Equal(stage, StageResponse)
 	_, _, err = fetch(p, get(s.addr)) // a retry would have arrived by now
 	is.NoErr(err)
 	is.Equal(arrived.Load(), int32(1))
@@ -194,9 +194,9 @@
 	_, _, err = fetch(p, get(s.addr))
 	sent, stage := errorDetails(t, err)
 	is.Equal(sent, true)
-	is.Equal(stage, Write)
+	is.Equal(stage, StageWrite)
 	is.Equal(s.conns.Load(), int32(1))
-	is.Equal(p.Open(s.addr), 0)
+	is.Equal(p.OpenConns(s.addr), 0)
 }
 
 func TestANewConnectionThatAcceptsNoByteIsNotReplaced(t *testing.T) {
@@ -207,7 +207,7 @@
 	_, _, err := fetch(p, get(s.addr))
 	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
-	is.Equal(stage, Write)
+	is.Equal(stage, StageWrite)
 	is.True(errors.Is(err, errBroken))
 }
 
@@ -243,18 +243,18 @@
 			p := newTestPool(t)
 			req := get(s.addr)
 			req.Method = tc.method
-			req.Owns = func(h http.Header) bool { return h.Get("Id") == "2" }
+			req.Matches = func(h http.Header) bool { return h.Get("Id") == "2" }
 			_, body, err := fetch(p, req)
 			if tc.ok {
 				is.NoErr(err)
 				is.Equal(body, "me")
-				is.Equal(p.Open(s.addr), 1)
+				is.Equal(p.OpenConns(s.addr), 1)
 				return
 			}
 			sent, stage := errorDetails(t, err)
 			is.Equal(sent, true)
-			is.Equal(stage, Crossed)
-			is.Equal(p.Open(s.addr), 0)
+			is.Equal(stage, StageMismatch)
+			is.Equal(p.OpenConns(s.addr), 0)
 		})
 	}
 }
@@ -282,10 +282,10 @@
 		_, err := p.Do(ctx, req)
 		sent, stage := errorDetails(t, err)
 		is.Equal(sent, true)
-		is.Equal(stage, Response)
+		is.Equal(stage, StageResponse)
 		is.True(errors.Is(err, context.Canceled))
 		<-gone
-		is.Equal(p.Open(s.addr), 0)
+		is.Equal(p.OpenConns(s.addr), 0)
 	}
 
 	is := is.New(t)
@@ -309,7 +309,7 @@
 	_, err = a.Read(make([]byte, 1))
 	is.Equal(err, context.Canceled)
 	is.NoErr(a.Close())
-	is.Equal(p.Open(s.addr), 0)
+	is.Equal(p.OpenConns(s.addr), 0)
 }
 
 func TestAnEndedContextSendsNothing(t *testing.T) {
@@ -320,7 +320,7 @@
 	_, err := newTestPool(t).Do(ctx, get(s.addr))
 	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
-	is.Equal(stage, Dial)
+	is.Equal(stage, StageDial)
 	is.True(errors.Is(err, context.Canceled))
 }
 
@@ -332,16 +332,16 @@
 	})
 	calls := 0
 	_, _, err := fetch(newTestPool(t), Request{
-		Addr:   s.addr,
-		Target: "/",
-		Begin:  func(func() bool) { calls++ },
+		Addr:    s.addr,
+		Target:  "/",
+		OnWrite: func(func() bool) { calls++ },
 	})
 	is.NoErr(err)
 	is.Equal(calls, 1)
 	_, _, err = fetch(newTestPool(t), Request{
-		Addr:   "127.0.0.1:1", // no listener
-		Target: "/",
-		Begin:  func(func() bool) { calls++ },
+		Addr:    "127.0.0.1:1", // no listener
+		Target:  "/",
+		OnWrite: func(func() bool) { calls++ },
 	})
 	is.True(err != nil)
 	is.Equal(calls, 1)
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -91,7 +91,7 @@
 			if rapid.Bool().Draw(t, "unread") {
 				req.Header = http.Header{"Unread": {"yes"}}
 			}
-			req.Owns = func(h http.Header) bool { return h.Get("Id") == id }
+			req.Matches = func(h http.Header) bool { return h.Get("Id") == id }
 			_, body, err := fetch(p, req)
 			if err == nil && (body != id || behaviour == "cut" || behaviour == "drop" || behaviour == "reset") {
 				t.Fatalf("%s: body %q accepted as complete", req.Target, body)
--- a/exchange/idle.go
+++ b/exchange/idle.go
@@ -1,9 +1,9 @@
 package exchange
 
-// CloseResting closes the idle connections to addr. Use it when the server has restarted:
+// CloseIdle closes the idle connections to addr. Use it when the server has restarted:
 // a request on an old connection would be reset after it was sent, and could not be
 // retried safely.
-func (p *Pool) CloseResting(addr string) {
+func (p *Pool) CloseIdle(addr string) {
 	for _, c := range p.takeIdle(addr) {
 		c.close()
 	}
--- a/exchange/idle_test.go
+++ b/exchange/idle_test.go
@@ -19,11 +19,11 @@
 		_, _, err = fetch(p, get(addr))
 		is.NoErr(err)
 	}
-	is.Equal(p.Open(s.addr), 2) // one busy, one idle
-	p.CloseResting(s.addr)
-	p.CloseResting("127.0.0.1:9") // no connections
-	is.Equal(p.Open(s.addr), 1)
-	is.Equal(p.Open(other.addr), 1)
+	is.Equal(p.OpenConns(s.addr), 2) // one busy, one idle
+	p.CloseIdle(s.addr)
+	p.CloseIdle("127.0.0.1:9") // no connections
+	is.Equal(p.OpenConns(s.addr), 1)
+	is.Equal(p.OpenConns(other.addr), 1)
 	is.NoErr(busy.Close())
 	a, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -67,10 +67,10 @@
 	}
 }
 
-// WithBusyTimeout sets the TCP user timeout of connections that carry a request; idle ones
+// WithBusyUserTimeout sets the TCP user timeout of connections that carry a request; idle ones
 // have that of NewDialer. A longer timeout keeps requests that can't be retried alive while
 // the link of this box is congested.
-func WithBusyTimeout(d time.Duration) Option {
+func WithBusyUserTimeout(d time.Duration) Option {
 	return func(p *Pool) {
 		p.busyTimeout = d
 	}
@@ -98,8 +98,8 @@
 	return p
 }
 
-// Open returns the number of open connections to addr, both busy and idle.
-func (p *Pool) Open(addr string) int {
+// OpenConns returns the number of open connections to addr, both busy and idle.
+func (p *Pool) OpenConns(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.addrs[addr]
@@ -134,9 +134,9 @@
 	}
 }
 
-// Reach opens a new connection to addr within the limit and adds it to the pool. It serves
+// Probe opens a new connection to addr within the limit and adds it to the pool. It serves
 // as a reachability probe.
-func (p *Pool) Reach(ctx context.Context, addr string, limit time.Duration) error {
+func (p *Pool) Probe(ctx context.Context, addr string, limit time.Duration) error {
 	c, err := p.connect(ctx, &Request{
 		Addr:        addr,
 		DialTimeout: limit,
--- a/exchange/pool_test.go
+++ b/exchange/pool_test.go
@@ -28,7 +28,7 @@
 		is.Equal(a.Status(), 200)
 		is.Equal(a.Header().Get("Content-Length"), "2")
 		is.Equal(a.Reused(), i > 0)
-		is.Equal(p.Open(s.addr), 1)
+		is.Equal(p.OpenConns(s.addr), 1)
 	}
 	is.Equal(dials, 1)
 }
@@ -62,7 +62,7 @@
 			is.NoErr(err)
 			is.NoErr(a.Close())
 			is.NoErr(a.Close()) // idempotent
-			is.Equal(p.Open(s.addr), 0)
+			is.Equal(p.OpenConns(s.addr), 0)
 		})
 	}
 }
@@ -93,7 +93,7 @@
 		is.NoErr(err)
 		is.Equal(body, "ok")
 		is.Equal(a.Reused(), false)
-		is.Equal(p.Open(s.addr), 1)
+		is.Equal(p.OpenConns(s.addr), 1)
 	}
 }
 
@@ -120,10 +120,10 @@
 				is.True(a.Reused())
 				time.Sleep(tc.idleTime - time.Millisecond)
 				synctest.Wait()
-				is.Equal(p.Open("x"), 1) // each use restarts the idle time
+				is.Equal(p.OpenConns("x"), 1) // each use restarts the idle time
 				time.Sleep(time.Millisecond)
 				synctest.Wait()
-				is.Equal(p.Open("x"), 0)
+				is.Equal(p.OpenConns("x"), 0)
 			})
 		})
 	}
@@ -140,10 +140,10 @@
 		}
 		time.Sleep(6 * time.Second) // 9 s after the first
 		for expired, addr := range []string{"a", "b", "c"} {
-			is.Equal(p.Open("a")+p.Open("b")+p.Open("c"), 3-expired)
+			is.Equal(p.OpenConns("a")+p.OpenConns("b")+p.OpenConns("c"), 3-expired)
 			time.Sleep(time.Second)
 			synctest.Wait()
-			is.Equal(p.Open(addr), 0)
+			is.Equal(p.OpenConns(addr), 0)
 		}
 	})
 }
@@ -160,7 +160,7 @@
 	a, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
 	is.Equal(a.Reused(), false)
-	is.Equal(p.Open(s.addr), 1)
+	is.Equal(p.OpenConns(s.addr), 1)
 }
 
 func TestNoMoreConnectionsAreKeptThanTheLimit(t *testing.T) {
@@ -168,19 +168,19 @@
 		is := is.New(t)
 		s := newServer(t, respondWith(okResponse))
 		p := newTestPool(t, WithIdleLimit(limit))
-		var answers []*Answer
+		var answers []*Response
 		for range 5 {
 			a, err := p.Do(t.Context(), get(s.addr))
 			is.NoErr(err)
 			answers = append(answers, a)
 		}
-		is.Equal(p.Open(s.addr), 5)
+		is.Equal(p.OpenConns(s.addr), 5)
 		for _, a := range answers {
 			_, err := io.Copy(io.Discard, a)
 			is.NoErr(err)
 			is.NoErr(a.Close())
 		}
-		is.Equal(p.Open(s.addr), limit)
+		is.Equal(p.OpenConns(s.addr), limit)
 	}
 }
 
@@ -208,7 +208,7 @@
 		_, _, err = fetch(p, get(addr))
 		is.NoErr(err)
 	}
-	is.Equal(p.Open(s.addr), 2) // one busy, one idle
+	is.Equal(p.OpenConns(s.addr), 2) // one busy, one idle
 	failed := make(chan error)
 	go func() {
 		req := get(s.addr)
@@ -220,11 +220,11 @@
 	p.CloseAddr(s.addr)
 	sent, stage := errorDetails(t, <-failed)
 	is.Equal(sent, true)
-	is.Equal(stage, Response)
-	is.Equal(p.Open(s.addr), 0)
+	is.Equal(stage, StageResponse)
+	is.Equal(p.OpenConns(s.addr), 0)
 	is.NoErr(a.Close()) // doesn't return to the pool
-	is.Equal(p.Open(s.addr), 0)
-	is.Equal(p.Open(other.addr), 1)
+	is.Equal(p.OpenConns(s.addr), 0)
+	is.Equal(p.OpenConns(other.addr), 1)
 	_, _, err = fetch(p, get(s.addr)) // the address may be used again
 	is.NoErr(err)
 }
@@ -236,11 +236,11 @@
 	_, _, err := fetch(p, get(s.addr))
 	is.NoErr(err)
 	p.Close()
-	is.Equal(p.Open(s.addr), 0)
+	is.Equal(p.OpenConns(s.addr), 0)
 	_, err = p.Do(t.Context(), get(s.addr))
 	sent, stage := errorDetails(t, err)
 	is.Equal(sent, false)
-	is.Equal(stage, Dial)
+	is.Equal(stage, StageDial)
 	is.True(errors.Is(err, errPoolClosed))
 	p.Close()
 }
@@ -256,7 +256,7 @@
 		nc = c
 		return c, err
 	}
-	p := NewPool(WithDial(dial), WithBusyTimeout(20*time.Second))
+	p := NewPool(WithDial(dial), WithBusyUserTimeout(20*time.Second))
 	defer p.Close()
 	limit := func() int {
 		raw, err := nc.(*net.TCPConn).SyscallConn()
--- a/exchange/server_test.go
+++ b/exchange/server_test.go
@@ -129,7 +129,7 @@
 }
 
 // fetch sends the request and reads the response body.
-func fetch(p *Pool, req Request) (a *Answer, body string, err error) {
+func fetch(p *Pool, req Request) (a *Response, body string, err error) {
 	a, err = p.Do(context.Background(), req)
 	if err != nil {
 		return nil, "", err
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -91,11 +91,11 @@
 		org:      req.Org,
 		service:  req.Service.Name,
 	}
-	if !choice.Warm {
+	if !choice.Cached {
 		p.prefill = req.Routing.Prefill
 	}
 	p.gen = f.inventory.Begin(choice.Name, p.prefill)
-	f.remember(req.Routing.Affinity, choice.Name)
+	f.remember(req.Routing.PrefixKey, choice.Name)
 	return p
 }
 
@@ -121,20 +121,20 @@
 // the next call uses again.
 func (f *Fleet) candidates(req Request, now time.Duration) []routing.Replica {
 	all := f.inventory.Of(req.Service.Name)
-	warm, _ := f.warm.Get(req.Routing.Affinity)
+	warm, _ := f.warm.Get(req.Routing.PrefixKey)
 	out := f.scratch[:0]
 	for _, r := range all {
 		out = append(out, routing.Replica{
-			Name:    r.Name,
-			Load:    r.Load(now),
-			Slots:   cmp.Or(r.Slots, req.Service.InFlight),
-			Pending: r.Pending(now),
-			Slow:    r.Slow(now),
-			Hold:    r.Hold,
-			Warm:    slices.Contains(warm, r.Name),
-			Leaving: r.Leaving,
-			Out:     r.Out(now),
-			Tried:   slices.Contains(req.Tried, r.Name),
+			Name:           r.Name,
+			Load:           r.Load(now),
+			Slots:          cmp.Or(r.Slots, req.Service.InFlight),
+			PendingPrefill: r.Pending(now),
+			Slowdown:       r.Slow(now),
+			ServiceTime:    r.Hold,
+			Cached:         slices.Contains(warm, r.Name),
+			Leaving:        r.Leaving,
+			Ejected:        r.Out(now),
+			Attempted:      slices.Contains(req.Tried, r.Name),
 		})
 	}
 	f.scratch = out
@@ -148,12 +148,12 @@
 	}
 	for i := range replicas {
 		r := &replicas[i]
-		if r.Leaving || r.Out {
+		if r.Leaving || r.Ejected {
 			continue
 		}
-		c.Limit += routing.Limit(r.Slots, req.Routing.Queue)
+		c.Limit += routing.MaxLoad(r.Slots, req.Routing.QueueRatio)
 		c.Slots += r.Slots
-		c.Used += r.Load
+		c.InFlight += r.Load
 	}
 	return c
 }
@@ -163,7 +163,7 @@
 	f.inventory.Start(p.Upstream, p.gen, upstream.Started{
 		Prefill:  p.prefill,
 		First:    s.First,
-		Expected: p.Choice.Usual,
+		Expected: p.Choice.TypicalTTFT,
 	}, now)
 	if s.Load != nil {
 		f.inventory.Report(p.Upstream, *s.Load, now)
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -23,10 +23,10 @@
 			Service: wire.Service{Name: "s"},
 			Policy:  policy,
 			Routing: routing.Request{
-				Affinity: fmt.Sprintf("prefix-%d", i%600),
-				Spread:   fmt.Sprintf("id-%d", i),
-				Prefill:  300 * time.Millisecond,
-				Queue:    0.5,
+				PrefixKey:  fmt.Sprintf("prefix-%d", i%600),
+				RequestKey: fmt.Sprintf("id-%d", i),
+				Prefill:    300 * time.Millisecond,
+				QueueRatio: 0.5,
 			},
 		}, time.Second)
 		if refused != nil {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -228,15 +228,15 @@
 // routingRequest returns what the decision needs to know of q.
 func (q *query) routingRequest() routing.Request {
 	out := routing.Request{
-		Spread: q.id,
-		Queue:  queueShare,
+		RequestKey: q.id,
+		QueueRatio: queueShare,
 	}
 	if q.service.Kind != wire.ServiceKindEngine {
 		return out
 	}
-	out.Affinity = q.affinity()
+	out.PrefixKey = q.affinity()
 	out.Prefill = time.Duration(len(q.body)/bytesPerToken) * prefillToken
-	out.Bound = min(time.Duration(q.service.FirstTokenMs)*time.Millisecond, time.Until(q.deadline))
+	out.MaxTTFT = min(time.Duration(q.service.FirstTokenMs)*time.Millisecond, time.Until(q.deadline))
 	return out
 }
 
--- a/ingress/attempt.go
+++ b/ingress/attempt.go
@@ -45,7 +45,7 @@
 func (c *call) endToEndHeaders() http.Header {
 	h := endToEndHeaders(c.r.Header)
 	if c.keyed {
-		c.server.codec.Withhold(h)
+		c.server.codec.RemoveKey(h)
 	}
 	return h
 }
@@ -81,10 +81,10 @@
 	cancel(nil) // closes the connection, so that the replica stops its work
 	a.reportPoisonOutcome(e)
 	a.endTrial(e)
-	if a.result == placement.Silent && a.reportedSilent.Load() {
+	if a.result == placement.NoResponse && a.reportedSilent.Load() {
 		a.result = placement.Abandoned
 	}
-	c.server.core.End(&t.Choice, a.result, clock.Since(a.sent))
+	c.server.core.AttemptEnded(&t.Choice, a.result, clock.Since(a.sent))
 	a.report(e)
 	return e
 }
@@ -94,12 +94,12 @@
 	c := a.call
 	c.noteSent()
 	h := c.endToEndHeaders()
-	c.server.codec.Send(h, Send{
-		Replica:   a.target.Choice.ID,
-		Left:      clock.Until(c.deadline),
-		Urgency:   min(c.urgency, maxUrgency),
-		LastEvent: c.lastEvent,
-		CopyFrom:  a.target.Choice.CopyFrom,
+	c.server.codec.WriteReplicaHeaders(h, ReplicaHeaders{
+		Replica:     a.target.Choice.ID,
+		TimeLeft:    clock.Until(c.deadline),
+		Urgency:     min(c.urgency, maxUrgency),
+		LastEventID: c.lastEvent,
+		CopyFrom:    a.target.Choice.CopyFrom,
 
 		Organisation: c.organisation,
 	})
@@ -110,8 +110,8 @@
 		Host:        c.r.Host,
 		Header:      h,
 		Body:        c.body,
-		Owns:        func(h http.Header) bool { return c.server.codec.Owns(h, c.facts.ID) },
-		Begin:       a.noteSent,
+		Matches:     func(h http.Header) bool { return c.server.codec.MatchesRequest(h, c.facts.ID) },
+		OnWrite:     a.noteSent,
 		DialTimeout: c.dialTimeout(replicaDialTimeout),
 	})
 	if err != nil {
@@ -119,14 +119,14 @@
 	}
 	defer func() { _ = answer.Close() }()
 	a.headAfter = clock.Since(a.sent)
-	c.server.core.First(&a.target.Choice, a.headAfter)
-	if requests, waiting, ok := c.server.codec.Load(answer.Header()); ok {
-		c.server.core.Loaded(&a.target.Choice, requests, waiting)
+	c.server.core.HeadReceived(&a.target.Choice, a.headAfter)
+	if requests, waiting, ok := c.server.codec.LoadReport(answer.Header()); ok {
+		c.server.core.LoadReported(&a.target.Choice, requests, waiting)
 	}
-	if !c.server.codec.Ran(answer.Status(), answer.Header()) {
+	if !c.server.codec.Executed(answer.Status(), answer.Header()) {
 		return a.refused(answer)
 	}
-	c.noteReceiver(a.target.Choice.Replica)
+	c.noteReceiver(a.target.Choice.Incarnation)
 	return a.pass(ctx, answer)
 }
 
@@ -135,7 +135,7 @@
 	took := clock.Since(a.sent)
 	a.writtenAfter.Store(max(int64(took), 1))
 	if took >= lateWriteThreshold {
-		a.call.server.core.Written(&a.target.Choice)
+		a.call.server.core.RequestWritten(&a.target.Choice)
 	}
 }
 
@@ -147,15 +147,15 @@
 }
 
 // refused handles a response by which the replica reports that it did not run the request.
-func (a *attempt) refused(answer *exchange.Answer) attemptOutcome {
+func (a *attempt) refused(answer *exchange.Response) attemptOutcome {
 	a.result = placement.Refused
 	if answer.Status() == http.StatusMisdirectedRequest {
 		a.result = placement.Misdirected
-		a.call.tried = append(a.call.tried, a.target.Choice.Replica)
+		a.call.tried = append(a.call.tried, a.target.Choice.Incarnation)
 		a.call.received = true
 		return unsent
 	}
-	a.call.noteReceiver(a.target.Choice.Replica)
+	a.call.noteReceiver(a.target.Choice.Incarnation)
 	return notRun
 }
 
@@ -164,9 +164,9 @@
 	var e *exchange.Error
 	sent := !errors.As(err, &e) || e.Sent()
 	if sent {
-		a.call.noteReceiver(a.target.Choice.Replica)
+		a.call.noteReceiver(a.target.Choice.Incarnation)
 	} else {
-		a.call.tried = append(a.call.tried, a.target.Choice.Replica)
+		a.call.tried = append(a.call.tried, a.target.Choice.Incarnation)
 	}
 	stalled := errors.Is(context.Cause(ctx), errStalled)
 	a.setWhy(ctx, err)
@@ -181,7 +181,7 @@
 		a.call.noteFailedDial()
 		return unsent
 	}
-	a.result = placement.Silent
+	a.result = placement.NoResponse
 	return unknown
 }
 
@@ -214,17 +214,17 @@
 func (a *attempt) report(e attemptOutcome) {
 	c := a.call
 	outcome := loggedOutcomes[e]
-	c.server.core.Meter.Try(c.service, string(outcome))
+	c.server.core.Meter.Attempt(c.service, string(outcome))
 	if a.headAfter > 0 && e == served {
-		c.server.core.Meter.First(c.service, a.headAfter)
+		c.server.core.Meter.FirstResponse(c.service, a.headAfter)
 	}
 	digest := ""
-	if a.target.Choice.Replica != "" && (e == unknown || e == interrupted) {
+	if a.target.Choice.Incarnation != "" && (e == unknown || e == interrupted) {
 		digest = c.content.Digest().String() // shows whether one request made several replicas crash
 	}
 	c.record(decision.Event{
 		Kind:     decision.Try,
-		Upstream: a.target.Choice.Replica + a.target.Box,
+		Upstream: a.target.Choice.Incarnation + a.target.Box,
 		Outcome:  outcome,
 		Reason:   a.why,
 		Digest:   digest,
--- a/ingress/auth.go
+++ b/ingress/auth.go
@@ -25,10 +25,10 @@
 
 // Keys holds the functions that give access to organisations, their keys and quotas.
 type Keys struct {
-	Hold      func() bool                                                                                            // the table contains no key that was revoked too long ago; called before the table is read
-	Current   func() bool                                                                                            // the table contains all keys but those of the last seconds
-	Reserve   func(ctx context.Context, organisation string, tokens int) (cost float64, wait time.Duration, ok bool) // subtracts the cost of a request from the quota of its organisation, or returns when to retry
-	Unreserve func(organisation string, cost float64)                                                                // adds the cost of a request that is known not to have run back to the quota
+	WithinLease  func() bool                                                                                            // the table contains no key that was revoked too long ago; called before the table is read
+	CatalogFresh func() bool                                                                                            // the table contains all keys but those of the last seconds
+	Reserve      func(ctx context.Context, organisation string, tokens int) (cost float64, wait time.Duration, ok bool) // subtracts the cost of a request from the quota of its organisation, or returns when to retry
+	Release      func(organisation string, cost float64)                                                                // adds the cost of a request that is known not to have run back to the quota
 }
 
 // authenticate finds the organisation of the caller and reports whether the request may
@@ -43,7 +43,7 @@
 	if !c.keyed {
 		return true
 	}
-	valid := c.server.core.Keys.Hold()
+	valid := c.server.core.Keys.WithinLease()
 	org := c.keyOrganisation()
 	switch {
 	case org != nil && valid:
@@ -62,7 +62,7 @@
 // enter.
 func (c *call) setOrganisation(org *catalog.Organisation) {
 	c.organisation = org.Name
-	c.route = c.route.For(org)
+	c.route = c.route.ForOrganisation(org)
 }
 
 // keyOrganisation returns the organisation that owns the caller's key, or nil.
@@ -77,13 +77,13 @@
 // resolveUnknownKey handles a request whose key is unknown. While this box may lack the
 // newest policy, it waits for it or answers with a temporary refusal.
 func (c *call) resolveUnknownKey() bool {
-	for !c.server.core.Keys.Current() {
+	for !c.server.core.Keys.CatalogFresh() {
 		if clock.Since(c.start) > keyWaitTimeout || c.r.Context().Err() != nil {
 			c.refuse(reasonStalePolicy, keyRetryAfter)
 			return false
 		}
 		sleep.For(c.r.Context(), policyPollInterval)
-		if org := c.keyOrganisation(); org != nil && c.server.core.Keys.Hold() {
+		if org := c.keyOrganisation(); org != nil && c.server.core.Keys.WithinLease() {
 			c.setOrganisation(org)
 			return true
 		}
@@ -103,7 +103,7 @@
 	if c.organisation == "" || c.relay != nil || c.state == stateStarted {
 		return true
 	}
-	valid := c.server.core.Keys.Hold()
+	valid := c.server.core.Keys.WithinLease()
 	org := c.keyOrganisation()
 	switch {
 	case org == nil || org.Name != c.organisation:
@@ -129,5 +129,5 @@
 	if c.keyed {
 		return c.organisation
 	}
-	return c.facts.Caller
+	return c.facts.Credentials
 }
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -104,7 +104,7 @@
 				continue
 			}
 			c.reason = target.Reason
-			c.retryAfter = target.Wait
+			c.retryAfter = target.RetryAfter
 			break
 		}
 		c.recordPlacement(target)
@@ -144,7 +144,7 @@
 	if c.failedDials > 0 {
 		return resumePollInterval
 	}
-	return min(max(t.Wait, minWait), resumePollInterval)
+	return min(max(t.RetryAfter, minWait), resumePollInterval)
 }
 
 // waitsUntilDeadline reports whether the request waits for a target until its deadline: a
@@ -190,69 +190,69 @@
 	if c.waitsUntilDeadline() {
 		return extended
 	}
-	return max(base, min(extended, c.route.Goal.Duration()-clock.Since(c.start)))
+	return max(base, min(extended, c.route.LatencyTarget.Duration()-clock.Since(c.start)))
 }
 
 func (c *call) recordPlacement(t Target) {
 	c.record(decision.Event{
 		Kind:     decision.Place,
-		Upstream: t.Choice.Replica + t.Box,
+		Upstream: t.Choice.Incarnation + t.Box,
 		Region:   t.Region,
 		Tokens:   t.Choice.Missing,
-		Prompt:   c.facts.Prompt,
+		Prompt:   c.facts.PromptTokens,
 		InFlight: t.Choice.Load.Requests,
 		Memory:   t.Choice.Load.Tokens,
-		Unread:   t.Choice.Load.Unread,
-		Sharers:  t.Choice.Sharers,
+		Unread:   t.Choice.Load.PendingPrefill,
+		Sharers:  t.Choice.SharingBoxes,
 		CopyFrom: t.Choice.CopyFrom,
 		AgeMs:    t.AgeMs,
 		TookMs:   t.Choice.Expect.Milliseconds(),
 	})
 }
 
-func (c *call) newQuery() Ask {
-	shared := c.facts.Parts
+func (c *call) newQuery() TargetQuery {
+	shared := c.facts.Segments
 	if n := len(shared); n > 0 {
 		shared = shared[:n-1]
 	}
-	out := int(outputPerGuess * float64(c.facts.Guess))
-	if out == 0 || (c.facts.MostOut > 0 && out > c.facts.MostOut) {
-		out = c.facts.MostOut
+	out := int(outputPerGuess * float64(c.facts.ExpectedOutputTokens))
+	if out == 0 || (c.facts.MaxOutputTokens > 0 && out > c.facts.MaxOutputTokens) {
+		out = c.facts.MaxOutputTokens
 	}
 	var trial *poison.Digest
 	if c.trial {
 		d := c.content.Digest()
 		trial = &d
 	}
-	return Ask{
+	return TargetQuery{
 		Trial: trial,
 		Request: placement.Request{
-			Service: c.service,
-			Key:     c.facts.ID,
-			Parts:   shared,
-			Prompt:  c.facts.Prompt,
-			Out:     out,
-			Gap:     c.route.GapGoal.Duration(),
-			Tried:   c.tried,
-			Rank:    c.rank,
+			Service:      c.service,
+			Key:          c.facts.ID,
+			Segments:     shared,
+			Prompt:       c.facts.PromptTokens,
+			AnswerTokens: out,
+			GapTarget:    c.route.GapTarget.Duration(),
+			Tried:        c.tried,
+			Rank:         c.rank,
 		},
-		Route:      c.route,
-		Left:       clock.Until(c.deadline),
-		Goal:       c.route.Goal.Duration() - clock.Since(c.start),
-		Relayed:    c.relay != nil,
-		TriedBoxes: c.triedBoxes,
-		NoRegions:  c.noRegions,
+		Route:           c.route,
+		TimeLeft:        clock.Until(c.deadline),
+		LatencyTarget:   c.route.LatencyTarget.Duration() - clock.Since(c.start),
+		Forwarded:       c.relay != nil,
+		TriedBoxes:      c.triedBoxes,
+		ExcludedRegions: c.noRegions,
 	}
 }
 
 // waitFor waits for a replica that will soon have capacity, for at most a fraction of the
 // route's latency target.
 func (c *call) waitFor(ctx context.Context, t Target) bool {
-	if t.Wait <= 0 || c.state == stateStarted || c.relay != nil {
+	if t.RetryAfter <= 0 || c.state == stateStarted || c.relay != nil {
 		return false // a box that forwarded the request may have another target
 	}
-	limit := time.Duration(maxWaitFraction * float64(c.route.Goal.Duration()))
-	wait := max(t.Wait, minWait)
+	limit := time.Duration(maxWaitFraction * float64(c.route.LatencyTarget.Duration()))
+	wait := max(t.RetryAfter, minWait)
 	if clock.Since(c.start)+wait > limit {
 		return false
 	}
@@ -278,7 +278,7 @@
 
 // awaitRetryBudget takes a retry from the budget; a started stream waits for one.
 func (c *call) awaitRetryBudget(ctx context.Context) bool {
-	for !c.server.core.Repeat(c.service) {
+	for !c.server.core.TakeRetry(c.service) {
 		if !c.waitsUntilDeadline() {
 			return false
 		}
@@ -305,7 +305,7 @@
 // attempt.
 func (c *call) attempt(ctx context.Context, t Target) bool {
 	var e attemptOutcome
-	if t.Choice.Replica != "" {
+	if t.Choice.Incarnation != "" {
 		e = c.attemptReplica(ctx, t)
 	} else {
 		e = c.attemptBox(ctx, t)
@@ -341,7 +341,7 @@
 		return
 	}
 	c.budgetCounted = true
-	c.server.core.Begin(c.service)
+	c.server.core.CountRequest(c.service)
 }
 
 func (c *call) record(e decision.Event) {
--- a/ingress/events.go
+++ b/ingress/events.go
@@ -24,7 +24,7 @@
 
 // passEvents forwards a stream in complete events, so that it can resume at another replica
 // after any of them.
-func (a *attempt) passEvents(ctx context.Context, answer *exchange.Answer, body io.Reader) attemptOutcome {
+func (a *attempt) passEvents(ctx context.Context, answer *exchange.Response, body io.Reader) attemptOutcome {
 	c := a.call
 	if c.state != stateStarted {
 		c.startStream(answer)
@@ -49,7 +49,7 @@
 // progressReader reads a response and records that the replica is sending.
 type progressReader struct {
 	attempt *attempt
-	answer  *exchange.Answer
+	answer  *exchange.Response
 }
 
 // Read reads from the response.
@@ -68,13 +68,13 @@
 		return
 	}
 	a.lastReceived.Store(int64(now))
-	if a.target.Choice.Replica != "" {
-		a.call.server.core.Heard(&a.target.Choice)
+	if a.target.Choice.Incarnation != "" {
+		a.call.server.core.DataReceived(&a.target.Choice)
 		a.reportSurvived(now)
 	}
 }
 
-func (c *call) startStream(answer *exchange.Answer) {
+func (c *call) startStream(answer *exchange.Response) {
 	c.setHeader(responseHead{
 		status: answer.Status(),
 		header: answer.Header(),
@@ -94,8 +94,8 @@
 			return abandoned
 		}
 	}
-	if c.sent == 1 && c.facts.LastEvent == "" {
-		c.server.core.Streamed(c.service, c.events, c.facts.Guess)
+	if c.sent == 1 && c.facts.LastEventID == "" {
+		c.server.core.StreamCompleted(c.service, c.events, c.facts.ExpectedOutputTokens)
 	}
 	c.recordEnd(decision.Served, http.StatusOK, "")
 	return served
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -33,7 +33,7 @@
 		c.noRegions = append(c.noRegions, t.Region) // its other boxes would refuse too
 	}
 	if e != abandoned && e != notRun {
-		c.server.core.Crossed(t.Box, t.Region, e == served)
+		c.server.core.ForwardEnded(t.Box, t.Region, e == served)
 	}
 	c.server.core.Meter.Forward(t.Region, string(loggedOutcomes[e]))
 	a.report(e)
@@ -52,7 +52,7 @@
 		Host:        c.r.Host,
 		Header:      h,
 		Body:        c.body,
-		Begin:       a.noteSent,
+		OnWrite:     a.noteSent,
 		DialTimeout: c.dialTimeout(boxDialTimeout),
 	})
 	if err != nil {
@@ -61,7 +61,7 @@
 	defer func() { _ = answer.Close() }()
 	a.headAfter = clock.Since(a.sent)
 	a.noteReceived()
-	answer.LimitUnacked(boxUnackedTimeout)
+	answer.SetUserTimeout(boxUnackedTimeout)
 	remoteSent := remoteSentCount(answer.Header())
 	c.sent += remoteSent
 	c.reportedSent.Store(int64(c.sent))
@@ -88,7 +88,7 @@
 		if ctx.Err() != nil {
 			return abandoned
 		}
-		c.server.core.BoxLost(a.target.Box)
+		c.server.core.BoxUnreachable(a.target.Box)
 		c.noteFailedDial()
 		return unsent
 	}
--- a/ingress/identify.go
+++ b/ingress/identify.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	var err error
-	if c.facts, err = c.server.codec.Facts(c.r.Header); err != nil {
+	if c.facts, err = c.server.codec.ReadFacts(c.r.Header); err != nil {
 		c.reject(http.StatusBadRequest, err.Error())
 		return false
 	}
@@ -39,7 +39,7 @@
 	if !c.authenticate(table) {
 		return false
 	}
-	if c.route.Kind == catalog.Stream && !c.server.core.Streams() {
+	if c.route.Kind == catalog.Stream && !c.server.core.AcceptsStreams() {
 		c.refuse(reasonStopping, c.server.retryAfterStop())
 		return false
 	}
@@ -50,7 +50,7 @@
 	c.rank = table.Rank(c.service, c.route.Priority, organisation)
 	c.urgency = table.Urgency(c.service, c.route.Priority, organisation)
 	c.setDeadline()
-	c.lastEvent = c.facts.LastEvent
+	c.lastEvent = c.facts.LastEventID
 	if c.relay != nil && c.relay.LastEvent != "" {
 		c.lastEvent = c.relay.LastEvent
 	}
@@ -79,7 +79,7 @@
 		c.budgetCounted = c.sent > 0
 		c.received = c.budgetCounted
 		if c.relay.Version > c.version {
-			c.server.core.Behind(c.relay.Version)
+			c.server.core.NewerPolicySeen(c.relay.Version)
 		}
 		c.version = c.relay.Version
 		return true
@@ -89,7 +89,7 @@
 	case ok:
 		c.route = route
 		return true
-	case c.server.core.Current():
+	case c.server.core.CatalogFresh():
 		c.reject(http.StatusNotFound, "no route")
 	default:
 		c.refuse(reasonStalePolicy, retryAfterStarting) // a newer policy may contain the route
@@ -111,7 +111,7 @@
 		timeout = time.Duration(c.relay.LeftMs) * time.Millisecond
 	}
 	c.deadline = c.start.Add(timeout)
-	if by, ok := c.server.core.EndsBy(); ok && by.Before(c.deadline) {
+	if by, ok := c.server.core.StopDeadline(); ok && by.Before(c.deadline) {
 		c.deadline = by // so that the caller receives a response, not a closed connection
 	}
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -18,55 +18,55 @@
 	"github.com/havenrudder/havenrudder/poison"
 )
 
-// Part is a prompt segment.
-type Part = placement.Part
+// PromptSegment is a prompt segment.
+type PromptSegment = placement.Segment
 
 // Facts are the properties of a caller's request that a routing decision needs.
 type Facts struct {
-	ID        string
-	Deadline  time.Duration // 0 if the caller sends none
-	Prompt    int           // tokens
-	MostOut   int           // maximum number of output tokens
-	Guess     int           // output tokens that the caller expects; 0 if unknown
-	Parts     []Part        // prompt segments; the last one is specific to the request
-	LastEvent string        // ID of the last event that the caller has received of an interrupted stream
-	Caller    string        // credentials of the caller; empty for none
-	Key       catalog.Key   // API key of the caller
-	HasKey    bool          // Key is set: the request has a well-formed key
+	ID                   string
+	Deadline             time.Duration // 0 if the caller sends none
+	PromptTokens         int
+	MaxOutputTokens      int             // maximum number of output tokens
+	ExpectedOutputTokens int             // output tokens that the caller expects; 0 if unknown
+	Segments             []PromptSegment // prompt segments; the last one is specific to the request
+	LastEventID          string          // ID of the last event that the caller has received of an interrupted stream
+	Credentials          string          // credentials of the caller; empty for none
+	Key                  catalog.Key     // API key of the caller
+	HasKey               bool            // Key is set: the request has a well-formed key
 }
 
-// Send holds the values that a replica receives besides the caller's own headers.
-type Send struct {
-	Replica   string        // expected instance ID; a replica with another one does not run the request
-	Left      time.Duration // time until the deadline
-	Urgency   int           // 0 is the most urgent; negative for none
-	LastEvent string        // ID of the last forwarded event, after which the stream resumes
-	CopyFrom  string        // address of a replica that may have a prefix of the prompt cached; empty for none
+// ReplicaHeaders holds the values that a replica receives besides the caller's own headers.
+type ReplicaHeaders struct {
+	Replica     string        // expected instance ID; a replica with another one does not run the request
+	TimeLeft    time.Duration // time until the deadline
+	Urgency     int           // 0 is the most urgent; negative for none
+	LastEventID string        // ID of the last forwarded event, after which the stream resumes
+	CopyFrom    string        // address of a replica that may have a prefix of the prompt cached; empty for none
 
 	Organisation string // of the caller; empty where requests need no key
 }
 
 // Codec reads and writes the headers of requests and responses.
 type Codec struct {
-	Facts    func(h http.Header) (Facts, error)
-	Withhold func(h http.Header) // removes the key, which neither replicas nor other boxes receive
-	Send     func(h http.Header, s Send)
-	Owns     func(h http.Header, id string) bool                  // reports whether a response belongs to the request with that ID
-	Ran      func(status int, h http.Header) bool                 // false if the replica reports that it did not run the request
-	Genuine  func(h http.Header) bool                             // reports whether a successful response was made by a replica
-	Load     func(h http.Header) (requests, waiting int, ok bool) // number of requests that the replica reports, and of those that wait; false without a report
+	ReadFacts           func(h http.Header) (Facts, error)
+	RemoveKey           func(h http.Header) // removes the key, which neither replicas nor other boxes receive
+	WriteReplicaHeaders func(h http.Header, s ReplicaHeaders)
+	MatchesRequest      func(h http.Header, id string) bool                  // reports whether a response belongs to the request with that ID
+	Executed            func(status int, h http.Header) bool                 // false if the replica reports that it did not run the request
+	FromReplica         func(h http.Header) bool                             // reports whether a successful response was made by a replica
+	LoadReport          func(h http.Header) (requests, waiting int, ok bool) // number of requests that the replica reports, and of those that wait; false without a report
 }
 
 // Target is the next destination of a request: a replica, a box, or none for a
 // reason.
 type Target struct {
-	Choice  placement.Choice // Choice.Replica is empty if the target is a box or none
-	Box     string           // box of another region
-	BoxAddr string           // address on which the box accepts requests from boxes
-	Region  string
-	Reason  placement.Reason // why there is no target
-	Wait    time.Duration    // when to ask again, if known
-	AgeMs   int64            // age of the recorded state of the other region
+	Choice     placement.Choice // Choice.Incarnation is empty if the target is a box or none
+	Box        string           // box of another region
+	BoxAddr    string           // address on which the box accepts requests from boxes
+	Region     string
+	Reason     placement.Reason // why there is no target
+	RetryAfter time.Duration    // when to ask again, if known
+	AgeMs      int64            // age of the recorded state of the other region
 }
 
 func (t *Target) addr() string {
@@ -76,55 +76,55 @@
 	return t.Choice.Addr
 }
 
-// Ask is a query for a target.
-type Ask struct {
-	Trial      *poison.Digest // set for a request on trial, which runs apart from others on trial
-	Request    placement.Request
-	Route      *catalog.Route
-	Left       time.Duration // time until the deadline
-	Goal       time.Duration // remaining part of the route's latency target
-	Relayed    bool          // the request came from another box, and is forwarded to no third one
-	TriedBoxes []string
-	NoRegions  []string // regions that refused the request or were unreachable
+// TargetQuery is a query for a target.
+type TargetQuery struct {
+	Trial           *poison.Digest // set for a request on trial, which runs apart from others on trial
+	Request         placement.Request
+	Route           *catalog.Route
+	TimeLeft        time.Duration // time until the deadline
+	LatencyTarget   time.Duration // remaining part of the route's latency target
+	Forwarded       bool          // the request came from another box, and is forwarded to no third one
+	TriedBoxes      []string
+	ExcludedRegions []string // regions that refused the request or were unreachable
 }
 
-// Core holds the functions that connect the request path to the rest of the box.
-type Core struct {
-	Table    func() *catalog.Table    // nil until a policy is known
-	Current  func() bool              // the published catalog was read recently
-	Leaving  func() bool              // a planned stop has begun
-	Streams  func() bool              // a new stream has time to complete
-	Others   func() bool              // another box of the region is serving
-	EndsBy   func() (time.Time, bool) // when a planned stop ends, if one has begun
-	Place    func(Ask) Target
-	Begin    func(service string)      // a request is sent for the first time
-	Repeat   func(service string) bool // takes one retry from the budget
-	Written  func(c *placement.Choice) // the request was written to the replica some time after its selection
-	First    func(c *placement.Choice, took time.Duration)
-	Heard    func(c *placement.Choice)
-	Quiet    func(c *placement.Choice, sent time.Time) time.Duration // time since the last bytes from the replica
-	Muted    func(c *placement.Choice)                               // the replica is silent, and its request keeps waiting
-	Other    func(next Ask) (Target, bool)                           // returns the next target without recording the request there
-	Loaded   func(c *placement.Choice, requests, waiting int)        // the replica reports its number of requests, including this one, and of those that wait
-	Streamed func(service string, events, guess int)                 // a stream is complete: its number of events, and of output tokens that the caller expected
-	End      func(c *placement.Choice, r placement.Result, took time.Duration)
-	BoxLost  func(box string)                  // a box was unreachable
-	Crossed  func(box, region string, ok bool) // reports whether a box of a region served a forwarded request
-	Behind   func(version int)                 // another box has a newer policy, of this version
-	Record   func(decision.Event)
-	Poison   Poison
-	Keys     Keys
-	Meter    Meter
+// Hooks holds the functions that connect the request path to the rest of the box.
+type Hooks struct {
+	Table           func() *catalog.Table    // nil until a policy is known
+	CatalogFresh    func() bool              // the published catalog was read recently
+	Leaving         func() bool              // a planned stop has begun
+	AcceptsStreams  func() bool              // a new stream has time to complete
+	OtherBoxServing func() bool              // another box of the region is serving
+	StopDeadline    func() (time.Time, bool) // when a planned stop ends, if one has begun
+	Place           func(TargetQuery) Target
+	CountRequest    func(service string)      // a request is sent for the first time
+	TakeRetry       func(service string) bool // takes one retry from the budget
+	RequestWritten  func(c *placement.Choice) // the request was written to the replica some time after its selection
+	HeadReceived    func(c *placement.Choice, took time.Duration)
+	DataReceived    func(c *placement.Choice)
+	IdleTime        func(c *placement.Choice, sent time.Time) time.Duration // time since the last bytes from the replica
+	ReplicaSilent   func(c *placement.Choice)                               // the replica is silent, and its request keeps waiting
+	PeekTarget      func(next TargetQuery) (Target, bool)                   // returns the next target without recording the request there
+	LoadReported    func(c *placement.Choice, requests, waiting int)        // the replica reports its number of requests, including this one, and of those that wait
+	StreamCompleted func(service string, events, guess int)                 // a stream is complete: its number of events, and of output tokens that the caller expected
+	AttemptEnded    func(c *placement.Choice, r placement.Result, took time.Duration)
+	BoxUnreachable  func(box string)                  // a box was unreachable
+	ForwardEnded    func(box, region string, ok bool) // reports whether a box of a region served a forwarded request
+	NewerPolicySeen func(version int)                 // another box has a newer policy, of this version
+	Record          func(decision.Event)
+	Poison          PoisonHooks
+	Keys            Keys
+	Meter           Meter
 }
 
 // Meter receives the metrics of requests.
 type Meter struct {
-	Request func(service, outcome string, took time.Duration)
-	First   func(service string, took time.Duration)
-	Try     func(service, outcome string)
-	Refusal func(reason string)
-	Forward func(region, outcome string)
-	Resumed func(service string)
+	Request       func(service, outcome string, took time.Duration)
+	FirstResponse func(service string, took time.Duration)
+	Attempt       func(service, outcome string)
+	Refusal       func(reason string)
+	Forward       func(region, outcome string)
+	Resumed       func(service string)
 }
 
 // Server accepts requests from callers and from other boxes.
@@ -132,14 +132,14 @@
 	box      string
 	region   string
 	codec    Codec
-	core     Core
+	core     Hooks
 	replicas *exchange.Pool
 	boxes    *exchange.Pool
 	probing  atomic.Bool // a stall watch is making a connection; one at a time probes the link for all
 }
 
 // New returns the server of a box in a region.
-func New(box, region string, codec Codec, core Core, replicas, boxes *exchange.Pool) *Server {
+func New(box, region string, codec Codec, core Hooks, replicas, boxes *exchange.Pool) *Server {
 	return &Server{
 		box:      box,
 		region:   region,
--- a/ingress/poison.go
+++ b/ingress/poison.go
@@ -26,11 +26,11 @@
 // survived its request.
 const survivalTime = 2 * time.Second
 
-// Poison holds the functions that report crashes of replicas and query the state of suspect
+// PoisonHooks holds the functions that report crashes of replicas and query the state of suspect
 // requests.
-type Poison struct {
+type PoisonHooks struct {
 	Quarantined func(content *poison.Content) (left time.Duration, quarantined bool)                // no replica may receive the request for the time left
-	Cut         func(c *placement.Choice, content *poison.Content, took time.Duration, closed bool) // a replica received the request and sent no complete response; closed: it closed the connection
+	Interrupted func(c *placement.Choice, content *poison.Content, took time.Duration, closed bool) // a replica received the request and sent no complete response; closed: it closed the connection
 	Survived    func(c *placement.Choice, content *poison.Content, took time.Duration)              // a replica sent a complete response, or has streamed one for survivalTime
 	OnTrial     func(content *poison.Content) bool                                                  // the request may run once at a time, over all boxes
 	TakeTrial   func(content *poison.Content) bool                                                  // requests permission for that run
@@ -102,8 +102,8 @@
 	case a.survived:
 	case a.result == placement.Answered:
 		p.Survived(&a.target.Choice, &c.content, clock.Since(a.sent))
-	case a.result == placement.Silent, timeUp:
-		p.Cut(&a.target.Choice, &c.content, clock.Since(a.sent), !timeUp && a.why != whySilent)
+	case a.result == placement.NoResponse, timeUp:
+		p.Interrupted(&a.target.Choice, &c.content, clock.Since(a.sent), !timeUp && a.why != whySilent)
 	}
 }
 
--- a/ingress/probe_test.go
+++ b/ingress/probe_test.go
@@ -71,11 +71,11 @@
 	pool := exchange.NewPool()
 	t.Cleanup(pool.Close)
 	return &call{
-		server:      New("box", "a", Codec{}, Core{}, pool, pool),
+		server:      New("box", "a", Codec{}, Hooks{}, pool, pool),
 		start:       clock.Now(),
 		failedDials: 3,
 		route: &catalog.Route{
-			Goal: 800,
+			LatencyTarget: 800,
 		},
 	}, pool
 }
@@ -87,10 +87,10 @@
 	defer s.Close()
 	c, pool := callAfterFailedDials(t)
 	is.True(c.dialTimeout(replicaDialTimeout) > 2*replicaDialTimeout)
-	is.True(c.dialTimeout(replicaDialTimeout) <= c.route.Goal.Duration()) // it is refused if it can't be served in time
+	is.True(c.dialTimeout(replicaDialTimeout) <= c.route.LatencyTarget.Duration()) // it is refused if it can't be served in time
 	c.state = stateStarted
 	is.Equal(c.dialTimeout(replicaDialTimeout), 4*replicaDialTimeout) // a started stream waits
-	is.NoErr(pool.Reach(t.Context(), s.Listener.Addr().String(), time.Second))
+	is.NoErr(pool.Probe(t.Context(), s.Listener.Addr().String(), time.Second))
 	is.Equal(c.dialTimeout(replicaDialTimeout), 4*replicaDialTimeout)
 	c.state = stateNotRun
 	is.Equal(c.dialTimeout(replicaDialTimeout), replicaDialTimeout)
--- a/ingress/quota.go
+++ b/ingress/quota.go
@@ -17,7 +17,7 @@
 	if c.organisation == "" || c.relay != nil || c.reserved {
 		return true
 	}
-	cost, retryAfter, ok := c.server.core.Keys.Reserve(ctx, c.organisation, c.facts.Prompt+c.facts.MostOut)
+	cost, retryAfter, ok := c.server.core.Keys.Reserve(ctx, c.organisation, c.facts.PromptTokens+c.facts.MaxOutputTokens)
 	if !ok {
 		c.reason = reasonQuota
 		c.retryAfter = retryAfter
@@ -31,7 +31,7 @@
 // unreserve adds the cost of a request that has not run back to the quota.
 func (c *call) unreserve() {
 	if c.reserved && c.cost > 0 {
-		c.server.core.Keys.Unreserve(c.organisation, c.cost)
+		c.server.core.Keys.Release(c.organisation, c.cost)
 	}
 	c.cost = 0
 }
--- a/ingress/refuse.go
+++ b/ingress/refuse.go
@@ -110,7 +110,7 @@
 // retryAfterStop returns the Retry-After of a box that is stopping: short if another box
 // of the region is serving.
 func (s *Server) retryAfterStop() time.Duration {
-	if s.core.Others() {
+	if s.core.OtherBoxServing() {
 		return minRetryAfter
 	}
 	return retryAfterStopping
--- a/ingress/refuse_test.go
+++ b/ingress/refuse_test.go
@@ -10,8 +10,8 @@
 	is := is.New(t)
 	others := false
 	s := &Server{
-		core: Core{
-			Others: func() bool { return others },
+		core: Hooks{
+			OtherBoxServing: func() bool { return others },
 		},
 	}
 	is.Equal(s.retryAfterStop(), retryAfterStopping)
--- a/ingress/region_test.go
+++ b/ingress/region_test.go
@@ -120,14 +120,14 @@
 	events       []decision.Event
 	silent       []string // replicas that were reported as silent
 	unresumable  bool     // the route's streams can't be resumed
-	poisonFuncs  Poison
+	poisonFuncs  PoisonHooks
 }
 
-// noPoison returns a Poison for requests under which no replica crashes.
-func noPoison() Poison {
-	return Poison{
+// noPoison returns PoisonHooks for requests under which no replica crashes.
+func noPoison() PoisonHooks {
+	return PoisonHooks{
 		Quarantined: func(*poison.Content) (time.Duration, bool) { return 0, false },
-		Cut:         func(*placement.Choice, *poison.Content, time.Duration, bool) {},
+		Interrupted: func(*placement.Choice, *poison.Content, time.Duration, bool) {},
 		Survived:    func(*placement.Choice, *poison.Content, time.Duration) {},
 		OnTrial:     func(*poison.Content) bool { return false },
 		TakeTrial:   func(*poison.Content) bool { return false },
@@ -164,7 +164,7 @@
 }
 
 // place returns the first replica that was not tried.
-func (g *region) place(ask Ask) Target {
+func (g *region) place(ask TargetQuery) Target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list := g.list
@@ -184,21 +184,21 @@
 			if !u.box && !slices.Contains(ask.Request.Tried, u.id) {
 				return Target{
 					Choice: placement.Choice{
-						Replica: u.id,
-						Addr:    u.addr,
-						Expect:  eventEvery,
+						Incarnation: u.id,
+						Addr:        u.addr,
+						Expect:      eventEvery,
 					},
 				}
 			}
 		}
 	}
 	return Target{
-		Reason: placement.Nothing,
-		Wait:   40 * time.Millisecond,
+		Reason:     placement.NoReplica,
+		RetryAfter: 40 * time.Millisecond,
 	}
 }
 
-func (g *region) other(next Ask) (Target, bool) {
+func (g *region) other(next TargetQuery) (Target, bool) {
 	t := g.place(next)
 	return t, t.Reason == placement.None
 }
@@ -206,7 +206,7 @@
 func (g *region) idleTime(c *placement.Choice, sent time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if lastReceived := g.lastReceived[c.Replica]; lastReceived.After(sent) {
+	if lastReceived := g.lastReceived[c.Incarnation]; lastReceived.After(sent) {
 		sent = lastReceived
 	}
 	return clock.Since(sent)
@@ -215,53 +215,53 @@
 func (g *region) noteSilent(c *placement.Choice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.silent = append(g.silent, c.Replica)
+	g.silent = append(g.silent, c.Incarnation)
 }
 
 func (g *region) noteReceived(c *placement.Choice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lastReceived[c.Replica] = clock.Now()
+	g.lastReceived[c.Incarnation] = clock.Now()
 }
 
-func (g *region) core() Core {
+func (g *region) core() Hooks {
 	table := catalog.NewTable(catalog.Policy{
 		Version: 1,
 		Routes: []catalog.Route{
 			{
-				Name:      "chat",
-				Host:      "shop.example",
-				Prefix:    "/chat/",
-				Kind:      catalog.Stream,
-				Attempts:  2,
-				Timeout:   15000,
-				Goal:      1200,
-				GapGoal:   600,
-				Shares:    []catalog.Share{{Service: "engine", Weight: 1}},
-				Resumable: !g.unresumable,
+				Name:          "chat",
+				Host:          "shop.example",
+				Prefix:        "/chat/",
+				Kind:          catalog.Stream,
+				Attempts:      2,
+				Timeout:       15000,
+				LatencyTarget: 1200,
+				GapTarget:     600,
+				Shares:        []catalog.Share{{Service: "engine", Weight: 1}},
+				Resumable:     !g.unresumable,
 			},
 		},
 	})
-	return Core{
-		Table:    func() *catalog.Table { return table },
-		Current:  func() bool { return true },
-		Leaving:  func() bool { return false },
-		Streams:  func() bool { return true },
-		Others:   func() bool { return true },
-		EndsBy:   func() (time.Time, bool) { return time.Time{}, false },
-		Place:    g.place,
-		Begin:    func(string) {},
-		Repeat:   func(string) bool { return g.takeRetry() },
-		First:    func(c *placement.Choice, _ time.Duration) { g.noteReceived(c) },
-		Written:  func(*placement.Choice) {},
-		Heard:    g.noteReceived,
-		Quiet:    g.idleTime,
-		Muted:    g.noteSilent,
-		Other:    g.other,
-		Streamed: func(string, int, int) {},
-		End:      func(*placement.Choice, placement.Result, time.Duration) {},
-		BoxLost:  func(string) {},
-		Crossed:  func(string, string, bool) {},
+	return Hooks{
+		Table:           func() *catalog.Table { return table },
+		CatalogFresh:    func() bool { return true },
+		Leaving:         func() bool { return false },
+		AcceptsStreams:  func() bool { return true },
+		OtherBoxServing: func() bool { return true },
+		StopDeadline:    func() (time.Time, bool) { return time.Time{}, false },
+		Place:           g.place,
+		CountRequest:    func(string) {},
+		TakeRetry:       func(string) bool { return g.takeRetry() },
+		HeadReceived:    func(c *placement.Choice, _ time.Duration) { g.noteReceived(c) },
+		RequestWritten:  func(*placement.Choice) {},
+		DataReceived:    g.noteReceived,
+		IdleTime:        g.idleTime,
+		ReplicaSilent:   g.noteSilent,
+		PeekTarget:      g.other,
+		StreamCompleted: func(string, int, int) {},
+		AttemptEnded:    func(*placement.Choice, placement.Result, time.Duration) {},
+		BoxUnreachable:  func(string) {},
+		ForwardEnded:    func(string, string, bool) {},
 		Record: func(e decision.Event) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
@@ -269,12 +269,12 @@
 		},
 		Poison: g.poisonFuncs,
 		Meter: Meter{
-			Request: func(string, string, time.Duration) {},
-			First:   func(string, time.Duration) {},
-			Try:     func(string, string) {},
-			Refusal: func(string) {},
-			Forward: func(string, string) {},
-			Resumed: func(string) {},
+			Request:       func(string, string, time.Duration) {},
+			FirstResponse: func(string, time.Duration) {},
+			Attempt:       func(string, string) {},
+			Refusal:       func(string) {},
+			Forward:       func(string, string) {},
+			Resumed:       func(string) {},
 		},
 	}
 }
@@ -305,21 +305,21 @@
 
 func (g *region) box(pool *exchange.Pool) http.Handler {
 	return New("box", "a", Codec{
-		Facts: func(http.Header) (Facts, error) {
+		ReadFacts: func(http.Header) (Facts, error) {
 			return Facts{
 				ID:       "q",
 				Deadline: 15 * time.Second,
 			}, nil
 		},
-		Send: func(h http.Header, s Send) {
-			if s.LastEvent != "" {
-				h.Set("Last-Event-Id", s.LastEvent)
+		WriteReplicaHeaders: func(h http.Header, s ReplicaHeaders) {
+			if s.LastEventID != "" {
+				h.Set("Last-Event-Id", s.LastEventID)
 			}
 		},
-		Owns:    func(http.Header, string) bool { return true },
-		Ran:     func(status int, _ http.Header) bool { return status != http.StatusServiceUnavailable },
-		Genuine: func(http.Header) bool { return true },
-		Load:    func(http.Header) (int, int, bool) { return 0, 0, false },
+		MatchesRequest: func(http.Header, string) bool { return true },
+		Executed:       func(status int, _ http.Header) bool { return status != http.StatusServiceUnavailable },
+		FromReplica:    func(http.Header) bool { return true },
+		LoadReport:     func(http.Header) (int, int, bool) { return 0, 0, false },
 	}, g.core(), pool, pool).Callers()
 }
 
--- a/ingress/response.go
+++ b/ingress/response.go
@@ -28,14 +28,14 @@
 	body []byte
 }
 
-func (a *attempt) pass(ctx context.Context, answer *exchange.Answer) attemptOutcome {
+func (a *attempt) pass(ctx context.Context, answer *exchange.Response) attemptOutcome {
 	c := a.call
 	status := answer.Status()
 	success := status >= http.StatusOK && status < http.StatusMultipleChoices
-	if success && !c.server.codec.Genuine(answer.Header()) {
+	if success && !c.server.codec.FromReplica(answer.Header()) {
 		c.record(decision.Event{
 			Kind:     decision.Try,
-			Upstream: a.target.Choice.Replica,
+			Upstream: a.target.Choice.Incarnation,
 			Outcome:  decision.Crossed,
 			Reason:   "not a replica's answer",
 			Status:   status,
@@ -57,7 +57,7 @@
 }
 
 // passComplete reads a complete response before it forwards it.
-func (a *attempt) passComplete(ctx context.Context, answer *exchange.Answer, body io.Reader, success bool) attemptOutcome {
+func (a *attempt) passComplete(ctx context.Context, answer *exchange.Response, body io.Reader, success bool) attemptOutcome {
 	c := a.call
 	var buf bytes.Buffer
 	n, err := io.Copy(&buf, io.LimitReader(body, maxBufferedBody+1))
@@ -113,9 +113,9 @@
 
 // passLong forwards a response that is too long to be buffered; prefix is what was read
 // of it.
-func (a *attempt) passLong(ctx context.Context, answer *exchange.Answer, body io.Reader, prefix response) attemptOutcome {
+func (a *attempt) passLong(ctx context.Context, answer *exchange.Response, body io.Reader, prefix response) attemptOutcome {
 	c := a.call
-	length, chunked := answer.Framed()
+	length, chunked := answer.BodyLength()
 	c.setHeader(prefix.responseHead)
 	if !chunked && length >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
@@ -143,7 +143,7 @@
 		c.state = max(c.state, stateMaybeRan)
 		return abandoned
 	}
-	a.result = placement.Silent
+	a.result = placement.NoResponse
 	if c.state == stateStarted {
 		return interrupted
 	}
--- a/ingress/stall.go
+++ b/ingress/stall.go
@@ -36,7 +36,7 @@
 		return func() {}
 	}
 	query := c.newQuery()
-	if replica := a.target.Choice.Replica; replica != "" {
+	if replica := a.target.Choice.Incarnation; replica != "" {
 		query.Request.Tried = append(slices.Clone(query.Request.Tried), replica)
 	}
 	watch := stallWatch{
@@ -61,8 +61,8 @@
 
 type stallWatch struct {
 	attempt      *attempt
-	query        Ask // for the next target
-	initialQuery Ask // the query without the targets that failed a probe
+	query        TargetQuery // for the next target
+	initialQuery TargetQuery // the query without the targets that failed a probe
 	mayCancel    bool
 	timeout      time.Duration
 	reachedAt    time.Time // when another target was last reachable
@@ -81,10 +81,10 @@
 	c.triedBoxes = s.query.TriedBoxes
 	for _, t := range s.unreachable {
 		if t.Box != "" {
-			c.server.core.BoxLost(t.Box)
+			c.server.core.BoxUnreachable(t.Box)
 			continue
 		}
-		c.server.core.End(&t.Choice, placement.Unreachable, replicaDialTimeout)
+		c.server.core.AttemptEnded(&t.Choice, placement.Unreachable, replicaDialTimeout)
 	}
 }
 
@@ -118,7 +118,7 @@
 	if s.attempt.hasUnread() {
 		return stallPollInterval, false // this box is slow, not the replica
 	}
-	other, found := c.server.core.Other(s.query)
+	other, found := c.server.core.PeekTarget(s.query)
 	switch {
 	case !found: // start over with all targets
 		s.query = s.initialQuery
@@ -132,7 +132,7 @@
 	case !s.mayCancel:
 		s.reportSilent()
 		return 0, true
-	case !c.server.core.Repeat(c.service):
+	case !c.server.core.TakeRetry(c.service):
 		s.reportSilent()
 		return budgetPollInterval, false
 	}
@@ -145,8 +145,8 @@
 // reportSilent reports once that the replica is silent while its request keeps waiting.
 func (s *stallWatch) reportSilent() {
 	a := s.attempt
-	if a.target.Choice.Replica != "" && !a.reportedSilent.Swap(true) {
-		a.call.server.core.Muted(&a.target.Choice)
+	if a.target.Choice.Incarnation != "" && !a.reportedSilent.Swap(true) {
+		a.call.server.core.ReplicaSilent(&a.target.Choice)
 	}
 }
 
@@ -160,7 +160,7 @@
 	if a.target.Box != "" {
 		return a.boxIdleTime()
 	}
-	return a.call.server.core.Quiet(&a.target.Choice, a.sent.Add(time.Duration(writtenAfter)))
+	return a.call.server.core.IdleTime(&a.target.Choice, a.sent.Add(time.Duration(writtenAfter)))
 }
 
 // boxIdleTime returns the time since a box last sent bytes. It is 0 before the head of the
@@ -188,9 +188,9 @@
 	defer server.probing.Store(false)
 	var err error
 	if other.Box != "" {
-		err = server.boxes.Reach(ctx, other.BoxAddr, boxDialTimeout)
+		err = server.boxes.Probe(ctx, other.BoxAddr, boxDialTimeout)
 	} else {
-		err = server.replicas.Reach(ctx, other.Choice.Addr, replicaDialTimeout)
+		err = server.replicas.Probe(ctx, other.Choice.Addr, replicaDialTimeout)
 	}
 	switch {
 	case ctx.Err() != nil:
@@ -201,14 +201,14 @@
 	case other.Box != "":
 		s.query.TriedBoxes = append(slices.Clone(s.query.TriedBoxes), other.Box) // it may be down too
 	default:
-		s.query.Request.Tried = append(slices.Clone(s.query.Request.Tried), other.Choice.Replica)
+		s.query.Request.Tried = append(slices.Clone(s.query.Request.Tried), other.Choice.Incarnation)
 	}
 	s.unreachable = append(s.unreachable, other)
 }
 
 // receivedWithin reports whether bytes arrived recently from any address but one.
 func (s *Server) receivedWithin(except string, within time.Duration) bool {
-	return clock.Since(s.replicas.Heard(except)) < within || clock.Since(s.boxes.Heard(except)) < within
+	return clock.Since(s.replicas.LastActivityExcept(except)) < within || clock.Since(s.boxes.LastActivityExcept(except)) < within
 }
 
 func (a *attempt) stallTimeout() time.Duration {
@@ -219,5 +219,5 @@
 	if a.call.route.Kind == catalog.Stream {
 		return max(streamStallTimeout, expect)
 	}
-	return max(time.Duration(callStallFraction*float64(a.call.route.Goal.Duration())), expect)
+	return max(time.Duration(callStallFraction*float64(a.call.route.LatencyTarget.Duration())), expect)
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -16,10 +16,10 @@
 // Never is the age of a policy without a freshness proof.
 const Never = time.Duration(math.MaxInt64)
 
-// Proof is a freshness proof: at the time At no policy newer than Version was published.
-type Proof struct {
-	Version int
-	At      time.Duration // on the box's clock
+// FreshnessProof states that no policy newer than Version was published at ConfirmedAt.
+type FreshnessProof struct {
+	Version     int
+	ConfirmedAt time.Duration // on the box's clock
 }
 
 // Lease holds the freshness proofs of a box. Its zero value has none. It is safe for concurrent
@@ -29,15 +29,15 @@
 	version     int // of the policy in force
 	confirmedAt time.Duration
 	confirmed   bool
-	pending     []Proof // of versions that are not in force, oldest first
+	pending     []FreshnessProof // of versions that are not in force, oldest first
 }
 
-// Prove records a proof. A proof of a later version applies once that version is in force.
-func (l *Lease) Prove(p Proof) {
+// AddProof records a proof. A proof of a later version applies once that version is in force.
+func (l *Lease) AddProof(p FreshnessProof) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if p.Version <= l.version {
-		l.confirm(p.At)
+		l.confirm(p.ConfirmedAt)
 		return
 	}
 	if len(l.pending) == maxPending {
@@ -46,16 +46,16 @@
 	l.pending = append(l.pending, p)
 }
 
-// Hold records the version of the policy in force. The caller puts the policy in force first, so
-// that reading the age and then the policy yields a policy at least that new.
-func (l *Lease) Hold(version int) {
+// SetVersion records the version of the policy in force. The caller puts the policy in force
+// first, so that reading the age and then the policy yields a policy at least that new.
+func (l *Lease) SetVersion(version int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version = max(l.version, version)
 	later := l.pending[:0]
 	for _, p := range l.pending {
 		if p.Version <= l.version {
-			l.confirm(p.At)
+			l.confirm(p.ConfirmedAt)
 		} else {
 			later = append(later, p)
 		}
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,13 +15,13 @@
 
 func ExampleLease() {
 	var l lease.Lease
-	l.Prove(lease.Proof{ // of a version that is not in force yet
-		Version: 7,
-		At:      3 * time.Second,
+	l.AddProof(lease.FreshnessProof{ // of a version that is not in force yet
+		Version:     7,
+		ConfirmedAt: 3 * time.Second,
 	})
 	age, _ := l.Age(4 * time.Second)
 	fmt.Println(age == lease.Never)
-	l.Hold(7)
+	l.SetVersion(7)
 	age, version := l.Age(4 * time.Second)
 	fmt.Println(age, version)
 	// Output:
@@ -59,15 +59,15 @@
 				if of.version < newest() {
 					until = published[of.version].at - 1
 				}
-				l.Prove(lease.Proof{
-					Version: of.version,
-					At:      time.Duration(rapid.Int64Range(int64(of.at), int64(max(of.at, until))).Draw(t, "moment")),
+				l.AddProof(lease.FreshnessProof{
+					Version:     of.version,
+					ConfirmedAt: time.Duration(rapid.Int64Range(int64(of.at), int64(max(of.at, until))).Draw(t, "moment")),
 				})
 			},
 			"hold": func(t *rapid.T) {
 				version := rapid.IntRange(0, newest()).Draw(t, "held")
 				inForce = max(inForce, version)
-				l.Hold(version)
+				l.SetVersion(version)
 			},
 			"": func(t *rapid.T) {
 				now++
@@ -92,12 +92,12 @@
 	is := is.New(t)
 	var l lease.Lease
 	for version := range 20 {
-		l.Prove(lease.Proof{
-			Version: version + 1,
-			At:      time.Duration(version + 1),
+		l.AddProof(lease.FreshnessProof{
+			Version:     version + 1,
+			ConfirmedAt: time.Duration(version + 1),
 		})
 	}
-	l.Hold(20)
+	l.SetVersion(20)
 	age, _ := l.Age(30)
 	is.Equal(age, time.Duration(10))
 }
--- a/measure/control/pure.go
+++ b/measure/control/pure.go
@@ -113,10 +113,10 @@
 			Service: service,
 			Policy:  policy,
 			Routing: routing.Request{
-				Affinity: name("prefix", i%600),
-				Spread:   name("id", i),
-				Prefill:  300 * time.Millisecond,
-				Queue:    0.5,
+				PrefixKey:  name("prefix", i%600),
+				RequestKey: name("id", i),
+				Prefill:    300 * time.Millisecond,
+				QueueRatio: 0.5,
 			},
 		}, time.Second)
 		if refused == nil {
@@ -153,8 +153,8 @@
 			Service: service,
 			Policy:  policy,
 			Routing: routing.Request{
-				Affinity: name("organisation/prefix", i),
-				Queue:    0.5,
+				PrefixKey:  name("organisation/prefix", i),
+				QueueRatio: 0.5,
 			},
 		}, time.Second)
 		if refused == nil {
--- a/measure/gossip/box.go
+++ b/measure/gossip/box.go
@@ -94,26 +94,26 @@
 		if err != nil {
 			panic(err) // the world sends what package roster encodes
 		}
-		h := b.table.HearCompact(c, from, now)
-		if h.Newer && h.Status.Region == b.self.Region && (h.All || len(h.Loads) > 0) {
+		h := b.table.ReceiveCompact(c, from, now)
+		if h.Newer && h.Status.Region == b.self.Region && (h.AllLoads || len(h.Loads) > 0) {
 			b.told[h.Sender] = now
 		}
 		b.post(h.Replies)
-		b.learn(int(max(c.Catalog, c.Newest)))
+		b.learn(int(max(c.Catalog, c.NewestCatalog)))
 		return
 	}
 	g, err := roster.Decode(buf)
 	if err != nil {
 		panic(err)
 	}
-	if b.table.Hear(g.From, true, now) && g.From.Region == b.self.Region {
+	if b.table.Receive(g.From, true, now) && g.From.Region == b.self.Region {
 		b.told[g.From.Box] = now
 	}
 	for _, s := range g.Others {
-		b.table.Hear(s, false, now)
+		b.table.Receive(s, false, now)
 	}
 	if g.Ask {
-		b.post(b.table.Answer(b.status(), g.From.Peers, now))
+		b.post(b.table.Reply(b.status(), g.From.Peers, now))
 	}
 	b.learn(g.From.Catalog)
 }
--- a/measure/gossip/row.go
+++ b/measure/gossip/row.go
@@ -71,7 +71,7 @@
 		for _, at := range b.told {
 			ages += (w.now - at).Seconds()
 			n++
-			if w.now-at > max(loadsFor, b.table.LoadsAge()) {
+			if w.now-at > max(loadsFor, b.table.LoadsTTL()) {
 				old++
 			}
 		}
--- a/measure/gossip/world.go
+++ b/measure/gossip/world.go
@@ -160,7 +160,7 @@
 	if b.loads == nil {
 		b.begin()
 	}
-	b.post(b.table.TellEveryone(b.status(), w.now, true))
+	b.post(b.table.Broadcast(b.status(), w.now, true))
 	w.tick(b, b.inc)
 }
 
@@ -170,7 +170,7 @@
 		if !b.up || b.inc != inc {
 			return
 		}
-		b.post(b.table.Tell(b.status(), w.now, w.rnd.IntN))
+		b.post(b.table.Gossip(b.status(), w.now, w.rnd.IntN))
 		w.tick(b, inc)
 	})
 }
@@ -182,7 +182,7 @@
 func (w *World) Leave(i int) {
 	b := w.boxes[i]
 	b.self.State = wire.ServingStateLeaving
-	b.post(b.table.TellEveryone(b.status(), w.now, false))
+	b.post(b.table.Broadcast(b.status(), w.now, false))
 }
 
 // Publish lets one box read a newer revision of the catalog.
--- a/measure/policy/ours.go
+++ b/measure/policy/ours.go
@@ -230,11 +230,11 @@
 		Tried:   tried,
 		Foreign: foreign,
 		Routing: routing.Request{
-			Affinity: r.org.Name + "/" + strconv.Itoa(r.prefix),
-			Spread:   strconv.Itoa(r.id),
-			Prefill:  time.Duration(tokens) * prefillToken,
-			Bound:    firstTokenMs * time.Millisecond,
-			Queue:    queueShare,
+			PrefixKey:  r.org.Name + "/" + strconv.Itoa(r.prefix),
+			RequestKey: strconv.Itoa(r.id),
+			Prefill:    time.Duration(tokens) * prefillToken,
+			MaxTTFT:    firstTokenMs * time.Millisecond,
+			QueueRatio: queueShare,
 		},
 	}
 }
--- a/measure/quarantine/requests.go
+++ b/measure/quarantine/requests.go
@@ -23,7 +23,7 @@
 	start, runs := p.start, p.runs
 	p.start = ""
 	p.runs = make(map[*run]struct{})
-	dialed := make(map[*poison.Watch]bool)
+	dialed := make(map[*poison.Detector]bool)
 	for _, r := range ordered(runs) {
 		w.cutRun(r, start, dialed)
 	}
@@ -31,7 +31,7 @@
 }
 
 // cutRun has the box of a run find out that its replica has ended.
-func (w *World) cutRun(r *run, start string, dialed map[*poison.Watch]bool) {
+func (w *World) cutRun(r *run, start string, dialed map[*poison.Detector]bool) {
 	if r.deadly == nil {
 		w.row.OthersCut++
 		if !r.again {
@@ -42,21 +42,21 @@
 	if r.deadly == nil && w.now()-r.at > survivesAfter {
 		return
 	}
-	if watch == nil || watch.Served().Lately(r.content, w.now()) {
+	if watch == nil || watch.Served().ServedRecently(r.content, w.now()) {
 		return
 	}
-	watch.Cut(start, r.content.Digest(), r.at, w.now())
+	watch.Interrupted(start, r.content.Digest(), r.at, w.now())
 	if r.alone {
 		watch.EndTrial(start, r.content.Digest())
 	}
-	if dialed[watch] || !watch.Dials(start, w.now()) {
+	if dialed[watch] || !watch.ShouldProbe(start, w.now()) {
 		return
 	}
 	dialed[watch] = true
 	b := r.box
-	w.clock.After(dialTime+poison.Settles, func() {
+	w.clock.After(dialTime+poison.JointCrashDelay, func() {
 		if b.watch == watch {
-			watch.Ended(start, w.now())
+			watch.Crashed(start, w.now())
 			w.tell(b)
 		}
 	})
@@ -77,18 +77,18 @@
 	switch {
 	case !quarantined && !b.watch.OnTrial(c.Digest(), w.now()):
 		return false
-	case b.watch.Served().Lately(c, w.now()):
+	case b.watch.Served().ServedRecently(c, w.now()):
 		w.clear(b, c)
 		return false
 	case !quarantined, w.isUntried(b, c):
 		return false
 	}
-	return !b.watch.Served().Before(c) || !b.watch.Tries(c.Digest(), w.others(b), w.now())
+	return !b.watch.Served().WasServed(c) || !b.watch.ShouldRetry(c.Digest(), w.others(b), w.now())
 }
 
 // isUntried says whether a box has a quarantined request tried, which it has served before.
 func (w *World) isUntried(b *box, c *poison.Content) bool {
-	return b.watch.Served().Before(c) && b.watch.Untried(c.Digest())
+	return b.watch.Served().WasServed(c) && b.watch.Untried(c.Digest())
 }
 
 // clear has a box know that a request was answered whole.
@@ -151,7 +151,7 @@
 	if r.came == 0 {
 		r.came = w.now()
 	}
-	may, asks := watch.Try(d, func() []poison.Box { return w.others(r.box) }, w.now())
+	may, asks := watch.RequestTrial(d, func() []poison.Box { return w.others(r.box) }, w.now())
 	w.post(r.box, asks)
 	if may {
 		r.alone = true
@@ -227,11 +227,11 @@
 		return
 	}
 	r.box.watch.Served().Add(r.content, w.now())
-	r.box.watch.Lives(p.start, r.at)
+	r.box.watch.Survived(p.start, r.at)
 	if r.alone {
 		r.box.watch.EndTrial(p.start, r.content.Digest())
 	}
-	if r.box.watch.Known() > 0 || r.content.Digested() {
+	if r.box.watch.PublishedCount() > 0 || r.content.Digested() {
 		w.clear(r.box, r.content)
 	}
 }
@@ -242,7 +242,7 @@
 		return w.pickBut(r.box.region, nil)
 	}
 	for most := 0; ; most++ {
-		but := r.box.watch.Trials(r.content.Digest(), most)
+		but := r.box.watch.IncarnationsOnTrial(r.content.Digest(), most)
 		if p := w.pickBut(r.box.region, but); p != nil || len(but) == 0 {
 			return p
 		}
--- a/measure/quarantine/world.go
+++ b/measure/quarantine/world.go
@@ -53,9 +53,9 @@
 	name   string
 	addr   string
 	region int
-	watch  *poison.Watch // nil while no process runs
-	whole  time.Duration // since when it runs and nothing was cut
-	gone   time.Duration // when its last process ended
+	watch  *poison.Detector // nil while no process runs
+	whole  time.Duration    // since when it runs and nothing was cut
+	gone   time.Duration    // when its last process ended
 	bytes  int
 }
 
@@ -181,7 +181,7 @@
 
 // start starts the process of a box.
 func (w *World) start(b *box) {
-	b.watch = poison.NewWatch(b.name)
+	b.watch = poison.NewDetector(b.name)
 	b.whole = w.now()
 	here := b.watch
 	var round func()
@@ -189,7 +189,7 @@
 		if b.watch != here {
 			return
 		}
-		b.watch.Forget(w.now())
+		b.watch.Expire(w.now())
 		w.tell(b)
 		w.clock.After(tick, round)
 	}
@@ -253,7 +253,7 @@
 		return
 	}
 	to.bytes += len(buf) + headerSize
-	answers, news := to.watch.Hear(buf, from.addr, w.now())
+	answers, news := to.watch.Receive(buf, from.addr, w.now())
 	w.post(to, answers)
 	if news {
 		w.tell(to)
--- a/meter/count.go
+++ b/meter/count.go
@@ -11,17 +11,17 @@
 // Request counts a completed request.
 func (m *Meter) Request(service, outcome string) { m.requests.WithLabelValues(service, outcome).Inc() }
 
-// Try counts a completed attempt.
-func (m *Meter) Try(service, outcome string) { m.attempts.WithLabelValues(service, outcome).Inc() }
+// Attempt counts a completed attempt.
+func (m *Meter) Attempt(service, outcome string) { m.attempts.WithLabelValues(service, outcome).Inc() }
 
-// RepeatTaken counts a retry that the retry budget allowed.
-func (m *Meter) RepeatTaken() { m.retries.WithLabelValues(resultAllowed).Inc() }
+// RetryAllowed counts a retry that the retry budget allowed.
+func (m *Meter) RetryAllowed() { m.retries.WithLabelValues(resultAllowed).Inc() }
 
-// RepeatRefused counts a retry that the retry budget refused.
-func (m *Meter) RepeatRefused() { m.retries.WithLabelValues(resultRefused).Inc() }
+// RetryRefused counts a retry that the retry budget refused.
+func (m *Meter) RetryRefused() { m.retries.WithLabelValues(resultRefused).Inc() }
 
-// ColdSendPaced counts a send to a cold replica that was rate-limited.
-func (m *Meter) ColdSendPaced() { m.coldSends.WithLabelValues(resultRateLimited).Inc() }
+// ColdSendRateLimited counts a send to a cold replica that was rate-limited.
+func (m *Meter) ColdSendRateLimited() { m.coldSends.WithLabelValues(resultRateLimited).Inc() }
 
 // ColdSendRefused counts a send to a cold replica that was refused.
 func (m *Meter) ColdSendRefused() { m.coldSends.WithLabelValues(resultRefused).Inc() }
@@ -47,8 +47,8 @@
 // StoreCall counts a call to the store.
 func (m *Meter) StoreCall(kind, result string) { m.storeCalls.WithLabelValues(kind, result).Inc() }
 
-// Account counts a usage report requested from an engine.
-func (m *Meter) Account(answered bool) {
+// UsageReport counts a usage report requested from an engine.
+func (m *Meter) UsageReport(answered bool) {
 	result := "ok"
 	if !answered {
 		result = "failed"
@@ -67,8 +67,8 @@
 	m.firstByte.WithLabelValues(service).Observe(d.Seconds())
 }
 
-// Answer observes the time from a request to the end of its response.
-func (m *Meter) Answer(service string, d time.Duration) {
+// Response observes the time from a request to the end of its response.
+func (m *Meter) Response(service string, d time.Duration) {
 	m.answer.WithLabelValues(service).Observe(d.Seconds())
 }
 
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -39,10 +39,10 @@
 	)
 	m.Request("chat", "served")
 	m.Request("chat", "served")
-	m.Try("chat", "broken")
-	m.RepeatTaken()
-	m.RepeatRefused()
-	m.ColdSendPaced()
+	m.Attempt("chat", "broken")
+	m.RetryAllowed()
+	m.RetryRefused()
+	m.ColdSendRateLimited()
 	m.ColdSendRefused()
 	m.Refusal("overload")
 	m.Forward("eu", "served")
@@ -54,7 +54,7 @@
 	m.Trial()
 	m.Suspended(8 * time.Second)
 	m.FirstByte("chat", 100*time.Millisecond)
-	m.Answer("chat", 3*time.Second)
+	m.Response("chat", 3*time.Second)
 	return m
 }
 
--- a/node/activeboxes.go
+++ b/node/activeboxes.go
@@ -46,5 +46,5 @@
 		s.active[region] = set
 	}
 	here := min(len(byRegion[s.settings.Region]), maxActive)
-	s.view.ByWords(!s.roster.TellsLoads(), here)
+	s.view.UseReports(!s.roster.SharesLoads(), here)
 }
--- a/node/activeboxes_test.go
+++ b/node/activeboxes_test.go
@@ -25,7 +25,7 @@
 			b.receiveStatus(status(fmt.Sprint(region, "-", n), region), start)
 		}
 	}
-	b.roster.Adapt(start)
+	b.roster.BeginTick(start)
 	b.chooseActive(wire.ServingStateServing, start)
 	return b
 }
@@ -42,7 +42,7 @@
 			all = named
 		}
 		is.Equal(named, all)
-		if slices.Contains(named, b.settings.Callers) {
+		if slices.Contains(named, b.settings.CallerAddr) {
 			taking++
 		}
 	}
@@ -79,10 +79,10 @@
 
 // reportAll records a load report of all engines with a number of requests.
 func (b *testBox) reportAll(requests int) {
-	var words []roster.CompactWord
+	var words []roster.CompactLoadReport
 	for _, r := range b.view.Replicas() {
-		words = append(words, roster.CompactWord{
-			Replica:  roster.ReplicaIDOf(r.Start()),
+		words = append(words, roster.CompactLoadReport{
+			Replica:  roster.ReplicaIDOf(r.Incarnation()),
 			Requests: requests,
 		})
 	}
@@ -95,7 +95,7 @@
 	asks := make(map[string]int)
 	for n := range largeBoxes {
 		b := newLargeRegionBox(fmt.Sprintf("box-%03d", n), largeBoxes)
-		is.True(!b.roster.TellsLoads())
+		is.True(!b.roster.SharesLoads())
 		is.Equal(len(b.reportTargets(start)), 0) // it has no record of any work
 		b.reportAll(8)
 		for _, e := range b.reportTargets(start) {
@@ -120,7 +120,7 @@
 	other := newLargeRegionBox("outside", largeBoxes)
 	id := replicas("a", 3)[2].ID
 	is.Equal(len(b.loadReportPackets(start, lowest)), 0) // no reports
-	b.receiveLoadReports([]roster.CompactWord{{
+	b.receiveLoadReports([]roster.CompactLoadReport{{
 		Replica:  roster.ReplicaIDOf(id),
 		Age:      100 * time.Millisecond,
 		Requests: 7,
@@ -133,7 +133,7 @@
 		is.NoErr(err)
 		other.receiveCompact(got, "peers of "+b.settings.Box, start)
 	}
-	words := other.view.Words(start)
+	words := other.view.BusyReports(start)
 	is.Equal(len(words), 1)
 	is.Equal(words[0].Replica, id)
 	is.Equal(words[0].Requests, 7)
--- a/node/core.go
+++ b/node/core.go
@@ -10,47 +10,47 @@
 )
 
 // core returns the functions through which ingress uses the box.
-func (n *Node) core(ctx context.Context) ingress.Core {
-	return ingress.Core{
-		Table:    n.table.Load,
-		Current:  n.hasCurrentPolicy,
-		Leaving:  n.leaving.Load,
-		Streams:  n.acceptsStreams,
-		Others:   n.anotherBoxServes,
-		EndsBy:   n.answerDeadline,
-		Place:    n.place,
-		Begin:    n.countRequest,
-		Repeat:   n.takeRetry,
-		Written:  n.recordWrite,
-		First:    n.recordFirstByte,
-		Heard:    n.recordProgress,
-		Quiet:    n.sinceLastReceived,
-		Muted:    n.recordSilence,
-		Other:    n.alternative,
-		Loaded:   n.recordLoad,
-		Streamed: n.recordStream,
-		End:      n.endRequest,
-		BoxLost:  n.recordUnreachable,
-		Crossed:  n.recordRegionResult,
-		Behind:   n.recordPolicyVersion,
-		Record:   n.record,
-		Poison:   n.poison(ctx),
+func (n *Node) core(ctx context.Context) ingress.Hooks {
+	return ingress.Hooks{
+		Table:           n.table.Load,
+		CatalogFresh:    n.hasCurrentPolicy,
+		Leaving:         n.leaving.Load,
+		AcceptsStreams:  n.acceptsStreams,
+		OtherBoxServing: n.anotherBoxServes,
+		StopDeadline:    n.answerDeadline,
+		Place:           n.place,
+		CountRequest:    n.countRequest,
+		TakeRetry:       n.takeRetry,
+		RequestWritten:  n.recordWrite,
+		HeadReceived:    n.recordFirstByte,
+		DataReceived:    n.recordProgress,
+		IdleTime:        n.sinceLastReceived,
+		ReplicaSilent:   n.recordSilence,
+		PeekTarget:      n.alternative,
+		LoadReported:    n.recordLoad,
+		StreamCompleted: n.recordStream,
+		AttemptEnded:    n.endRequest,
+		BoxUnreachable:  n.recordUnreachable,
+		ForwardEnded:    n.recordRegionResult,
+		NewerPolicySeen: n.recordPolicyVersion,
+		Record:          n.record,
+		Poison:          n.poison(ctx),
 		Keys: ingress.Keys{
-			Hold:      n.keysValid,
-			Current:   n.keysCurrent,
-			Reserve:   n.reserve,
-			Unreserve: n.quotas.credits.Return,
+			WithinLease:  n.keysValid,
+			CatalogFresh: n.keysCurrent,
+			Reserve:      n.reserve,
+			Release:      n.quotas.credits.Refund,
 		},
 		Meter: ingress.Meter{
 			Request: func(service, outcome string, took time.Duration) {
 				n.meter.Request(service, outcome)
-				n.meter.Answer(service, took)
+				n.meter.Response(service, took)
 			},
-			First:   n.meter.FirstByte,
-			Try:     n.meter.Try,
-			Refusal: n.meter.Refusal,
-			Forward: n.meter.Forward,
-			Resumed: func(string) { n.meter.Resumed() },
+			FirstResponse: n.meter.FirstByte,
+			Attempt:       n.meter.Attempt,
+			Refusal:       n.meter.Refusal,
+			Forward:       n.meter.Forward,
+			Resumed:       func(string) { n.meter.Resumed() },
 		},
 	}
 }
@@ -59,29 +59,29 @@
 // policy than its own.
 func (n *Node) hasCurrentPolicy() bool {
 	due := 0
-	_ = n.state.Do(func(s *state) { due = s.content.PolicyDue() }) // it fails only when the box has ended
+	_ = n.state.Do(func(s *state) { due = s.content.MissingPolicyVersion() }) // it fails only when the box has ended
 	return n.storeOK.Load() && due == 0
 }
 
 // recordPolicyVersion records the policy version of a box that forwarded a request. A follower
 // fetches a newer policy from other boxes: a read per request would fill its link.
 func (n *Node) recordPolicyVersion(version int) {
-	n.state.Post(func(s *state) { s.content.HeardOfPolicy(version) })
+	n.state.Post(func(s *state) { s.content.RecordPolicyVersion(version) })
 	if !n.isFollower.Load() {
-		n.feed.Behind(n.feed.Known() + 1)
+		n.feed.NotifyRevision(n.feed.Revision() + 1)
 	}
 }
 
 // The errors of state.Do below are ignored: it fails only after the box has stopped.
 
 // place chooses a target for a request and counts the request there.
-func (n *Node) place(ask ingress.Ask) (t ingress.Target) {
-	t.Reason = placement.Nothing
+func (n *Node) place(ask ingress.TargetQuery) (t ingress.Target) {
+	t.Reason = placement.NoReplica
 	_ = n.state.Do(func(s *state) { t = s.place(ask, n.now(), n.draw) })
-	if t.Reason == placement.Paced {
-		n.meter.ColdSendPaced()
+	if t.Reason == placement.RateLimited {
+		n.meter.ColdSendRateLimited()
 	}
-	if t.Choice.Reads >= notifyTokens {
+	if t.Choice.PrefillTokens >= notifyTokens {
 		n.sendLoads()
 	}
 	return t
@@ -99,9 +99,9 @@
 func (n *Node) takeRetry(service string) (ok bool) {
 	_ = n.state.Do(func(s *state) { ok = s.budget.Take(service, s.retryBoxes(n.now()), n.now()) })
 	if ok {
-		n.meter.RepeatTaken()
+		n.meter.RetryAllowed()
 	} else {
-		n.meter.RepeatRefused()
+		n.meter.RetryRefused()
 	}
 	return ok
 }
@@ -110,19 +110,19 @@
 func (n *Node) recordWrite(c *placement.Choice) {
 	choice := *c // a copy, as the end of the request clears its reservation
 	now := n.now()
-	n.state.Post(func(s *state) { s.view.Written(&choice, now) })
+	n.state.Post(func(s *state) { s.view.RecordSend(&choice, now) })
 }
 
 func (n *Node) recordFirstByte(c *placement.Choice, took time.Duration) {
-	_ = n.state.Do(func(s *state) { s.view.First(c, took, n.now()) })
+	_ = n.state.Do(func(s *state) { s.view.RecordFirstByte(c, took, n.now()) })
 }
 
 // recordLoad records the load report in an answer's headers.
 func (n *Node) recordLoad(c *placement.Choice, requests, waiting int) {
 	_ = n.state.Do(func(s *state) {
 		now := n.now()
-		s.view.Loaded(c, requests, now)
-		s.view.Says(c.Replica, placement.Word{
+		s.view.RecordSelfReport(c, requests, now)
+		s.view.RecordReport(c.Incarnation, placement.LoadReport{
 			Requests: requests,
 			Waiting:  waiting,
 			At:       now,
@@ -133,22 +133,22 @@
 // recordStream records the number of events of a complete stream and the caller's estimate of
 // its tokens.
 func (n *Node) recordStream(service string, events, guess int) {
-	n.state.Post(func(s *state) { s.view.Streamed(service, events, guess) })
+	n.state.Post(func(s *state) { s.view.RecordStream(service, events, guess) })
 }
 
 func (n *Node) recordProgress(c *placement.Choice) {
-	_ = n.state.Do(func(s *state) { s.view.Heard(c, n.now()) })
+	_ = n.state.Do(func(s *state) { s.view.RecordActivity(c, n.now()) })
 }
 
 // sinceLastReceived returns the time since this box last received anything from a replica.
 func (n *Node) sinceLastReceived(c *placement.Choice, sent time.Time) (d time.Duration) {
-	_ = n.state.Do(func(s *state) { d = s.view.Quiet(c, sent.Sub(n.started), n.now()) })
+	_ = n.state.Do(func(s *state) { d = s.view.SinceLastSeen(c, sent.Sub(n.started), n.now()) })
 	return d
 }
 
 // alternative returns an alternative target without counting the request; false when there is
 // none.
-func (n *Node) alternative(ask ingress.Ask) (t ingress.Target, found bool) {
+func (n *Node) alternative(ask ingress.TargetQuery) (t ingress.Target, found bool) {
 	_ = n.state.Do(func(s *state) { t, found = s.alternative(ask, n.now(), n.draw) })
 	return t, found
 }
@@ -156,21 +156,21 @@
 // endRequest records the result of a request and removes it from the count.
 func (n *Node) endRequest(c *placement.Choice, r placement.Result, took time.Duration) {
 	if r == placement.Misdirected {
-		n.queueMisdirected(c.Replica)
+		n.queueMisdirected(c.Incarnation)
 	}
 	out := false
 	_ = n.state.Do(func(s *state) { out = s.view.End(c, r, took, n.now()) })
 	if out {
-		n.recordEjection(c.Replica)
+		n.recordEjection(c.Incarnation)
 	}
 }
 
 // recordSilence records that a replica has stopped answering under a request that still waits.
 func (n *Node) recordSilence(c *placement.Choice) {
 	out := false
-	_ = n.state.Do(func(s *state) { out = s.view.Muted(c, n.now()) })
+	_ = n.state.Do(func(s *state) { out = s.view.RecordNoResponse(c, n.now()) })
 	if out {
-		n.recordEjection(c.Replica)
+		n.recordEjection(c.Incarnation)
 	}
 }
 
--- a/node/cost_test.go
+++ b/node/cost_test.go
@@ -63,7 +63,7 @@
 		{"a beat", 80_000, func() {
 			box.role(start)
 			box.sharers(start)
-			box.roster.Tell(box.fillStatus(box.self, start), start, rand.IntN)
+			box.roster.Gossip(box.fillStatus(box.self, start), start, rand.IntN)
 		}},
 	}
 	for _, l := range limits {
@@ -98,7 +98,7 @@
 		box.role(start)
 		box.sharers(start)
 		self := box.fillStatus(box.self, start)
-		box.roster.Tell(self, start, rand.IntN)
+		box.roster.Gossip(self, start, rand.IntN)
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	var list []roster.Packet
 	for len(list) < 64 {
-		list = append(list, other.roster.Tell(other.fillStatus(other.self, start), start, rand.IntN)...)
+		list = append(list, other.roster.Gossip(other.fillStatus(other.self, start), start, rand.IntN)...)
 	}
 	var compact []roster.Compact
 	for _, p := range list {
--- a/node/crossregion.go
+++ b/node/crossregion.go
@@ -30,10 +30,10 @@
 // remoteRegion is another region with capacity for a request.
 type remoteRegion struct {
 	region    string
-	boxes     []*roster.Member  // targets; owned by the roster
-	reporters []*roster.Member  // serving boxes, which send the region's capacity; owned by the roster
-	estimate  placement.Outlook // by the latest capacity sent
-	loss      float64           // expected loss
+	boxes     []*roster.Member   // targets; owned by the roster
+	reporters []*roster.Member   // serving boxes, which send the region's capacity; owned by the roster
+	estimate  placement.Estimate // by the latest capacity sent
+	loss      float64            // expected loss
 }
 
 func (s *state) recordRegionResult(region string, ok bool, now time.Duration) {
@@ -53,14 +53,14 @@
 const drawRange = 1000 // values of one random draw
 
 // remoteRegions returns the other regions with capacity for a request, sorted by name.
-func (s *state) remoteRegions(ask ingress.Ask, now time.Duration) []remoteRegion {
-	if ask.Relayed {
+func (s *state) remoteRegions(ask ingress.TargetQuery, now time.Duration) []remoteRegion {
+	if ask.Forwarded {
 		return nil
 	}
 	byRegion := make(map[string]*remoteRegion)
 	for m := range s.roster.AllServing("", now) {
 		region := m.Status.Region
-		if slices.Contains(ask.NoRegions, region) || region == s.settings.Region || !ask.Route.Allows(region) {
+		if slices.Contains(ask.ExcludedRegions, region) || region == s.settings.Region || !ask.Route.Allows(region) {
 			continue
 		}
 		f, ok := byRegion[region]
@@ -89,7 +89,7 @@
 	return out
 }
 
-func (s *state) mayForward(ask ingress.Ask, m *roster.Member, now time.Duration) bool {
+func (s *state) mayForward(ask ingress.TargetQuery, m *roster.Member, now time.Duration) bool {
 	return s.active[m.Status.Region].has(m.Status.Box) && m.Status.Forward != "" &&
 		!slices.Contains(ask.TriedBoxes, m.Status.Box) && !s.isUnreachable(m, now)
 }
@@ -97,14 +97,14 @@
 // homeRegion returns the region that caches the shared segments of a prompt. Weighted rendezvous
 // hashing gives each region prompts in proportion to its replicas, and all boxes agree. It is
 // empty for a prompt with few shared tokens.
-func (s *state) homeRegion(ask ingress.Ask, here placement.Outlook, others []remoteRegion) string {
-	if ask.Request.Shared() < minSharedTokens {
+func (s *state) homeRegion(ask ingress.TargetQuery, here placement.Estimate, others []remoteRegion) string {
+	if ask.Request.SharedTokens() < minSharedTokens {
 		return ""
 	}
 	best := ""
 	top := 0.0
 	consider := func(region string, usable int) {
-		if w := rendezvous.Weighted(ask.Request.Subject(), region, float64(usable)); w > top {
+		if w := rendezvous.Weighted(ask.Request.RoutingKey(), region, float64(usable)); w > top {
 			top = w
 			best = region
 		}
@@ -120,17 +120,17 @@
 
 // lowestLoss computes the expected loss in other regions and returns the region with the lowest;
 // false when there is none.
-func (s *state) lowestLoss(others []remoteRegion, ask ingress.Ask, home string, goals placement.Goals, now time.Duration) (remoteRegion, bool) {
+func (s *state) lowestLoss(others []remoteRegion, ask ingress.TargetQuery, home string, goals placement.Targets, now time.Duration) (remoteRegion, bool) {
 	var best remoteRegion
 	for i, f := range others {
 		unread := ask.Request.Prompt
 		if f.region == home {
-			unread -= ask.Request.Shared()
+			unread -= ask.Request.SharedTokens()
 		}
-		f.estimate.Expect += crossRegionTime + placement.ReadTime(unread)
-		f.loss = f.estimate.Risk(goals) + ask.Request.Harm(unread-ask.Request.Own(), f.estimate.Fewest) + failureLoss*s.regionFailures[f.region].Share(now)
+		f.estimate.Expect += crossRegionTime + placement.PrefillTime(unread)
+		f.loss = f.estimate.ExpectedLoss(goals) + ask.Request.InterferenceCost(unread-ask.Request.UniqueTokens(), f.estimate.MinRequests) + failureLoss*s.regionFailures[f.region].Share(now)
 		if home != "" && f.region != home {
-			f.loss += cacheMissCost * float64(ask.Request.Shared()) / 1000
+			f.loss += cacheMissCost * float64(ask.Request.SharedTokens()) / 1000
 		}
 		if i == 0 || f.loss < best.loss || (f.loss == best.loss && f.estimate.Expect < best.estimate.Expect) {
 			best = f
@@ -139,10 +139,10 @@
 	return best, len(others) > 0
 }
 
-func (s *state) localLoss(here placement.Outlook, ask ingress.Ask, goals placement.Goals, home string) float64 {
-	loss := here.Risk(goals) + ask.Request.Harm(here.Missing, here.Fewest)
+func (s *state) localLoss(here placement.Estimate, ask ingress.TargetQuery, goals placement.Targets, home string) float64 {
+	loss := here.ExpectedLoss(goals) + ask.Request.InterferenceCost(here.Missing, here.MinRequests)
 	if home != "" && home != s.settings.Region {
-		loss += cacheMissCost * float64(here.Unsent) / 1000
+		loss += cacheMissCost * float64(here.Uncached) / 1000
 	}
 	return loss
 }
@@ -180,15 +180,15 @@
 // heartbeat since the last failure.
 func (s *state) isUnreachable(m *roster.Member, now time.Duration) bool {
 	u, ok := s.unreachable[m.Status.Box]
-	return ok && (u.backOff.On(now) || m.Heard <= u.failedAt || (u.probedAt > 0 && now-u.probedAt < probeWindow))
+	return ok && (u.backOff.On(now) || m.LastHeartbeat <= u.failedAt || (u.probedAt > 0 && now-u.probedAt < probeWindow))
 }
 
 // capacityOf returns the latest capacity of a region that any of its boxes sent for a service;
 // false when no replica can take a request.
-func (s *state) capacityOf(boxes []*roster.Member, service string, now time.Duration) (out placement.Outlook, ok bool) {
+func (s *state) capacityOf(boxes []*roster.Member, service string, now time.Duration) (out placement.Estimate, ok bool) {
 	newest := time.Duration(-1)
 	for _, m := range boxes {
-		if m.Told <= newest || now-m.Told > max(capacityTTL, s.roster.RoomsAge()) {
+		if m.CapacityAt <= newest || now-m.CapacityAt > max(capacityTTL, s.roster.CapacityTTL()) {
 			continue
 		}
 		at := slices.IndexFunc(m.Status.Rooms, func(r wire.ServiceRoom) bool { return r.Service == service })
@@ -196,13 +196,13 @@
 			continue
 		}
 		reported := m.Status.Rooms[at]
-		newest = m.Told
-		out = placement.Outlook{
-			Expect: time.Duration(reported.WaitMs) * time.Millisecond,
-			Busy:   float64(reported.Busy) / percent,
-			Usable: reported.Usable,
-			Fewest: reported.Fewest,
-			AgeMs:  (now - m.Told).Milliseconds(),
+		newest = m.CapacityAt
+		out = placement.Estimate{
+			Expect:       time.Duration(reported.WaitMs) * time.Millisecond,
+			PrefillShare: float64(reported.Busy) / percent,
+			Usable:       reported.Usable,
+			MinRequests:  reported.Fewest,
+			AgeMs:        (now - m.CapacityAt).Milliseconds(),
 		}
 		ok = reported.Usable > 0 && out.Expect < noCapacityWait
 	}
--- a/node/directory.go
+++ b/node/directory.go
@@ -37,11 +37,11 @@
 	if s.table == nil {
 		return false
 	}
-	if s.table.HomeOfAll(host, region) {
+	if s.table.AllowsAllRoutes(host, region) {
 		return true
 	}
 	all, allowed := 0.0, 0.0
-	for _, r := range s.table.Homes(host) {
+	for _, r := range s.table.RegionBoundRoutes(host) {
 		n := s.routeRequests[r.Name].At(now, routeHalfLife)
 		all += n
 		if r.Allows(region) {
@@ -59,7 +59,7 @@
 	serving, leaving := wire.ServingStateServing, wire.ServingStateLeaving
 	near := func(r string) bool { return r == region }
 	home := func(r string) bool { return s.homeOfMost(host, r, now) }
-	free := func(string) bool { return s.table != nil && !s.table.Bound(host) }
+	free := func(string) bool { return s.table != nil && !s.table.IsRegionBound(host) }
 	steps := []struct {
 		state wire.ServingState
 		in    func(region string) bool
@@ -102,7 +102,7 @@
 		}
 	}
 	if s.table != nil && own == want {
-		consider(s.settings.Box, s.settings.Region, s.settings.Callers)
+		consider(s.settings.Box, s.settings.Region, s.settings.CallerAddr)
 	}
 	return out
 }
--- a/node/drain.go
+++ b/node/drain.go
@@ -17,11 +17,11 @@
 	serveCheckInterval = 50 * time.Millisecond   // between two checks for another serving box
 )
 
-// Leave begins a planned stop: the directory no longer returns the box, which completes the
+// Drain begins a planned stop: the directory no longer returns the box, which completes the
 // requests in flight and ends.
-func (n *Node) Leave() {
+func (n *Node) Drain() {
 	n.stopOnce.Do(func() {
-		n.stopAt.Store(int64(n.now() + n.settings.Bounds.StopWithin - stopMargin))
+		n.stopAt.Store(int64(n.now() + n.settings.Bounds.StopTimeout - stopMargin))
 		n.leaving.Store(true)
 		n.record(decision.Event{
 			Kind:   decision.Stop,
@@ -41,9 +41,9 @@
 	case <-n.stop:
 	}
 	n.notifyAll(false)
-	limit, stop := context.WithTimeout(ctx, n.settings.Bounds.StopWithin-stopMargin)
+	limit, stop := context.WithTimeout(ctx, n.settings.Bounds.StopTimeout-stopMargin)
 	defer stop()
-	sleep.For(limit, min(acceptWindow, n.settings.Bounds.StopWithin/2))
+	sleep.For(limit, min(acceptWindow, n.settings.Bounds.StopTimeout/2))
 	n.closed.Store(true)
 	n.notifyAll(false)
 	n.awaitServingBox(limit)
