--- a/node/dump.go
+++ b/node/dump.go
@@ -11,24 +11,24 @@
 
 // Dump is the state of a box, for operators.
 type Dump struct {
-	Box      string        `json:"box"`
-	Region   string        `json:"region"`
-	Domain   string        `json:"failure_domain"`
-	UptimeS  float64       `json:"uptime_s"`
-	Leaving  bool          `json:"leaving"`
-	Policy   int           `json:"policy_version"`
-	Revision int64         `json:"catalog_revision"`
-	AgeS     float64       `json:"catalog_age_s"`
-	LeaseS   float64       `json:"lease_age_s"`   // since the policy was confirmed as the newest; below 0 for never
-	Follows  bool          `json:"follows"`       // other boxes watch the catalog on behalf of this one
-	Taking   bool          `json:"takes_callers"` // active; a region of many boxes has standby boxes
-	Sharing  int           `json:"sharing_boxes"` // boxes that share the region's quotas; 0 until all are recorded
-	Closed   []string      `json:"closed_failure_domains"`
-	Boxes    []BoxDump     `json:"boxes"`
-	Replicas []ReplicaDump `json:"replicas"`
-	Retries  []RetryDump   `json:"retries_left"`
-	Poison   []PoisonDump  `json:"requests_that_end_replicas"`
-	Credit   []CreditDump  `json:"credit"`
+	Box          string        `json:"box"`
+	Region       string        `json:"region"`
+	Domain       string        `json:"failure_domain"`
+	UptimeS      float64       `json:"uptime_s"`
+	Leaving      bool          `json:"leaving"`
+	Policy       int           `json:"policy_version"`
+	Revision     int64         `json:"catalog_revision"`
+	CatalogAgeS  float64       `json:"catalog_age_s"`
+	LeaseAgeS    float64       `json:"lease_age_s"`   // since the policy was confirmed as the newest; below 0 for never
+	IsFollower   bool          `json:"follows"`       // other boxes watch the catalog on behalf of this one
+	Active       bool          `json:"takes_callers"` // active; a region of many boxes has standby boxes
+	SharingBoxes int           `json:"sharing_boxes"` // boxes that share the region's quotas; 0 until all are recorded
+	Evacuated    []string      `json:"closed_failure_domains"`
+	Boxes        []BoxDump     `json:"boxes"`
+	Replicas     []ReplicaDump `json:"replicas"`
+	Retries      []RetryDump   `json:"retries_left"`
+	Poison       []PoisonDump  `json:"requests_that_end_replicas"`
+	Credit       []CreditDump  `json:"credit"`
 }
 
 // CreditDump is the credit that this box holds of an organisation's quota.
@@ -40,7 +40,7 @@
 // PoisonDump is the record of a request under which replicas crashed.
 type PoisonDump struct {
 	Digest          string  `json:"digest"`
-	Ends            int     `json:"ends"`                     // crashes of replicas since its last complete response
+	Crashes         int     `json:"ends"`                     // crashes of replicas since its last complete response
 	OnTrial         bool    `json:"on_trial,omitempty"`       // runs one at a time until it is known whether replicas survive it
 	QuarantinedForS float64 `json:"quarantined_for_s"`        // remaining time of its quarantine; 0 for a suspect
 	AnsweredS       float64 `json:"answered_ago_s,omitempty"` // since a replica last survived it; 0 for never
@@ -57,20 +57,20 @@
 
 // ReplicaDump is the record of a replica.
 type ReplicaDump struct {
-	ID       string  `json:"id"`
-	Service  string  `json:"service"`
-	Addr     string  `json:"addr"`
-	Leaving  bool    `json:"leaving"`
-	Cold     bool    `json:"cold"`
-	Out      bool    `json:"out_of_reach"`
-	Own      int     `json:"own_requests"`
-	All      int     `json:"all_requests"`
-	Tokens   int     `json:"tokens"`
-	Unread   int     `json:"unread_tokens"`
-	Failing  float64 `json:"failing"`
-	Slow     float64 `json:"slow"`
-	WordMs   int64   `json:"word_age_ms,omitempty"` // of its last load report, where boxes use these
-	Revision int64   `json:"revision"`
+	ID          string  `json:"id"`
+	Service     string  `json:"service"`
+	Addr        string  `json:"addr"`
+	Leaving     bool    `json:"leaving"`
+	Cold        bool    `json:"cold"`
+	Ejected     bool    `json:"out_of_reach"`
+	OwnRequests int     `json:"own_requests"`
+	AllRequests int     `json:"all_requests"`
+	Tokens      int     `json:"tokens"`
+	Unread      int     `json:"unread_tokens"`
+	Failing     float64 `json:"failing"`
+	Slow        float64 `json:"slow"`
+	ReportAgeMs int64   `json:"word_age_ms,omitempty"` // of its last load report, where boxes use these
+	Revision    int64   `json:"revision"`
 }
 
 // RetryDump is the remaining retry budget of a service.
@@ -82,19 +82,19 @@
 // Dump returns the state of the box.
 func (n *Node) Dump() Dump {
 	d := Dump{
-		Box:     n.settings.Box,
-		Region:  n.settings.Region,
-		Domain:  n.settings.Domain,
-		UptimeS: n.now().Seconds(),
-		Leaving: n.leaving.Load(),
-		AgeS:    n.catalogAge().Seconds(),
-		LeaseS:  -1,
-		Follows: n.isFollower.Load(),
+		Box:         n.settings.Box,
+		Region:      n.settings.Region,
+		Domain:      n.settings.Domain,
+		UptimeS:     n.now().Seconds(),
+		Leaving:     n.leaving.Load(),
+		CatalogAgeS: n.catalogAge().Seconds(),
+		LeaseAgeS:   -1,
+		IsFollower:  n.isFollower.Load(),
 	}
 	if age := n.leaseAge(); age != lease.Never {
-		d.LeaseS = age.Seconds()
+		d.LeaseAgeS = age.Seconds()
 	}
-	held := n.quotas.credits.Held()
+	held := n.quotas.credits.Balances()
 	for _, name := range slices.Sorted(maps.Keys(held)) {
 		d.Credit = append(d.Credit, CreditDump{
 			Organisation: name,
@@ -106,36 +106,36 @@
 }
 
 func (s *state) fillDump(d *Dump, now time.Duration) {
-	d.Revision = s.content.Newest()
-	d.Sharing = len(s.sharers(now))
-	d.Taking = s.active[s.settings.Region].has(s.settings.Box)
-	d.Closed = s.content.Evacuated()
+	d.Revision = s.content.NewestRevision()
+	d.SharingBoxes = len(s.sharers(now))
+	d.Active = s.active[s.settings.Region].has(s.settings.Box)
+	d.Evacuated = s.content.Evacuated()
 	for m := range s.roster.All() {
 		d.Boxes = append(d.Boxes, BoxDump{
 			Box:    m.Status.Box,
 			Region: m.Status.Region,
 			State:  string(m.State()),
 			Alive:  s.roster.Alive(m.Status.Box, now),
-			AgeS:   (now - m.Heard).Seconds(),
+			AgeS:   (now - m.LastHeartbeat).Seconds(),
 		})
 	}
 	for _, r := range s.view.Replicas() {
 		all := s.view.Load(r, now)
 		d.Replicas = append(d.Replicas, ReplicaDump{
-			ID:       r.Start(),
-			Service:  r.Info().Service,
-			Addr:     r.Info().Addr,
-			Leaving:  r.Info().Leaving,
-			Cold:     s.view.Pacer().IsCold(r.ID(), now),
-			Out:      r.Out(now),
-			Own:      r.Own().Requests,
-			All:      all.Requests,
-			Tokens:   all.Tokens,
-			Unread:   all.Unread,
-			Failing:  r.Failing(now),
-			Slow:     r.Slow(now),
-			WordMs:   max(0, r.WordAge(now).Milliseconds()),
-			Revision: r.Info().Revision,
+			ID:          r.Incarnation(),
+			Service:     r.Info().Service,
+			Addr:        r.Info().Addr,
+			Leaving:     r.Info().Leaving,
+			Cold:        s.view.Pacer().IsCold(r.ID(), now),
+			Ejected:     r.Ejected(now),
+			OwnRequests: r.Own().Requests,
+			AllRequests: all.Requests,
+			Tokens:      all.Tokens,
+			Unread:      all.PendingPrefill,
+			Failing:     r.FailureShare(now),
+			Slow:        r.Slowness(now),
+			ReportAgeMs: max(0, r.ReportAge(now).Milliseconds()),
+			Revision:    r.Info().Revision,
 		})
 	}
 	d.Poison = s.dumpPoison(now)
@@ -146,7 +146,7 @@
 	for _, svc := range s.table.Policy().Services {
 		d.Retries = append(d.Retries, RetryDump{
 			Service: svc.Name,
-			Left:    s.budget.Left(svc.Name, s.retryBoxes(now), now),
+			Left:    s.budget.Remaining(svc.Name, s.retryBoxes(now), now),
 		})
 	}
 }
@@ -154,15 +154,15 @@
 // dumpPoison returns the records of requests under which replicas crashed, by digest.
 func (s *state) dumpPoison(now time.Duration) []PoisonDump {
 	var out []PoisonDump
-	for _, r := range s.poison.Records() {
+	for _, r := range s.poison.Published() {
 		left, _ := s.poison.Quarantined(r.Digest, now)
 		p := PoisonDump{
 			Digest:          r.Digest.String(),
-			Ends:            len(r.Ends),
+			Crashes:         len(r.Crashes),
 			OnTrial:         s.poison.OnTrial(r.Digest, now),
 			QuarantinedForS: max(left, 0).Seconds(),
 		}
-		if ago, ok := r.AnsweredAgo(now); ok {
+		if ago, ok := r.SinceSurvived(now); ok {
 			p.AnsweredS = ago.Seconds()
 		}
 		out = append(out, p)
--- a/node/fixtures_test.go
+++ b/node/fixtures_test.go
@@ -34,17 +34,17 @@
 		self: status(name, region),
 	}
 	settings := Settings{
-		Box:     name,
-		Region:  region,
-		Domain:  region,
-		Callers: b.self.Callers,
+		Box:        name,
+		Region:     region,
+		Domain:     region,
+		CallerAddr: b.self.Callers,
 	}
 	b.state = newState(settings, b.self, 0)
 	b.publish(1, policy(1), replicas(region, n))
 	return b
 }
 
-func (b *testBox) publish(revision int64, p *catalog.Policy, all []catalog.Replica) []placement.Belief {
+func (b *testBox) publish(revision int64, p *catalog.Policy, all []catalog.Replica) []placement.Change {
 	return b.applyUpdate(catalog.Update{
 		Revision: revision,
 		Settled:  true,
@@ -79,14 +79,14 @@
 // route returns a route whose data may enter the regions homes, or all regions without any.
 func route(homes ...string) *catalog.Route {
 	return &catalog.Route{
-		Name:     "chat",
-		Host:     host,
-		Prefix:   "/chat/",
-		Kind:     catalog.Stream,
-		Attempts: 2,
-		Timeout:  6000,
-		Goal:     1000,
-		Homes:    homes,
+		Name:          "chat",
+		Host:          host,
+		Prefix:        "/chat/",
+		Kind:          catalog.Stream,
+		Attempts:      2,
+		Timeout:       6000,
+		LatencyTarget: 1000,
+		Homes:         homes,
 		Shares: []catalog.Share{{
 			Service: service,
 			Weight:  1,
@@ -141,11 +141,11 @@
 }
 
 // ask returns the placement query of a request without a prompt.
-func ask(r *catalog.Route) ingress.Ask {
-	return ingress.Ask{
-		Route: r,
-		Left:  r.Timeout.Duration(),
-		Goal:  r.Goal.Duration(),
+func ask(r *catalog.Route) ingress.TargetQuery {
+	return ingress.TargetQuery{
+		Route:         r,
+		TimeLeft:      r.Timeout.Duration(),
+		LatencyTarget: r.LatencyTarget.Duration(),
 		Request: placement.Request{
 			Service: service,
 			Key:     "request",
@@ -154,10 +154,10 @@
 }
 
 // askShared returns the placement query of a request with a shared prompt segment.
-func askShared(r *catalog.Route, part string) ingress.Ask {
+func askShared(r *catalog.Route, part string) ingress.TargetQuery {
 	q := ask(r)
 	q.Request.Prompt = prompt
-	q.Request.Parts = []placement.Part{{
+	q.Request.Segments = []placement.Segment{{
 		ID:     part,
 		Tokens: shared,
 	}}
--- a/node/follow_test.go
+++ b/node/follow_test.go
@@ -114,14 +114,14 @@
 		n := f.boxes[0].node.Load()
 		n.isFollower.Store(true)
 		var asked []string
-		n.fetchChanges = func(_ context.Context, addr string, _ int64) (catalog.News, error) {
+		n.fetchChanges = func(_ context.Context, addr string, _ int64) (catalog.ChangeSet, error) {
 			asked = append(asked, addr)
-			return catalog.News{}, nil
+			return catalog.ChangeSet{}, nil
 		}
 		receive := func(addr string, newer, lapses int) {
 			s := status(addr, n.settings.Region)
 			s.Peers = addr
-			s.Catalog = int(n.feed.Known()) + newer
+			s.Catalog = int(n.feed.Revision()) + newer
 			s.Lapses = lapses
 			n.compareCatalog(t.Context(), s, 0)
 			synctest.Wait()
@@ -144,14 +144,14 @@
 		Revision: 1,
 		Changes: []catalog.Change{{
 			Revision: 1,
-			Gone:     "a-1",
+			Removed:  "a-1",
 		}},
 	}, start)
 	is.True(!b.unreportedRemovals(message()))
 	watcher.publish(1, policy(1), replicas("a", 1)) // read again at the same revision
 	is.Equal(message().Catalog, b.message(start).From.Catalog)
 	is.True(b.unreportedRemovals(message()))
-	b.applyUpdate(watcher.content.Since(b.content.Revision()).Update(), start)
+	b.applyUpdate(watcher.content.ChangesSince(b.content.Revision()).Update(), start)
 	b.recordReportedRemovals(message())
 	is.Equal(len(b.content.Replicas()), 1)
 	is.True(!b.unreportedRemovals(message()))
--- a/node/forwardedpolicy_test.go
+++ b/node/forwardedpolicy_test.go
@@ -20,7 +20,7 @@
 			}
 			before := f.callsDuring(300*time.Millisecond, func() {})
 			newer := n.table.Load().Version() + 1
-			got := f.callsDuring(300*time.Millisecond, func() { n.core(t.Context()).Behind(newer) }) - before
+			got := f.callsDuring(300*time.Millisecond, func() { n.core(t.Context()).NewerPolicySeen(newer) }) - before
 			if got > 2 {
 				t.Fatalf("%d calls of the listing for 6 requests in 0.3 s", got)
 			}
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -19,7 +19,7 @@
 		link := roster.NewLink(conn,
 			func(g wire.Gossip, _ net.Addr) { n.receive(ctx, g) },
 			roster.WithCompact(func(b roster.Compact, from net.Addr) { n.receiveCompact(ctx, b, from.String()) }),
-			roster.WithOther(poison.Mark, func(buf []byte, from net.Addr) { n.receivePoison(buf, from.String()) }))
+			roster.WithForeign(poison.DatagramType, func(buf []byte, from net.Addr) { n.receivePoison(buf, from.String()) }))
 		n.links = append(n.links, link)
 	}
 	for _, link := range n.links { // after all are created, since an answer to a message uses the first
@@ -81,10 +81,10 @@
 func (n *Node) sendHeartbeats() {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
 		now := n.now()
-		out := s.roster.Tell(self, now, n.draw)
-		s.view.OthersFor(s.roster.LoadsAge())
+		out := s.roster.Gossip(self, now, n.draw)
+		s.view.SetPeerLoadTTL(s.roster.LoadsTTL())
 		s.chooseActive(n.servingState(), now)
-		s.poison.Forget(now)
+		s.poison.Expire(now)
 		return append(out, s.loadReportPackets(now, n.draw)...)
 	})
 }
@@ -93,17 +93,17 @@
 // they answer at once.
 func (n *Node) notifyAll(ask bool) {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
-		return s.roster.TellEveryone(self, n.now(), ask)
+		return s.roster.Broadcast(self, n.now(), ask)
 	})
 }
 
 // sendLoads sends the load of this box at the replicas to the boxes of the region.
 func (n *Node) sendLoads() {
 	n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
-		if !s.roster.TellsLoads() {
+		if !s.roster.SharesLoads() {
 			return nil
 		}
-		return s.roster.TellLoads(self, n.now(), n.draw)
+		return s.roster.SendLoads(self, n.now(), n.draw)
 	})
 }
 
@@ -141,20 +141,20 @@
 	_ = n.state.Do(func(s *state) { s.receive(g, n.now()) })
 	if g.Ask && g.From.Peers != "" {
 		n.send(func(s *state, self wire.BoxStatus) []roster.Packet {
-			return s.roster.Answer(self, g.From.Peers, n.now())
+			return s.roster.Reply(self, g.From.Peers, n.now())
 		})
 	}
 	n.compareCatalog(ctx, g.From, int64(g.From.Catalog))
 }
 
 func (n *Node) receiveCompact(ctx context.Context, b roster.Compact, from string) {
-	var h roster.Heard
+	var h roster.Received
 	_ = n.state.Do(func(s *state) { h = s.receiveCompact(b, from, n.now()) })
 	n.sendPackets(h.Replies)
 	if !h.Newer {
 		h.Status.ReadMs = 0 // it is the age at the time of an earlier datagram
 	}
-	n.compareCatalog(ctx, h.Status, max(b.Catalog, b.Newest))
+	n.compareCatalog(ctx, h.Status, max(b.Catalog, b.NewestCatalog))
 }
 
 // compareCatalog fetches a newer catalog from another box if this one is a follower or can't
@@ -164,7 +164,7 @@
 	var waited time.Duration
 	_ = n.state.Do(func(s *state) {
 		has = s.compareCopy(from)
-		waited = s.roster.Waited(from, n.now())
+		waited = s.roster.QueueingDelay(from, n.now())
 	})
 	n.confirm(from, has.newest, waited)
 	if from.Policy > has.policy {
@@ -175,7 +175,7 @@
 		n.startPull(ctx, from, has)
 	case n.isFollower.Load(): // boxes of its region will send it
 	default:
-		n.feed.Behind(newest)
+		n.feed.NotifyRevision(newest)
 	}
 }
 
@@ -222,7 +222,7 @@
 			changes = append(changes, change{
 				box:  m.Status.Box,
 				kind: kind,
-				age:  now - m.Heard,
+				age:  now - m.LastHeartbeat,
 			})
 		}
 	})
--- a/node/home_test.go
+++ b/node/home_test.go
@@ -32,8 +32,8 @@
 	return boxes
 }
 
-func (b *testBox) homeOf(q ingress.Ask, now time.Duration) string {
-	here := b.view.Outlook(q.Request, b.sharers(now), now)
+func (b *testBox) homeOf(q ingress.TargetQuery, now time.Duration) string {
+	here := b.view.Estimate(q.Request, b.sharers(now), now)
 	return b.homeRegion(q, here, b.remoteRegions(q, now))
 }
 
@@ -50,7 +50,7 @@
 			home := boxes[0].homeOf(q, start)
 			for _, b := range boxes[1:] {
 				if got := b.homeOf(q, start); got != home {
-					t.Fatalf("%s: %s says %q, %s says %q", q.Request.Subject(), boxes[0].self.Box, home, b.self.Box, got)
+					t.Fatalf("%s: %s says %q, %s says %q", q.Request.RoutingKey(), boxes[0].self.Box, home, b.self.Box, got)
 				}
 			}
 			if home != "" && (usable[home] == 0 || !r.Allows(home)) {
@@ -90,9 +90,9 @@
 	is := is.New(t)
 	b := fleet(map[string]int{"a": 1, "b": 1}, start)[0]
 	q := askShared(route(), "part")
-	q.Request.Parts[0].Tokens = minSharedTokens - 1
+	q.Request.Segments[0].Tokens = minSharedTokens - 1
 	is.Equal(b.homeOf(q, start), "")
-	q.Request.Parts[0].Tokens = minSharedTokens
+	q.Request.Segments[0].Tokens = minSharedTokens
 	is.True(b.homeOf(q, start) != "")
 }
 
--- a/node/identity.go
+++ b/node/identity.go
@@ -18,10 +18,10 @@
 
 // Identity is the identity that a replica reports.
 type Identity struct {
-	ID       string
-	Born     int64         // start of its process, in Unix milliseconds; 0 for unknown
-	ColdLeft time.Duration // remaining time in which it is cold; 0 also for unknown
-	Memory   int           // in tokens; 0 for a replica that is no engine
+	ID            string
+	StartedAt     int64         // start of its process, in Unix milliseconds; 0 for unknown
+	ColdRemaining time.Duration // remaining time in which it is cold; 0 also for unknown
+	MemoryTokens  int           // in tokens; 0 for a replica that is no engine
 }
 
 // errOtherService reports that the replica at an address may belong to another service than
@@ -59,7 +59,7 @@
 	case n.catalogAge() < recheckAge:
 		// the replica is not listed yet, or the watch is about to receive it
 	case n.storeOK.Load():
-		n.feed.Behind(n.feed.Known() + 1)
+		n.feed.NotifyRevision(n.feed.Revision() + 1)
 	default:
 		n.identify(ctx, old)
 	}
@@ -101,7 +101,7 @@
 // adopt replaces a replica in the copy of the catalog by its successor at the same address.
 // Later reads of the catalog take precedence.
 func (n *Node) adopt(old catalog.Replica, svc *catalog.Service, id Identity) error {
-	if id.ID == old.ID && id.Born <= old.Born {
+	if id.ID == old.ID && id.StartedAt <= old.StartedAt {
 		return nil // the other answer came from its predecessor
 	}
 	if !n.provesService(svc, id) {
@@ -116,12 +116,12 @@
 func replacementUpdate(old catalog.Replica, svc *catalog.Service, id Identity) catalog.Update {
 	now := old
 	now.ID = id.ID
-	now.Born = id.Born
-	now.Told = true
+	now.StartedAt = id.StartedAt
+	now.SelfReported = true
 	now.Leaving = false
-	now.ColdLeft = catalog.Millis(id.ColdLeft.Milliseconds())
-	if now.ColdLeft == 0 {
-		now.ColdLeft = svc.ColdFor // it has just started
+	now.ColdRemaining = catalog.Millis(id.ColdRemaining.Milliseconds())
+	if now.ColdRemaining == 0 {
+		now.ColdRemaining = svc.ColdFor // it has just started
 	}
 	out := catalog.Update{
 		Settled: true,
@@ -129,7 +129,7 @@
 	if now.ID != old.ID {
 		out.Changes = append(out.Changes, catalog.Change{
 			Revision: old.Revision,
-			Gone:     old.ID,
+			Removed:  old.ID,
 		})
 	}
 	out.Changes = append(out.Changes, catalog.Change{
@@ -142,11 +142,11 @@
 // provesService reports whether a replica's identity shows that it belongs to a service. Only
 // the memory size of an engine does, and only if it is unique among the services.
 func (n *Node) provesService(svc *catalog.Service, id Identity) bool {
-	if svc.Engine == nil || id.Memory == 0 || id.Memory != svc.Engine.Memory {
+	if svc.Engine == nil || id.MemoryTokens == 0 || id.MemoryTokens != svc.Engine.Memory {
 		return false
 	}
 	for _, o := range n.table.Load().Policy().Services {
-		if o.Name != svc.Name && o.Engine != nil && o.Engine.Memory == id.Memory {
+		if o.Name != svc.Name && o.Engine != nil && o.Engine.Memory == id.MemoryTokens {
 			return false
 		}
 	}
--- a/node/identity_test.go
+++ b/node/identity_test.go
@@ -33,8 +33,8 @@
 	}))
 	proves := func(name string, memory int) bool {
 		return n.provesService(n.table.Load().Service(name), Identity{
-			ID:     "i-1",
-			Memory: memory,
+			ID:           "i-1",
+			MemoryTokens: memory,
 		})
 	}
 	is.True(proves("chat", 1000))
--- a/node/incarnation_test.go
+++ b/node/incarnation_test.go
@@ -21,7 +21,7 @@
 // publishRestart publishes a new incarnation of a replica at a revision.
 func publishRestart(b *testBox, born, revision int64) catalog.Replica {
 	r := replicas(b.settings.Region, 1)[0]
-	r.Born = born
+	r.StartedAt = born
 	r.Revision = revision
 	b.applyUpdate(catalog.Update{
 		Changes: []catalog.Change{{
@@ -39,7 +39,7 @@
 	var out []string
 	for _, r := range b.view.Replicas() {
 		if r.ID() == id && r.Listed() {
-			out = append(out, r.Start())
+			out = append(out, r.Incarnation())
 		}
 	}
 	return out
@@ -50,19 +50,19 @@
 	b := newBox("box-1", "a", 1)
 	first := publishRestart(b, firstStartMs, 101)
 	second := publishRestart(b, secondStartMs, 102)
-	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
 	now := start + time.Second
-	word := func(of string) []roster.CompactWord {
-		return []roster.CompactWord{{
+	word := func(of string) []roster.CompactLoadReport {
+		return []roster.CompactLoadReport{{
 			Replica:  roster.ReplicaIDOf(of),
 			Requests: 7,
 		}}
 	}
-	heard := func() bool { return b.view.Get(second.Start()).WordAge(now) >= 0 }
-	b.receiveLoadReports(word(first.Start()), now)
+	heard := func() bool { return b.view.Get(second.Incarnation()).ReportAge(now) >= 0 }
+	b.receiveLoadReports(word(first.Incarnation()), now)
 	b.receiveLoadReports(word(first.ID), now)
 	is.True(!heard())
-	b.receiveLoadReports(word(second.Start()), now)
+	b.receiveLoadReports(word(second.Incarnation()), now)
 	is.True(heard())
 
 	load := func(of string) int {
@@ -74,10 +74,10 @@
 			InFlight: 5,
 		}}
 		b.receiveStatus(s, now)
-		return b.view.Get(second.Start()).Load(now).Requests
+		return b.view.Get(second.Incarnation()).Load(now).Requests
 	}
-	is.Equal(load(first.Start()), 0)
-	is.Equal(load(second.Start()), 5)
+	is.Equal(load(first.Incarnation()), 0)
+	is.Equal(load(second.Incarnation()), 5)
 	is.Equal(load(first.ID), 0)
 }
 
@@ -90,32 +90,32 @@
 	account := func(born int64, requests int, at time.Duration) {
 		known := listedIncarnations(b, first.ID)[0]
 		of, _ := b.reportingIncarnation(known, born, at)
-		b.recordUsageReport(of, Account{
+		b.recordUsageReport(of, UsageReport{
 			Running: requests,
 		}, true, at, at)
 	}
 	at := start + time.Second
 	account(firstStartMs, 3, at)
 	account(0, 4, at+time.Millisecond) // the report names no incarnation
-	is.Equal(listedIncarnations(b, first.ID), []string{first.Start()})
-	is.Equal(b.view.Words(at + time.Millisecond)[0].Requests, 4)
+	is.Equal(listedIncarnations(b, first.ID), []string{first.Incarnation()})
+	is.Equal(b.view.BusyReports(at + time.Millisecond)[0].Requests, 4)
 
 	account(secondStartMs, 1, at+time.Second)
 	second := first
-	second.Born = secondStartMs
-	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
-	words := b.view.Words(at + time.Second)
+	second.StartedAt = secondStartMs
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
+	words := b.view.BusyReports(at + time.Second)
 	is.Equal(len(words), 1)
-	is.Equal(words[0].Replica, second.Start())
+	is.Equal(words[0].Replica, second.Incarnation())
 	is.Equal(words[0].Requests, 1)
 
 	account(firstStartMs, 9, at+2*time.Second) // a late report of the previous incarnation
-	is.Equal(b.view.Words(at + 2*time.Second)[0].Requests, 1)
+	is.Equal(b.view.BusyReports(at + 2*time.Second)[0].Requests, 1)
 	publishRestart(b, secondStartMs, 103) // the catalog entry arrives
-	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
-	is.Equal(b.view.Words(at + 2*time.Second)[0].Requests, 1) // its recorded load stays
-	publishRestart(b, firstStartMs, 104)                      // a late write of the previous incarnation
-	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
+	is.Equal(b.view.BusyReports(at + 2*time.Second)[0].Requests, 1) // its recorded load stays
+	publishRestart(b, firstStartMs, 104)                            // a late write of the previous incarnation
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
 }
 
 func TestAReplicaThatIsAskedTellsOfItsLaterStart(t *testing.T) {
@@ -126,17 +126,17 @@
 	leaving.Leaving = true
 	svc := b.table.Service(first.Service)
 	news := b.applyUpdate(replacementUpdate(leaving, svc, Identity{
-		ID:   first.ID,
-		Born: secondStartMs,
+		ID:        first.ID,
+		StartedAt: secondStartMs,
 	}), start)
-	is.True(slices.ContainsFunc(news, func(n placement.Belief) bool {
+	is.True(slices.ContainsFunc(news, func(n placement.Change) bool {
 		return n.Reason == "replica started again" && n.Addr == first.Addr
 	}))
 	got := b.content.Replicas()
 	at := slices.IndexFunc(got, func(r catalog.Replica) bool { return r.ID == first.ID })
-	is.Equal(got[at].Born, int64(secondStartMs))
+	is.Equal(got[at].StartedAt, int64(secondStartMs))
 	is.True(!got[at].Leaving)
-	is.Equal(got[at].ColdLeft, svc.ColdFor)
+	is.Equal(got[at].ColdRemaining, svc.ColdFor)
 	is.Equal(len(listedIncarnations(b, first.ID)), 1)
 }
 
@@ -146,20 +146,20 @@
 	b := newBox("box-1", "a", 1)
 	first := publishRestart(b, firstStartMs, 101)
 	second := first
-	second.Born = secondStartMs
-	of, _ := b.reportingIncarnation(first.Start(), secondStartMs, start)
-	is.Equal(of, second.Start())
+	second.StartedAt = secondStartMs
+	of, _ := b.reportingIncarnation(first.Incarnation(), secondStartMs, start)
+	is.Equal(of, second.Incarnation())
 	publishRestart(b, firstStartMs, 101) // published earlier
-	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
 	publishRestart(b, firstStartMs, 102) // a newer entry
-	is.Equal(listedIncarnations(b, first.ID), []string{first.Start()})
-	of, news := b.reportingIncarnation(first.Start(), secondStartMs, start+time.Second)
-	is.Equal(of, first.Start()) // it is not recorded again, which would rate-limit the replica forever
+	is.Equal(listedIncarnations(b, first.ID), []string{first.Incarnation()})
+	of, news := b.reportingIncarnation(first.Incarnation(), secondStartMs, start+time.Second)
+	is.Equal(of, first.Incarnation()) // it is not recorded again, which would rate-limit the replica forever
 	is.Equal(len(news), 0)
 	publishRestart(b, secondStartMs, 103)
-	is.Equal(listedIncarnations(b, first.ID), []string{second.Start()})
+	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
 	third := second
-	third.Born++
-	of, _ = b.reportingIncarnation(second.Start(), third.Born, start+2*time.Second)
-	is.Equal(of, third.Start())
+	third.StartedAt++
+	of, _ = b.reportingIncarnation(second.Incarnation(), third.StartedAt, start+2*time.Second)
+	is.Equal(of, third.Incarnation())
 }
--- a/node/initialread.go
+++ b/node/initialread.go
@@ -20,8 +20,9 @@
 	busyRetryInterval      = 100 * time.Millisecond  // until a starting box asks another one after one that was rate-limited
 )
 
-// awaitInitialRead waits until this box may read the full catalog, and returns catalog.ErrTold if
-// another box sends a snapshot first. took is the duration of the first calls to the publisher.
+// awaitInitialRead waits until this box may read the full catalog, and returns
+// catalog.ErrReceivedFromPeer if another box sends a snapshot first. took is the duration of
+// the first calls to the publisher.
 func (n *Node) awaitInitialRead(ctx context.Context, took time.Duration, first bool) error {
 	began := n.now()
 	for ctx.Err() == nil {
@@ -31,7 +32,7 @@
 			others, ahead = s.readersAhead(n.now())
 		})
 		if known > 0 {
-			return catalog.ErrTold
+			return catalog.ErrReceivedFromPeer
 		}
 		if !first || n.now()-began >= initialReadDelay(others, ahead, took) {
 			return nil
--- a/node/installation_test.go
+++ b/node/installation_test.go
@@ -122,19 +122,19 @@
 		Domain: m.domain,
 		Seeds:  in.seeds,
 		Bounds: Bounds{
-			ColdOverage: 1.5,
-			ColdSlack:   3,
-			RetryRatio:  retryRatio,
-			RetryWindow: retryWindow,
-			RetryExtra:  cmp.Or(in.extra, retryExtra),
+			ColdRateFactor: 1.5,
+			ColdRateExtra:  3,
+			RetryRatio:     retryRatio,
+			RetryWindow:    retryWindow,
+			RetryExtra:     cmp.Or(in.extra, retryExtra),
 		},
 	}, m.status(), 0)
 	m.state.applyUpdate(coldCatalog(m.region), 0)
-	in.post(m, m.state.roster.TellEveryone(m.fullStatus(0), 0, true))
+	in.post(m, m.state.roster.Broadcast(m.fullStatus(0), 0, true))
 	alive := in.while(m)
 	in.every(roster.Tick, alive, func() {
-		out := m.state.roster.Tell(m.fullStatus(m.age(in)), m.age(in), in.rnd.IntN)
-		m.state.view.OthersFor(m.state.roster.LoadsAge())
+		out := m.state.roster.Gossip(m.fullStatus(m.age(in)), m.age(in), in.rnd.IntN)
+		m.state.view.SetPeerLoadTTL(m.state.roster.LoadsTTL())
 		in.post(m, out)
 	})
 	in.after(in.upTo(requestInterval), func() { in.every(requestInterval, alive, func() { in.sendCold(m) }) })
@@ -174,7 +174,7 @@
 	p.Services[0].ColdPerSecond = coldRate
 	list := replicas(region, 1)
 	list[0].ID = coldID
-	list[0].ColdLeft = catalog.Millis(longCold.Milliseconds())
+	list[0].ColdRemaining = catalog.Millis(longCold.Milliseconds())
 	return catalog.Update{
 		Revision: 1,
 		Settled:  true,
@@ -238,7 +238,7 @@
 	}
 	to.state.receive(g, now)
 	if g.Ask && g.From.Peers != "" {
-		in.post(to, to.state.roster.Answer(to.fullStatus(now), g.From.Peers, now))
+		in.post(to, to.state.roster.Reply(to.fullStatus(now), g.From.Peers, now))
 	}
 }
 
@@ -257,7 +257,7 @@
 			region: m.region,
 			box:    m.name,
 			age:    now,
-			shared: c.Sharers,
+			shared: c.SharingBoxes,
 		})
 	}
 	if in.retrying && m.state.budget.Take(service, m.state.retryBoxes(now), now) {
--- a/node/largefleet_test.go
+++ b/node/largefleet_test.go
@@ -29,7 +29,7 @@
 			}
 		}
 		b.publish(2, policy(1), list)
-		b.roster.Adapt(start)
+		b.roster.BeginTick(start)
 		b.chooseActive(wire.ServingStateServing, start)
 		if b.active["a"].has(b.settings.Box) {
 			return b
@@ -48,7 +48,7 @@
 			b.ResetTimer()
 			for range b.N {
 				now += roster.Tick
-				box.roster.Tell(box.fillStatus(box.self, now), now, lowest)
+				box.roster.Gossip(box.fillStatus(box.self, now), now, lowest)
 				box.chooseActive(wire.ServingStateServing, now)
 				box.loadReportPackets(now, lowest)
 				box.applyExpired(now)
--- a/node/largepolicy_test.go
+++ b/node/largepolicy_test.go
@@ -51,14 +51,14 @@
 	p := policy(b.version)
 	for n := range routes {
 		p.Routes = append(p.Routes, catalog.Route{
-			Name:     fmt.Sprintf("r-%07x", n*7919),
-			Host:     fmt.Sprintf("h%d.example", n*104729%10007),
-			Prefix:   fmt.Sprintf("/p%d/", n*7919%10007),
-			Kind:     catalog.Repeatable,
-			Attempts: 2,
-			Timeout:  2500,
-			Goal:     400,
-			Priority: 2,
+			Name:          fmt.Sprintf("r-%07x", n*7919),
+			Host:          fmt.Sprintf("h%d.example", n*104729%10007),
+			Prefix:        fmt.Sprintf("/p%d/", n*7919%10007),
+			Kind:          catalog.Repeatable,
+			Attempts:      2,
+			Timeout:       2500,
+			LatencyTarget: 400,
+			Priority:      2,
 			Shares: []catalog.Share{{
 				Service: service,
 				Weight:  1,
--- a/node/lease.go
+++ b/node/lease.go
@@ -44,7 +44,7 @@
 // needsLease reports whether requests need keys that may be revoked.
 func (n *Node) needsLease() bool {
 	t := n.table.Load()
-	return n.settings.Bounds.RevokeWithin > 0 && t != nil && t.Keyed()
+	return n.settings.Bounds.RevocationTimeout > 0 && t != nil && t.Keyed()
 }
 
 // leaseAge returns the time since the policy in force was last confirmed as the newest.
@@ -56,25 +56,25 @@
 
 // keysValid reports whether the lease on keys holds, so that requests may be admitted by them.
 func (n *Node) keysValid() bool {
-	within := n.settings.Bounds.RevokeWithin
+	within := n.settings.Bounds.RevocationTimeout
 	return within == 0 || n.leaseAge() <= within*leasePercent/percent
 }
 
 // keysCurrent reports whether an unknown key belongs to no organisation.
 func (n *Node) keysCurrent() bool {
-	if n.settings.Bounds.RevokeWithin == 0 {
+	if n.settings.Bounds.RevocationTimeout == 0 {
 		return n.hasCurrentPolicy()
 	}
 	due := 0
-	_ = n.state.Do(func(s *state) { due = s.content.PolicyDue() }) // it fails only after the box has stopped
+	_ = n.state.Do(func(s *state) { due = s.content.MissingPolicyVersion() }) // it fails only after the box has stopped
 	return due == 0 && n.leaseAge() <= unknownKeyMaxAge
 }
 
 // recordProof records that a policy version was the newest at a time.
 func (n *Node) recordProof(version int, at time.Time) {
-	n.lease.Prove(lease.Proof{
-		Version: version,
-		At:      at.Sub(n.started),
+	n.lease.AddProof(lease.FreshnessProof{
+		Version:     version,
+		ConfirmedAt: at.Sub(n.started),
 	})
 }
 
@@ -92,7 +92,7 @@
 }
 
 func (n *Node) callProof(ctx context.Context, addr string) (out proofResponse, err error) {
-	err = n.peers.Call(ctx, addr, peer.Proof, struct{}{}, &out)
+	err = n.peers.Call(ctx, addr, peer.FreshnessProof, struct{}{}, &out)
 	return out, err
 }
 
@@ -156,9 +156,9 @@
 	if err != nil || !p.Known || p.AgeMs < 0 {
 		return // other boxes follow, and the end of the lease is logged
 	}
-	n.lease.Prove(lease.Proof{
-		Version: p.Version,
-		At:      sentAt - time.Duration(p.AgeMs)*time.Millisecond,
+	n.lease.AddProof(lease.FreshnessProof{
+		Version:     p.Version,
+		ConfirmedAt: sentAt - time.Duration(p.AgeMs)*time.Millisecond,
 	})
 }
 
--- a/node/lease_test.go
+++ b/node/lease_test.go
@@ -41,7 +41,7 @@
 		since:      time.Now(),
 	}
 	f.listing.policy = k.policy()
-	f.populate(boxes, func(s *Settings) { s.Bounds.RevokeWithin = revocationBound })
+	f.populate(boxes, func(s *Settings) { s.Bounds.RevocationTimeout = revocationBound })
 	return k
 }
 
--- a/node/links_test.go
+++ b/node/links_test.go
@@ -101,7 +101,7 @@
 var sizes sync.Map // of policies as JSON, by pointer
 
 // sizeOf returns the size of a catalog update as JSON.
-func sizeOf(news catalog.News) int {
+func sizeOf(news catalog.ChangeSet) int {
 	out := 0
 	for i := range news.Changes {
 		if p := news.Changes[i].Policy; p != nil {
@@ -251,7 +251,7 @@
 }
 
 // fetchPolicy fetches the policy of a box, as over a connection.
-func (f *simulation) fetchPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
+func (f *simulation) fetchPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyResponse, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay)
 	if err != nil {
 		return news, err
--- a/node/listing_test.go
+++ b/node/listing_test.go
@@ -73,7 +73,7 @@
 	delete(l.replicas, id)
 	l.addChange(catalog.Change{
 		Revision: l.rev,
-		Gone:     id,
+		Removed:  id,
 	})
 }
 
@@ -146,7 +146,7 @@
 
 func (l *listing) source(box string) catalog.Source {
 	return l.throughDownlink(box, catalog.Source{
-		First: func(ctx context.Context, goOn func(catalog.Snapshot) error) (catalog.Snapshot, error) {
+		InitialRead: func(ctx context.Context, goOn func(catalog.Snapshot) error) (catalog.Snapshot, error) {
 			return l.readPages(ctx, box, goOn)
 		},
 		Read: func(ctx context.Context) (catalog.Snapshot, error) {
@@ -157,9 +157,9 @@
 			began := time.Now()
 			s, err := l.read(ctx, box)
 			return catalog.Snapshot{
-				Revision: s.Revision,
-				Policy:   s.Policy,
-				PolicyAt: began,
+				Revision:          s.Revision,
+				Policy:            s.Policy,
+				PolicyConfirmedAt: began,
 			}, err
 		},
 		Wait: func(ctx context.Context, after int64, wait time.Duration) ([]catalog.Change, int64, error) {
--- a/node/loadreports.go
+++ b/node/loadreports.go
@@ -11,7 +11,7 @@
 // where boxes are too many to send each other their own loads.
 func (s *state) loadReportPackets(now time.Duration, draw func(n int) int) []roster.Packet {
 	here := s.active[s.settings.Region]
-	if s.roster.TellsLoads() || !here.has(s.settings.Box) {
+	if s.roster.SharesLoads() || !here.has(s.settings.Box) {
 		return nil
 	}
 	var addrs []string
@@ -20,38 +20,38 @@
 			addrs = append(addrs, m.Status.Peers)
 		}
 	}
-	return s.roster.TellWords(s.compactLoadReports(now), addrs, draw)
+	return s.roster.SendLoadReports(s.compactLoadReports(now), addrs, draw)
 }
 
 // compactLoadReports returns the replicas' load reports in wire form, the latest first.
-func (s *state) compactLoadReports(now time.Duration) []roster.CompactWord {
-	var out []roster.CompactWord
-	for _, w := range s.view.Words(now) {
-		out = append(out, roster.CompactWord{
-			Replica:  roster.ReplicaIDOf(w.Replica),
-			Age:      now - w.At,
-			Requests: w.Requests,
-			Waiting:  w.Waiting,
-			Tokens:   w.Tokens,
-			Silent:   w.Silent,
+func (s *state) compactLoadReports(now time.Duration) []roster.CompactLoadReport {
+	var out []roster.CompactLoadReport
+	for _, w := range s.view.BusyReports(now) {
+		out = append(out, roster.CompactLoadReport{
+			Replica:     roster.ReplicaIDOf(w.Replica),
+			Age:         now - w.At,
+			Requests:    w.Requests,
+			Waiting:     w.Waiting,
+			Tokens:      w.Tokens,
+			Unreachable: w.Unresponsive,
 		})
 	}
 	return out
 }
 
 // receiveLoadReports records the load reports that another box forwards.
-func (s *state) receiveLoadReports(list []roster.CompactWord, now time.Duration) {
+func (s *state) receiveLoadReports(list []roster.CompactLoadReport, now time.Duration) {
 	for _, w := range list {
 		id, ok := s.replicaIDs[w.Replica]
 		if !ok {
 			continue
 		}
-		s.view.Says(id, placement.Word{
-			Requests: w.Requests,
-			Waiting:  min(w.Waiting, w.Requests),
-			Tokens:   w.Tokens,
-			Silent:   w.Silent,
-			At:       now - w.Age,
+		s.view.RecordReport(id, placement.LoadReport{
+			Requests:     w.Requests,
+			Waiting:      min(w.Waiting, w.Requests),
+			Tokens:       w.Tokens,
+			Unresponsive: w.Unreachable,
+			At:           now - w.Age,
 		})
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -71,11 +71,11 @@
 	bulkPeers       *peer.Pool // for long messages, so that short ones don't wait behind them
 	listeners       listeners
 	links           []*roster.Link
-	sendPacket      func(roster.Packet)                                                          // sends a datagram; replaced in tests
-	fetchChanges    func(ctx context.Context, addr string, after int64) (catalog.News, error)    // fetches catalog changes from another box; replaced in tests
-	fetchPolicy     func(ctx context.Context, addr string, have int) (catalog.PolicyNews, error) // fetches the policy from another box; replaced in tests
-	draw            func(n int) int                                                              // returns a random number in [0, n); replaced in tests
-	jitter          func() float64                                                               // returns a random number in [0, 1); replaced in tests
+	sendPacket      func(roster.Packet)                                                              // sends a datagram; replaced in tests
+	fetchChanges    func(ctx context.Context, addr string, after int64) (catalog.ChangeSet, error)   // fetches catalog changes from another box; replaced in tests
+	fetchPolicy     func(ctx context.Context, addr string, have int) (catalog.PolicyResponse, error) // fetches the policy from another box; replaced in tests
+	draw            func(n int) int                                                                  // returns a random number in [0, n); replaced in tests
+	jitter          func() float64                                                                   // returns a random number in [0, 1); replaced in tests
 	feed            *catalog.Feed
 
 	deltas         *catalog.Deltas
@@ -83,8 +83,8 @@
 	proofs         proofRequests                                                 // fetches freshness proofs for the lease
 	fetchProof     func(ctx context.Context, addr string) (proofResponse, error) // fetches a freshness proof from another box; replaced in tests
 	quotas         *quotas
-	requestCredit  func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) // requests credit from a quota allocator; replaced in tests
-	fetchDemand    func(ctx context.Context, addr string) (map[string]quota.Use, error)            // fetches the demand of another region from its allocator; replaced in tests
+	requestCredit  func(ctx context.Context, addr string, asks []quota.CreditRequest) ([]quota.Grant, error) // requests credit from a quota allocator; replaced in tests
+	fetchDemand    func(ctx context.Context, addr string) (map[string]quota.Usage, error)                    // fetches the demand of another region from its allocator; replaced in tests
 	snapshotCache  *snapshotCache
 	policyBucket   *byteBucket   // limits the policies that this box sends to others
 	fetchingPolicy atomic.Bool   // a policy is being fetched from another box; its setter owns policySources
@@ -170,7 +170,7 @@
 	n.record(decision.Event{
 		Kind:   decision.Start,
 		Reason: "listening",
-		Detail: n.settings.Callers,
+		Detail: n.settings.CallerAddr,
 	})
 	n.runGossip(ctx) // before the feed, whose first update is sent to other boxes
 	n.tasks.Go(func() { n.feed.Run(ctx) })
@@ -201,7 +201,7 @@
 	n.state = cell.New(ctx, n.system, "state", s)
 	n.replicaPool = exchange.NewPool(
 		exchange.WithIdleTime(replicaIdleTimeout),
-		exchange.WithBusyTimeout(busyTimeout),
+		exchange.WithBusyUserTimeout(busyTimeout),
 		exchange.WithOnDial(func(string) { n.meter.Dial() }),
 	)
 	n.boxPool = exchange.NewPool(exchange.WithIdleTime(boxIdleTimeout))
@@ -215,11 +215,11 @@
 	n.fetchProof = n.callProof
 	n.requestCredit = n.callAllocator
 	n.fetchDemand = n.callDemand
-	n.sendPacket = func(p roster.Packet) { _ = n.links[0].Post(p) } // a lost datagram is superseded by the next one
-	n.feed = n.newFeed(n.adapter.Source(n.storePool, Report{
-		Call:    n.meter.StoreCall,
-		Bad:     n.recordBadValue,
-		Foreign: n.recordForeignEntry,
+	n.sendPacket = func(p roster.Packet) { _ = n.links[0].SendPacket(p) } // a lost datagram is superseded by the next one
+	n.feed = n.newFeed(n.adapter.Source(n.storePool, SourceEvents{
+		Call:         n.meter.StoreCall,
+		Invalid:      n.recordBadValue,
+		UnknownEntry: n.recordForeignEntry,
 	}))
 }
 
@@ -229,7 +229,7 @@
 		catalog.WithReader(n.isReader.Load),
 		catalog.WithFollowing(n.isFollower.Load, n.catalogAge),
 		catalog.WithConfirming(n.confirmsPolicy, n.recordProof),
-		catalog.WithTurn(n.awaitInitialRead),
+		catalog.WithReadGate(n.awaitInitialRead),
 		catalog.WithRefresh(n.refresh),
 		catalog.WithJitter(n.jitter))
 }
@@ -241,7 +241,7 @@
 		Inc:     n.incarnation,
 		Region:  n.settings.Region,
 		Domain:  n.settings.Domain,
-		Callers: n.settings.Callers,
+		Callers: n.settings.CallerAddr,
 		Peers:   n.peerAddr(),
 		Forward: n.forwardAddr(),
 	}
--- a/node/place_test.go
+++ b/node/place_test.go
@@ -92,13 +92,13 @@
 	return slices.DeleteFunc(slices.Clone(of), func(string) bool { return !rapid.Bool().Draw(t, label) })
 }
 
-func (s *scene) ask() ingress.Ask {
+func (s *scene) ask() ingress.TargetQuery {
 	q := ask(route(some(s.T, regions, "home")...))
 	if rapid.Bool().Draw(s.T, "shared") {
 		q = askShared(q.Route, fmt.Sprint("part-", rapid.IntRange(0, 20).Draw(s.T, "part")))
 	}
-	q.Relayed = rapid.IntRange(0, 4).Draw(s.T, "relayed") == 0
-	q.NoRegions = some(s.T, regions[1:], "refused")
+	q.Forwarded = rapid.IntRange(0, 4).Draw(s.T, "relayed") == 0
+	q.ExcludedRegions = some(s.T, regions[1:], "refused")
 	q.TriedBoxes = some(s.T, []string{"box-1", "box-2", "box-3"}, "tried")
 	return q
 }
@@ -108,29 +108,29 @@
 	t := s.box.place(q, s.now, func(n int) int { return rapid.IntRange(0, n-1).Draw(s.T, "draw") })
 	switch {
 	case t.Reason != placement.None:
-		if t.Box != "" || t.Choice.Replica != "" || t.Wait <= 0 {
+		if t.Box != "" || t.Choice.Incarnation != "" || t.RetryAfter <= 0 {
 			s.Fatalf("no target for the reason %q, but got %+v", t.Reason, t)
 		}
 	case t.Box != "":
 		s.checkRemote(q, t)
-	case t.Choice.Replica == "" || !q.Route.Allows("a"):
+	case t.Choice.Incarnation == "" || !q.Route.Allows("a"):
 		s.Fatalf("data bound to %v, placed at %+v", q.Route.Homes, t.Choice)
 	default:
 		s.box.view.End(&t.Choice, placement.Answered, time.Millisecond, s.now)
 	}
 }
 
-func (s *scene) checkRemote(q ingress.Ask, t ingress.Target) {
+func (s *scene) checkRemote(q ingress.TargetQuery, t ingress.Target) {
 	b := s.last[t.Box]
 	lost, wasLost := s.unreachableAt[t.Box]
 	switch {
-	case q.Relayed:
+	case q.Forwarded:
 		s.Fatalf("forwarded to a third box")
-	case t.Choice.Replica != "" || t.Region != b.Region || t.BoxAddr != b.Forward || b.Forward == "":
+	case t.Choice.Incarnation != "" || t.Region != b.Region || t.BoxAddr != b.Forward || b.Forward == "":
 		s.Fatalf("%s sent %+v, the target is %+v", t.Box, b, t)
 	case t.Region == "a" || !q.Route.Allows(t.Region):
 		s.Fatalf("data bound to %v, sent to %s", q.Route.Homes, t.Region)
-	case slices.Contains(q.NoRegions, t.Region) || slices.Contains(q.TriedBoxes, t.Box):
+	case slices.Contains(q.ExcludedRegions, t.Region) || slices.Contains(q.TriedBoxes, t.Box):
 		s.Fatalf("%s of %s was tried before", t.Box, t.Region)
 	case b.State != "" && b.State != wire.ServingStateServing:
 		s.Fatalf("%s is %s", t.Box, b.State)
@@ -166,9 +166,9 @@
 	b := newBox("self", "a", 3)
 	b.receiveStatus(status("box-c", "c"), start, serviceCapacity(3, 0))
 	got := b.place(ask(route("b")), start, lowest)
-	is.Equal(got.Reason, placement.Nothing)
+	is.Equal(got.Reason, placement.NoReplica)
 	is.Equal(got.Box, "")
-	is.True(got.Wait > 0)
+	is.True(got.RetryAfter > 0)
 }
 
 func TestDataBoundToAnotherRegionGoesThereAlsoWhenItIsSlow(t *testing.T) {
@@ -187,10 +187,10 @@
 	b.receiveStatus(status("box-c", "c"), start, serviceCapacity(3, time.Second))
 	q := ask(route())
 	is.Equal(b.place(q, start, lowest).Region, "b")
-	q.NoRegions = []string{"b"}
+	q.ExcludedRegions = []string{"b"}
 	is.Equal(b.place(q, start, lowest).Region, "c")
-	q.NoRegions = []string{"b", "c"}
-	is.Equal(b.place(q, start, lowest).Reason, placement.Nothing)
+	q.ExcludedRegions = []string{"b", "c"}
+	is.Equal(b.place(q, start, lowest).Reason, placement.NoReplica)
 }
 
 // Guards against the use of a box whose datagrams pass a partition in one direction.
@@ -256,11 +256,11 @@
 	b := newBox("self", "a", 0)
 	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(3, 0))
 	q := ask(route())
-	q.Relayed = true
-	is.Equal(b.place(q, start, lowest).Reason, placement.Nothing)
+	q.Forwarded = true
+	is.Equal(b.place(q, start, lowest).Reason, placement.NoReplica)
 	_, found := b.alternative(q, start, lowest)
 	is.True(!found)
-	q.Relayed = false
+	q.Forwarded = false
 	other, found := b.alternative(q, start, lowest)
 	is.True(found)
 	is.Equal(other.Box, "box-b")
@@ -330,5 +330,5 @@
 	b := newBox("self", "a", 1)
 	b.receiveStatus(status("box-b", "b"), start, serviceCapacity(10, 0))
 	got := b.place(ask(route()), start, lowest)
-	is.Equal(got.Choice.Replica, "a-0")
+	is.Equal(got.Choice.Incarnation, "a-0")
 }
--- a/node/poison.go
+++ b/node/poison.go
@@ -18,10 +18,10 @@
 const crashDialTimeout = 250 * time.Millisecond // a connection within a region takes some 5 ms, a lost packet a second
 
 // poison connects the ingress to the records of poison requests.
-func (n *Node) poison(ctx context.Context) ingress.Poison {
-	return ingress.Poison{
+func (n *Node) poison(ctx context.Context) ingress.PoisonHooks {
+	return ingress.PoisonHooks{
 		Quarantined: n.quarantined,
-		Cut: func(c *placement.Choice, content *poison.Content, took time.Duration, closed bool) {
+		Interrupted: func(c *placement.Choice, content *poison.Content, took time.Duration, closed bool) {
 			n.cut(ctx, c, content, took, closed)
 		},
 		Survived:  n.survived,
@@ -41,9 +41,9 @@
 	now := n.now()
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		_, quarantined := s.poison.Quarantined(d, now)
-		onTrial = s.poison.OnTrial(d, now) || (quarantined && s.poison.Untried(d) && n.served.Before(content))
+		onTrial = s.poison.OnTrial(d, now) || (quarantined && s.poison.Untried(d) && n.served.WasServed(content))
 	})
-	if onTrial && n.served.Lately(content, now) {
+	if onTrial && n.served.ServedRecently(content, now) {
 		n.clear(d, now)
 		return false
 	}
@@ -55,7 +55,7 @@
 	var asks []poison.Packet
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		now := n.now()
-		taken, asks = s.poison.Try(d, func() []poison.Box { return s.poisonBoxes(now) }, now)
+		taken, asks = s.poison.RequestTrial(d, func() []poison.Box { return s.poisonBoxes(now) }, now)
 	})
 	n.sendPackets(rosterPackets(asks))
 	if taken {
@@ -71,7 +71,7 @@
 
 func (n *Node) endTrial(c *placement.Choice, content *poison.Content) {
 	d := content.Digest()
-	n.state.Post(func(s *state) { s.poison.EndTrial(c.Replica, d) })
+	n.state.Post(func(s *state) { s.poison.EndTrial(c.Incarnation, d) })
 }
 
 // quarantined reports whether a request is rejected, and for how long. One that was served here recently is
@@ -86,10 +86,10 @@
 	switch {
 	case !quarantined:
 		return 0, false
-	case n.served.Lately(content, now):
+	case n.served.ServedRecently(content, now):
 		n.clear(d, now)
 		return 0, false
-	case n.served.Before(content) && (n.isUntried(d) || n.retriesQuarantined(d, now)):
+	case n.served.WasServed(content) && (n.isUntried(d) || n.retriesQuarantined(d, now)):
 		return 0, false
 	}
 	return left, true
@@ -103,7 +103,7 @@
 
 // retriesQuarantined reports whether this box retries a quarantined request.
 func (n *Node) retriesQuarantined(d poison.Digest, now time.Duration) (tries bool) {
-	_ = n.state.Do(func(s *state) { tries = s.poison.Tries(d, s.poisonBoxes(now), now) }) // it fails only after the box has stopped
+	_ = n.state.Do(func(s *state) { tries = s.poison.ShouldRetry(d, s.poisonBoxes(now), now) }) // it fails only after the box has stopped
 	if tries {
 		n.record(decision.Event{
 			Kind:   decision.Belief,
@@ -118,7 +118,7 @@
 func (n *Node) survived(c *placement.Choice, content *poison.Content, took time.Duration) {
 	now := n.now()
 	n.served.Add(content, now)
-	n.state.Post(func(s *state) { s.poison.Lives(c.Replica, now-took) })
+	n.state.Post(func(s *state) { s.poison.Survived(c.Incarnation, now-took) })
 	if n.suspects.Load() > 0 || content.Digested() {
 		n.clear(content.Digest(), now)
 	}
@@ -138,23 +138,23 @@
 // the connection, a new connection shows whether it crashed; otherwise the catalog does.
 func (n *Node) cut(ctx context.Context, c *placement.Choice, content *poison.Content, took time.Duration, closed bool) {
 	now := n.now()
-	if n.served.Lately(content, now) {
+	if n.served.ServedRecently(content, now) {
 		return
 	}
 	d := content.Digest()
 	counted, dials, suspect := false, false, false
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
-		if s.isLeaving(c.Replica) {
+		if s.isLeaving(c.Incarnation) {
 			return // a planned stop
 		}
-		counted = s.poison.Cut(c.Replica, d, now-took, now)
-		dials = closed && !counted && s.poison.Dials(c.Replica, now)
-		suspect = s.poison.Suspects(d)
+		counted = s.poison.Interrupted(c.Incarnation, d, now-took, now)
+		dials = closed && !counted && s.poison.ShouldProbe(c.Incarnation, now)
+		suspect = s.poison.IsPublished(d)
 	})
 	if counted {
 		n.gossipPoison()
 	}
-	start, addr := c.Replica, c.Addr
+	start, addr := c.Incarnation, c.Addr
 	switch {
 	case !dials, ctx.Err() != nil:
 	case suspect:
@@ -172,11 +172,11 @@
 // probeCrash checks whether a replica that cut a request has crashed: its address then refuses connections
 // for some seconds. An established connection is kept for the next request.
 func (n *Node) probeCrash(ctx context.Context, start, addr string) {
-	err := n.replicaPool.Reach(ctx, addr, crashDialTimeout)
+	err := n.replicaPool.Probe(ctx, addr, crashDialTimeout)
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
-	sleep.For(ctx, poison.Settles)
+	sleep.For(ctx, poison.JointCrashDelay)
 	var e replicaCrash
 	_ = n.state.Do(func(s *state) { e = s.countCrash(start, n.now()) }) // it fails only after the box has stopped
 	n.recordCrash(e)
@@ -194,8 +194,8 @@
 func (s *state) countCrash(start string, now time.Duration) replicaCrash {
 	return replicaCrash{
 		start:    start,
-		counted:  s.poison.Ended(start, now),
-		requests: s.poison.CutBy(start),
+		counted:  s.poison.Crashed(start, now),
+		requests: s.poison.InterruptedBy(start),
 	}
 }
 
@@ -210,7 +210,7 @@
 		Upstream: e.start,
 		Reason:   "replica ended under requests",
 		InFlight: e.counted,
-		Detail:   fmt.Sprintf("start %v, requests %v", poison.StartOf(e.start), e.requests),
+		Detail:   fmt.Sprintf("start %v, requests %v", poison.IncarnationOf(e.start), e.requests),
 	})
 }
 
@@ -219,7 +219,7 @@
 func (n *Node) recordUnlistedCrashes() {
 	var ends []replicaCrash
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
-		for _, start := range s.poison.Doubtful() {
+		for _, start := range s.poison.Unconfirmed() {
 			r := s.view.Get(start)
 			if r == nil || (!r.Listed() && !r.Info().Leaving) {
 				ends = append(ends, s.countCrash(start, n.now()))
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -17,7 +17,7 @@
 		now := n.now()
 		out = s.gossipPoison(now, n.draw)
 		changes = s.poison.Changes(now)
-		n.suspects.Store(int32(s.poison.Known()))
+		n.suspects.Store(int32(s.poison.PublishedCount()))
 	})
 	n.sendPackets(out)
 	for _, c := range changes {
@@ -33,8 +33,8 @@
 	switch {
 	case c.Quarantined:
 		e.Reason = "request quarantined, replicas ended under it"
-		e.Tries = c.Ends
-		e.Detail = fmt.Sprintf("for %s, starts %v", c.Left.Round(time.Second), c.Starts)
+		e.Tries = c.Crashes
+		e.Detail = fmt.Sprintf("for %s, starts %v", c.Left.Round(time.Second), c.Incarnations)
 	case c.Cleared:
 		e.Reason = "request cleared by a whole answer"
 	default:
@@ -65,7 +65,7 @@
 func (n *Node) receivePoison(buf []byte, from string) {
 	var answers []poison.Packet
 	news := false
-	_ = n.state.Do(func(s *state) { answers, news = s.poison.Hear(buf, from, n.now()) }) // it fails only after the box has stopped
+	_ = n.state.Do(func(s *state) { answers, news = s.poison.Receive(buf, from, n.now()) }) // it fails only after the box has stopped
 	n.sendPackets(rosterPackets(answers))
 	if news {
 		n.gossipPoison()
@@ -88,7 +88,7 @@
 func (n *Node) quarantinedRequests() (count int) {
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		now := n.now()
-		for _, r := range s.poison.Records() {
+		for _, r := range s.poison.Published() {
 			if _, quarantined := s.poison.Quarantined(r.Digest, now); quarantined {
 				count++
 			}
--- a/node/policies.go
+++ b/node/policies.go
@@ -26,7 +26,7 @@
 	Have int `json:"have"` // version of the requesting box; 0 for none
 }
 
-func (n *Node) servePolicy(have int) (out catalog.PolicyNews, err error) {
+func (n *Node) servePolicy(have int) (out catalog.PolicyResponse, err error) {
 	var list []*catalog.Policy
 	if err := n.state.Do(func(s *state) { list = s.content.Policies() }); err != nil || len(list) == 0 {
 		return out, err
@@ -40,7 +40,7 @@
 		return out, err
 	}
 	if wait := n.policyBucket.take(base64.StdEncoding.EncodedLen(len(compressed)), n.now()); wait > 0 {
-		out.Wait = catalog.Millis(wait.Milliseconds() + 1)
+		out.RetryAfter = catalog.Millis(wait.Milliseconds() + 1)
 		return out, nil
 	}
 	out.Compressed = compressed
@@ -49,7 +49,7 @@
 
 // callPolicy requests the newest policy from the box at an address. It uses the bulk connection, so that
 // other calls do not queue behind the response.
-func (n *Node) callPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyNews, err error) {
+func (n *Node) callPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyResponse, err error) {
 	err = n.bulkPeers.Call(ctx, addr, peer.Policy, policyRequest{
 		Have: have,
 	}, &news)
@@ -87,7 +87,7 @@
 		if b.Policy <= have || b.Peers == "" || !s.roster.Alive(b.Box, now) {
 			continue
 		}
-		s.content.HeardOfPolicy(b.Policy)
+		s.content.RecordPolicyVersion(b.Policy)
 		switch {
 		case slices.Contains(avoid, b.Box):
 		case b.Region == s.settings.Region:
@@ -96,7 +96,7 @@
 			far = keepNewest(far, b)
 		}
 	}
-	out.due = s.content.PolicyDue()
+	out.due = s.content.MissingPolicyVersion()
 	out.sources = near
 	if len(near) == 0 {
 		out.sources = far
@@ -144,7 +144,7 @@
 // from another box is in progress.
 func (n *Node) rereadMissingPolicy() {
 	have, due := 0, 0
-	_ = n.state.Do(func(s *state) { have, due = versionOf(s.content.Policy()), s.content.PolicyDue() }) // it fails only after the box has stopped
+	_ = n.state.Do(func(s *state) { have, due = versionOf(s.content.Policy()), s.content.MissingPolicyVersion() }) // it fails only after the box has stopped
 	if n.ownReadTimer.shouldRead(have, due, n.now(), n.jitter) {
 		n.feed.Reread()
 	}
@@ -158,7 +158,7 @@
 	news, err := n.fetchPolicy(limit, from.Peers, have)
 	if err == nil && len(news.Compressed) == 0 {
 		n.policySources.busy = from.Box
-		return min(news.Wait.Duration(), maxPolicyWait)
+		return min(news.RetryAfter.Duration(), maxPolicyWait)
 	}
 	var p *catalog.Policy
 	if err == nil {
@@ -179,7 +179,7 @@
 	return 0
 }
 
-func applyPolicyDelta(news catalog.PolicyNews, known *catalog.Policy) (*catalog.Policy, error) {
+func applyPolicyDelta(news catalog.PolicyResponse, known *catalog.Policy) (*catalog.Policy, error) {
 	a, err := news.Delta()
 	if err != nil {
 		return nil, err
--- a/node/pull.go
+++ b/node/pull.go
@@ -37,9 +37,9 @@
 
 func (s *state) compareCopy(from wire.BoxStatus) copyState {
 	out := copyState{
-		newest:             s.content.Newest(),
+		newest:             s.content.NewestRevision(),
 		after:              s.content.Revision(),
-		unconfirmed:        s.content.Doubtful(),
+		unconfirmed:        s.content.HasUnconfirmedRemovals(),
 		unreportedRemovals: s.unreportedRemovals(from),
 	}
 	if s.table != nil {
@@ -101,10 +101,10 @@
 			Reason:   "catalog not read from box",
 			Detail:   err.Error(),
 		})
-		n.feed.Behind(int64(from.Catalog))
+		n.feed.NotifyRevision(int64(from.Catalog))
 		return false
 	}
-	if news.Wait > 0 {
+	if news.RetryAfter > 0 {
 		return true
 	}
 	n.applyUpdate(news.Update())
@@ -114,15 +114,15 @@
 		s.recordReportedRemovals(from)
 		replicas = s.content.Len()
 	})
-	n.feed.Learned(news.Revision, replicas)
-	if news.Read > 0 {
-		n.confirmAt(sentAt - news.Read.Duration()) // the response was made later
+	n.feed.RecordRevision(news.Revision, replicas)
+	if news.ReadAge > 0 {
+		n.confirmAt(sentAt - news.ReadAge.Duration()) // the response was made later
 	}
 	return false
 }
 
-func (n *Node) callCatalog(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
-	var out catalog.EncodedNews
+func (n *Node) callCatalog(ctx context.Context, addr string, after int64) (news catalog.ChangeSet, err error) {
+	var out catalog.EncodedChangeSet
 	err = n.peers.Call(ctx, addr, peer.Catalog, catalogRequest{
 		After: after,
 	}, &out)
@@ -146,7 +146,7 @@
 			return nil, errors.Wrap(err, "policy")
 		}
 		return n.servePolicy(req.Have)
-	case peer.Proof:
+	case peer.FreshnessProof:
 		return n.serveProof(), nil
 	case peer.Quota:
 		var req allocationRequest
@@ -167,7 +167,7 @@
 		n.table.Store(s.table)
 	})
 	if t := n.table.Load(); t != nil {
-		n.lease.Hold(t.Version())
+		n.lease.SetVersion(t.Version())
 	}
 	if first && n.table.Load() != nil {
 		n.notifyAll(false) // this box is ready from now on
@@ -181,14 +181,14 @@
 
 // recordStateChanges logs changes of the recorded state of replicas, and closes idle connections to
 // replicas that have restarted.
-func (n *Node) recordStateChanges(list []placement.Belief) {
+func (n *Node) recordStateChanges(list []placement.Change) {
 	for _, b := range list {
 		if b.Addr != "" {
-			n.replicaPool.CloseResting(b.Addr)
+			n.replicaPool.CloseIdle(b.Addr)
 		}
 		n.record(decision.Event{
 			Kind:     decision.Belief,
-			Upstream: b.About,
+			Upstream: b.Subject,
 			Reason:   b.Reason,
 			Revision: b.Rev,
 		})
--- a/node/quota.go
+++ b/node/quota.go
@@ -30,9 +30,9 @@
 
 // quotas enforces the quotas of organisations at one box.
 type quotas struct {
-	allocator  *quota.Bank
-	credits    *quota.Purse
-	shares     *quota.Shares
+	allocator  *quota.Allocator
+	credits    *quota.CreditPool
+	shares     *quota.RegionShares
 	view       atomic.Pointer[allocatorView]
 	asking     [allocatorShards]atomic.Bool // a request ahead of need is in progress, by shard
 	collecting atomic.Bool                  // demand of other regions is being collected
@@ -44,16 +44,16 @@
 
 // allocationRequest holds the parameters of a request to a quota allocator.
 type allocationRequest struct {
-	From quota.Asker `json:"from"`
-	Asks []quota.Ask `json:"asks"`
+	From quota.Requester       `json:"from"`
+	Asks []quota.CreditRequest `json:"asks"`
 }
 
 func (n *Node) newQuotas() *quotas {
 	regions := slices.Sorted(maps.Values(n.settings.Regions))
 	return &quotas{
-		allocator: quota.NewBank(),
-		credits:   quota.NewPurse(n.quotaWindow(), n.requestAllocation, n.now),
-		shares:    quota.NewShares(n.settings.Region, slices.Compact(regions)),
+		allocator: quota.NewAllocator(),
+		credits:   quota.NewCreditPool(n.quotaWindow(), n.requestAllocation, n.now),
+		shares:    quota.NewRegionShares(n.settings.Region, slices.Compact(regions)),
 		backoff:   make(map[string]time.Duration),
 	}
 }
@@ -84,20 +84,20 @@
 }
 
 // terms returns what all regions together admit of an organisation.
-func (n *Node) terms(organisation string) (quota.Terms, bool) {
+func (n *Node) terms(organisation string) (quota.Limit, bool) {
 	t := n.table.Load()
 	if t == nil {
-		return quota.Terms{}, false
+		return quota.Limit{}, false
 	}
 	o := t.OrganisationOf(organisation)
 	if o == nil || !o.Quota.Bounded() {
-		return quota.Terms{}, false
+		return quota.Limit{}, false
 	}
 	b := n.settings.Bounds
 	window := n.quotaWindow()
 	limit := o.Quota.PerSecond*window.Seconds() + o.Quota.Burst
-	return quota.Terms{
-		Units:  limit*(1+overageShare*b.QuotaOverage) + slackShare*b.QuotaSlack,
+	return quota.Limit{
+		Units:  limit*(1+overageShare*b.QuotaFactor) + slackShare*b.QuotaExtra,
 		Window: window,
 	}, true
 }
@@ -107,31 +107,31 @@
 }
 
 // asker identifies this box to an allocator.
-func (n *Node) asker() quota.Asker {
-	return quota.Asker{
-		Box: n.settings.Box,
-		Up:  n.now(),
+func (n *Node) asker() quota.Requester {
+	return quota.Requester{
+		Box:    n.settings.Box,
+		Uptime: n.now(),
 	}
 }
 
 // grant answers allocation requests as an allocator.
-func (n *Node) grant(from quota.Asker, asks []quota.Ask) []quota.Grant {
+func (n *Node) grant(from quota.Requester, asks []quota.CreditRequest) []quota.Grant {
 	users := minAllocatorUsers
 	if v := n.quotas.view.Load(); v != nil {
 		users = v.users
 	}
-	return n.quotas.allocator.Grant(from, asks, quota.Round{
-		Terms:  n.terms,
-		Shares: n.quotas.shares,
-		Known:  users,
-		Draw:   n.jitter,
+	return n.quotas.allocator.Grant(from, asks, quota.GrantParams{
+		Terms:         n.terms,
+		Shares:        n.quotas.shares,
+		BoxesInRegion: users,
+		Random:        n.jitter,
 	}, n.now())
 }
 
 // requestAllocation requests an allocation for a waiting request. If the allocator has no record of the
 // quota, as its policy is older, this box allocates for itself.
-func (n *Node) requestAllocation(ctx context.Context, a quota.Ask) (quota.Grant, bool) {
-	asks := []quota.Ask{a}
+func (n *Node) requestAllocation(ctx context.Context, a quota.CreditRequest) (quota.Grant, bool) {
+	asks := []quota.CreditRequest{a}
 	out := n.askAllocators(ctx, shardOf(a.Organisation), asks)
 	if len(out) == 0 {
 		out = n.grant(n.asker(), asks)
@@ -144,7 +144,7 @@
 
 // askAllocators requests allocations from the candidates of a shard in order of preference. If none answers,
 // this box allocates for itself.
-func (n *Node) askAllocators(ctx context.Context, shard int, asks []quota.Ask) []quota.Grant {
+func (n *Node) askAllocators(ctx context.Context, shard int, asks []quota.CreditRequest) []quota.Grant {
 	v := n.quotas.view.Load()
 	if v == nil { // no roster yet
 		return n.grant(n.asker(), asks)
@@ -177,7 +177,7 @@
 	})
 }
 
-func (n *Node) callAllocator(ctx context.Context, addr string, asks []quota.Ask) (out []quota.Grant, err error) {
+func (n *Node) callAllocator(ctx context.Context, addr string, asks []quota.CreditRequest) (out []quota.Grant, err error) {
 	ctx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
 	err = n.peers.Call(ctx, addr, peer.Quota, allocationRequest{
@@ -240,11 +240,11 @@
 		if !asking.CompareAndSwap(false, true) {
 			continue
 		}
-		list := n.quotas.credits.Due(func(organisation string) bool { return shardOf(organisation) == shard })
+		list := n.quotas.credits.DueRequests(func(organisation string) bool { return shardOf(organisation) == shard })
 		n.tasks.Go(func() {
 			defer asking.Store(false)
 			for _, g := range n.askAllocators(ctx, shard, list) {
-				n.quotas.credits.Granted(g)
+				n.quotas.credits.AddGrant(g)
 			}
 		})
 	}
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -67,8 +67,8 @@
 	f.populate(boxes, func(s *Settings) {
 		s.Regions = map[string]string{"region-0": "region-0", "region-1": "region-1", "region-2": "region-2"}
 		s.Bounds.QuotaWindow = quotaWindow
-		s.Bounds.QuotaOverage = quotaOverage
-		s.Bounds.QuotaSlack = quotaSlack
+		s.Bounds.QuotaFactor = quotaOverage
+		s.Bounds.QuotaExtra = quotaSlack
 	})
 	time.Sleep(settleTime)
 	return b
@@ -361,7 +361,7 @@
 		started: time.Now(),
 	}
 	n.quotas = n.newQuotas()
-	n.quotas.credits.Granted(quota.Grant{
+	n.quotas.credits.AddGrant(quota.Grant{
 		Organisation: "org",
 		Units:        1e18,
 	})
@@ -369,7 +369,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := n.quotas.credits.Take(ctx, "org", 9390); !ok {
-			n.quotas.credits.Granted(quota.Grant{
+			n.quotas.credits.AddGrant(quota.Grant{
 				Organisation: "org",
 				Units:        1e18,
 			})
--- a/node/quotaallocators.go
+++ b/node/quotaallocators.go
@@ -54,7 +54,7 @@
 	}
 	asking.Wait()
 	if int(heard.Load()) == n.quotas.shares.Others() {
-		n.quotas.shares.Agree(own, func(organisation string) float64 {
+		n.quotas.shares.RecordAgreedShares(own, func(organisation string) float64 {
 			terms, _ := n.terms(organisation)
 			return terms.PerSecond()
 		})
@@ -66,7 +66,7 @@
 func (n *Node) collectRegionDemand(ctx context.Context, region string, v *allocatorView) bool {
 	sentAt := n.now()
 	var mu sync.Mutex
-	all := make(map[string]quota.Use)
+	all := make(map[string]quota.Usage)
 	var failed atomic.Bool
 	var asking sync.WaitGroup
 	for shard, list := range v.otherRegions[region] {
@@ -85,7 +85,7 @@
 	if failed.Load() {
 		return false // the share of the region stays until the next round
 	}
-	n.quotas.shares.Hear(region, all, sentAt)
+	n.quotas.shares.RecordReport(region, all, sentAt)
 	return true
 }
 
@@ -135,7 +135,7 @@
 // allocatorUsers returns the number of boxes of the region that recently could request allocations,
 // including this one. After start-up, while the roster is incomplete, it returns a lower bound.
 func (s *state) allocatorUsers(now time.Duration) int {
-	known := 1 + len(s.roster.Sharers(s.settings.Region, now))
+	known := 1 + len(s.roster.QuotaUsers(s.settings.Region, now))
 	switch {
 	case now > regionDiscoveryTimeout:
 		return known
@@ -161,9 +161,9 @@
 }
 
 // demand answers the allocator of another region.
-func (n *Node) demand() map[string]quota.Use { return n.quotas.allocator.Uses(n.now()) }
+func (n *Node) demand() map[string]quota.Usage { return n.quotas.allocator.Usage(n.now()) }
 
-func (n *Node) callDemand(ctx context.Context, addr string) (out map[string]quota.Use, err error) {
+func (n *Node) callDemand(ctx context.Context, addr string) (out map[string]quota.Usage, err error) {
 	err = n.peers.Call(ctx, addr, peer.Demand, struct{}{}, &out)
 	return out, err
 }
--- a/node/reload.go
+++ b/node/reload.go
@@ -16,7 +16,7 @@
 			select {
 			case <-ctx.Done():
 			case <-time.After(reloadInterval):
-				if n.adapter.Changed() || n.reloadFailed {
+				if n.adapter.SettingsChanged() || n.reloadFailed {
 					n.reload(false)
 				}
 			case <-n.reloadRequests:
@@ -36,7 +36,7 @@
 
 // reload applies changed bounds. All other settings stay as at the start.
 func (n *Node) reload(requested bool) {
-	s, err := n.adapter.Reload()
+	s, err := n.adapter.ReadSettings()
 	n.reloadFailed = err != nil
 	if err != nil {
 		n.record(decision.Event{
@@ -51,8 +51,8 @@
 	}
 	n.bounds = s.Bounds
 	_ = n.state.Do(func(st *state) { // it fails only when the box has ended
-		st.budget.SetTerms(retryTerms(s.Bounds))
-		st.view.Pacer().SetTerms(coldTerms(s.Bounds))
+		st.budget.SetLimit(retryTerms(s.Bounds))
+		st.view.Pacer().SetLimit(coldTerms(s.Bounds))
 	})
 	n.record(decision.Event{
 		Kind:   decision.Reload,
--- a/node/reload_test.go
+++ b/node/reload_test.go
@@ -22,8 +22,8 @@
 	reads := 0
 	synctest.Test(t, func(t *testing.T) {
 		s, a := runnableBox("box", "127.0.0.1")
-		a.Changed = changed
-		a.Reload = func() (Settings, error) {
+		a.SettingsChanged = changed
+		a.ReadSettings = func() (Settings, error) {
 			reads++
 			return s, fail
 		}
--- a/node/removaltrace_test.go
+++ b/node/removaltrace_test.go
@@ -45,10 +45,10 @@
 	}
 }
 
-func changesOfTraced(changes []catalog.Change, doubts []catalog.Doubt) string {
+func changesOfTraced(changes []catalog.Change, doubts []catalog.UnconfirmedRemoval) string {
 	out := ""
 	for _, c := range changes {
-		if c.Gone == *tracedReplica {
+		if c.Removed == *tracedReplica {
 			out += fmt.Sprint(" gone at ", c.Revision)
 		}
 		if c.Replica != nil && c.Replica.ID == *tracedReplica {
@@ -57,7 +57,7 @@
 	}
 	for _, d := range doubts {
 		if d.Replica == *tracedReplica {
-			out += fmt.Sprint(" in doubt since ", d.Revision, " for ", d.Left)
+			out += fmt.Sprint(" in doubt since ", d.Revision, " for ", d.Remaining)
 		}
 	}
 	return out
@@ -73,7 +73,7 @@
 		if n := b.node.Load(); n != nil {
 			_ = n.state.Do(func(s *state) {
 				r := s.view.Get(*tracedReplica)
-				now = fmt.Sprint("lists it ", r != nil && r.Listed(), ", in doubt ", s.content.InDoubt(*tracedReplica), ", follows ", n.isFollower.Load())
+				now = fmt.Sprint("lists it ", r != nil && r.Listed(), ", in doubt ", s.content.IsUnconfirmed(*tracedReplica), ", follows ", n.isFollower.Load())
 			})
 		}
 		if was[b.settings.Box] != now {
--- a/node/serve.go
+++ b/node/serve.go
@@ -39,12 +39,12 @@
 		to   *net.Listener
 		addr string
 	}{
-		{&l.callers, s.Callers},
-		{&l.readiness, s.Readiness},
-		{&l.directory, s.Directory},
+		{&l.callers, s.CallerAddr},
+		{&l.readiness, s.ReadinessAddr},
+		{&l.directory, s.DirectoryAddr},
 		{&l.boxes, port(0)},
 		{&l.peers, port(1)},
-		{&l.metrics, s.Metrics},
+		{&l.metrics, s.MetricsAddr},
 	}
 	for _, w := range wanted {
 		if w.addr == "" {
@@ -56,7 +56,7 @@
 		}
 		*w.to = opened
 	}
-	for _, addr := range []string{port(1), s.Seed} {
+	for _, addr := range []string{port(1), s.SeedAddr} {
 		if addr == "" {
 			continue
 		}
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -150,18 +150,18 @@
 	n.isReader.Store(true)
 	n.state = cell.New(context.WithoutCancel(f.ctx), f.system, "state", newState(n.settings, n.status(), n.now()))
 	n.feed = n.newFeed(f.tracedSource(b.settings.Box, f.listing.source(b.settings.Box)))
-	n.fetchChanges = func(ctx context.Context, addr string, after int64) (catalog.News, error) {
+	n.fetchChanges = func(ctx context.Context, addr string, after int64) (catalog.ChangeSet, error) {
 		news, err := f.fetchChanges(ctx, addr, after)
-		f.printTraced(b.settings.Box, "asked", addr, "after", after, "received up to", news.Revision, news.Snapshot != nil, changesOfTraced(news.Changes, news.Doubts), err)
+		f.printTraced(b.settings.Box, "asked", addr, "after", after, "received up to", news.Revision, news.Snapshot != nil, changesOfTraced(news.Changes, news.UnconfirmedRemovals), err)
 		return news, err
 	}
 	n.fetchPolicy = f.fetchPolicy
 	n.fetchProof = func(ctx context.Context, addr string) (proofResponse, error) { return f.fetchProof(ctx, b, addr) }
 	n.quotas = n.newQuotas()
-	n.requestCredit = func(ctx context.Context, addr string, asks []quota.Ask) ([]quota.Grant, error) {
+	n.requestCredit = func(ctx context.Context, addr string, asks []quota.CreditRequest) ([]quota.Grant, error) {
 		return f.requestCredit(ctx, b, addr, asks)
 	}
-	n.fetchDemand = func(ctx context.Context, addr string) (map[string]quota.Use, error) {
+	n.fetchDemand = func(ctx context.Context, addr string) (map[string]quota.Usage, error) {
 		return f.fetchDemand(ctx, b, addr)
 	}
 	n.deltas = catalog.NewDeltas()
--- a/node/simulationcalls_test.go
+++ b/node/simulationcalls_test.go
@@ -51,7 +51,7 @@
 	return ctx.Err()
 }
 
-func (f *simulation) requestCredit(ctx context.Context, from *simBox, addr string, asks []quota.Ask) ([]quota.Grant, error) {
+func (f *simulation) requestCredit(ctx context.Context, from *simBox, addr string, asks []quota.CreditRequest) ([]quota.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, allocatorTimeout)
 	defer cancel()
 	self := from.node.Load()
@@ -68,7 +68,7 @@
 	return out, ctx.Err()
 }
 
-func (f *simulation) fetchDemand(ctx context.Context, from *simBox, addr string) (map[string]quota.Use, error) {
+func (f *simulation) fetchDemand(ctx context.Context, from *simBox, addr string) (map[string]quota.Usage, error) {
 	n, way, err := f.sendCall(ctx, from, addr, "demand")
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 	return nil, nil, errors.Wrap(ctx.Err(), "box gone")
 }
 
-func (f *simulation) fetchChanges(ctx context.Context, addr string, after int64) (news catalog.News, err error) {
+func (f *simulation) fetchChanges(ctx context.Context, addr string, after int64) (news catalog.ChangeSet, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay+f.jitter(maxJitter, "asked", addr, after))
 	if err != nil {
 		return news, err
@@ -111,19 +111,19 @@
 		news, err = f.decode(ctx, encoded)
 	}
 	f.links.Load().answer(ctx, b, sizeOfEncoded(encoded))
-	f.addToTrace("told", addr, after, news.Revision, len(news.Changes), news.Doubts)
+	f.addToTrace("told", addr, after, news.Revision, len(news.Changes), news.UnconfirmedRemovals)
 	return news, errors.CombineErrors(err, ctx.Err())
 }
 
 const applyCost = 50 * time.Microsecond // per replica of a snapshot, to decode and apply it on a fifth of a core
 
 // decode decodes catalog changes as the receiving box does.
-func (f *simulation) decode(ctx context.Context, encoded catalog.EncodedNews) (news catalog.News, err error) {
+func (f *simulation) decode(ctx context.Context, encoded catalog.EncodedChangeSet) (news catalog.ChangeSet, err error) {
 	if len(encoded.Compressed) == 0 {
 		return encoded.Decode()
 	}
 	if known, ok := f.decoded.Load(&encoded.Compressed[0]); ok {
-		news = known.(catalog.News)
+		news = known.(catalog.ChangeSet)
 	} else {
 		if news, err = encoded.Decode(); err != nil {
 			return news, err
@@ -137,9 +137,9 @@
 }
 
 // sizeOfEncoded returns the size of encoded changes on the wire.
-func sizeOfEncoded(encoded catalog.EncodedNews) int {
-	if encoded.News != nil {
-		return sizeOf(*encoded.News)
+func sizeOfEncoded(encoded catalog.EncodedChangeSet) int {
+	if encoded.ChangeSet != nil {
+		return sizeOf(*encoded.ChangeSet)
 	}
 	return base64.StdEncoding.EncodedLen(len(encoded.Compressed))
 }
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -17,7 +17,7 @@
 // snapshotCache is the last encoded catalog snapshot, shared by boxes that request one.
 type snapshotCache struct {
 	mu                sync.Mutex
-	encoded           catalog.EncodedNews
+	encoded           catalog.EncodedChangeSet
 	confirmedRemovals int           // at the time of encoding
 	read              int64         // time of the last catalog read, in nanoseconds since the start
 	at                time.Duration // of encoding; 0 for never
@@ -30,23 +30,23 @@
 	}
 }
 
-func (n *Node) serveCatalog(after int64) (catalog.EncodedNews, error) {
-	var news catalog.News
+func (n *Node) serveCatalog(after int64) (catalog.EncodedChangeSet, error) {
+	var news catalog.ChangeSet
 	all := false
 	read := n.lastRead.Load() // before the changes are collected, so that they are at least as new
 	err := n.state.Do(func(s *state) {
-		if all = s.content.TellsAll(after); !all {
-			news = s.content.Since(after)
+		if all = s.content.NeedsSnapshot(after); !all {
+			news = s.content.ChangesSince(after)
 		}
 	})
 	switch {
 	case err != nil:
-		return catalog.EncodedNews{}, err
+		return catalog.EncodedChangeSet{}, err
 	case all:
 		return n.serveSnapshot(after)
 	}
 	out, err := news.Encode()
-	out.Read = n.sharedReadAge(read)
+	out.ReadAge = n.sharedReadAge(read)
 	return out, err
 }
 
@@ -61,41 +61,41 @@
 
 // serveSnapshot returns a catalog snapshot, or the time to wait while it is rate-limited. Concurrent
 // requests share one encoding.
-func (n *Node) serveSnapshot(after int64) (out catalog.EncodedNews, err error) {
+func (n *Node) serveSnapshot(after int64) (out catalog.EncodedChangeSet, err error) {
 	w := n.snapshotCache
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if wait := w.bucket.take(0, n.now()); wait > 0 {
-		out.Wait = catalog.Millis(wait.Milliseconds() + 1)
+		out.RetryAfter = catalog.Millis(wait.Milliseconds() + 1)
 		return out, nil
 	}
 	if err := n.encodeSnapshot(w, after); err != nil {
-		return catalog.EncodedNews{}, err
+		return catalog.EncodedChangeSet{}, err
 	}
 	w.bucket.take(base64.StdEncoding.EncodedLen(len(w.encoded.Compressed)), n.now())
 	out = w.encoded
-	out.Read = n.sharedReadAge(w.read)
+	out.ReadAge = n.sharedReadAge(w.read)
 	return out, nil
 }
 
 // encodeSnapshot encodes a catalog snapshot, unless the cached one is fresh and no removal has been
 // unconfirmed, or confirmed, since.
 func (n *Node) encodeSnapshot(w *snapshotCache, after int64) error {
-	var news catalog.News
+	var news catalog.ChangeSet
 	again := false
 	err := n.state.Do(func(s *state) {
-		again = w.at > 0 && n.now()-w.at < snapshotTTL && w.confirmedRemovals == s.content.Lapses() && !s.content.Doubtful()
+		again = w.at > 0 && n.now()-w.at < snapshotTTL && w.confirmedRemovals == s.content.ConfirmedRemovals() && !s.content.HasUnconfirmedRemovals()
 		if !again {
 			w.read = n.lastRead.Load()
-			news = s.content.Since(after)
-			w.confirmedRemovals = s.content.Lapses()
+			news = s.content.ChangesSince(after)
+			w.confirmedRemovals = s.content.ConfirmedRemovals()
 		}
 	})
 	if err != nil || again {
 		return err
 	}
 	w.at = 0
-	if w.encoded, err = news.Encode(); err == nil && len(news.Doubts) == 0 {
+	if w.encoded, err = news.Encode(); err == nil && len(news.UnconfirmedRemovals) == 0 {
 		w.at = n.now()
 	}
 	return err
--- a/node/start_test.go
+++ b/node/start_test.go
@@ -23,7 +23,7 @@
 )
 
 // immediateSource is a source that answers at once.
-func immediateSource(*exchange.Pool, Report) catalog.Source {
+func immediateSource(*exchange.Pool, SourceEvents) catalog.Source {
 	return catalog.Source{
 		Read: func(context.Context) (catalog.Snapshot, error) {
 			return catalog.Snapshot{
@@ -41,15 +41,15 @@
 // runnableBox returns the settings and the adapter of a box with a seed that does not answer.
 func runnableBox(name, ip string) (Settings, Adapter) {
 	s := Settings{
-		Box:     name,
-		Region:  "a",
-		Domain:  "a",
-		IP:      ip,
-		Callers: net.JoinHostPort(ip, "0"),
-		Seed:    net.JoinHostPort(ip, "0"),
-		Seeds:   []string{"127.0.0.1:9"},
+		Box:        name,
+		Region:     "a",
+		Domain:     "a",
+		IP:         ip,
+		CallerAddr: net.JoinHostPort(ip, "0"),
+		SeedAddr:   net.JoinHostPort(ip, "0"),
+		Seeds:      []string{"127.0.0.1:9"},
 		Bounds: Bounds{
-			StopWithin: time.Second,
+			StopTimeout: time.Second,
 		},
 	}
 	a := Adapter{
@@ -58,9 +58,9 @@
 		Directory: func(func(host, region string) []string, time.Duration) http.Handler {
 			return http.NotFoundHandler()
 		},
-		Readiness: func(func() bool) http.Handler { return http.NotFoundHandler() },
-		Changed:   func() bool { return true },
-		Reload:    func() (Settings, error) { return s, nil },
+		Readiness:       func(func() bool) http.Handler { return http.NotFoundHandler() },
+		SettingsChanged: func() bool { return true },
+		ReadSettings:    func() (Settings, error) { return s, nil },
 	}
 	return s, a
 }
--- a/node/state.go
+++ b/node/state.go
@@ -53,7 +53,7 @@
 	refreshCount      int              // updates fetched from readers
 	capacity          []wire.ServiceRoom
 	capacityAt        time.Duration // when it was computed; 0 for never
-	poison            *poison.Watch
+	poison            *poison.Detector
 }
 
 func newState(s Settings, self wire.BoxStatus, now time.Duration) *state {
@@ -62,7 +62,7 @@
 	return &state{
 		settings:          s,
 		roster:            roster.New(self, roster.WithSeeds(otherSeeds(s))),
-		view:              placement.NewView(s.Region, s.Domain, pacer, placement.WithStarts(ids.add, ids.drop)),
+		view:              placement.NewView(s.Region, s.Domain, pacer, placement.WithCallbacks(ids.add, ids.drop)),
 		budget:            budget.New(retryTerms(s.Bounds)),
 		content:           catalog.NewContent(),
 		loggedAlive:       make(map[string]bool),
@@ -74,41 +74,41 @@
 		replicaIDs:        ids,
 		unanswered:        make(map[string]int),
 		reportedBorn:      make(map[string]int64),
-		poison:            poison.NewWatch(s.Box),
+		poison:            poison.NewDetector(s.Box),
 	}
 }
 
 func otherSeeds(s Settings) []string {
-	return slices.DeleteFunc(slices.Clone(s.Seeds), func(addr string) bool { return addr == s.Seed })
+	return slices.DeleteFunc(slices.Clone(s.Seeds), func(addr string) bool { return addr == s.SeedAddr })
 }
 
-func coldTerms(b Bounds) pacing.Terms {
-	return pacing.Terms{
-		Overage: b.ColdOverage,
-		Slack:   b.ColdSlack,
+func coldTerms(b Bounds) pacing.Limit {
+	return pacing.Limit{
+		Overage: b.ColdRateFactor,
+		Slack:   b.ColdRateExtra,
 	}
 }
 
-func retryTerms(b Bounds) budget.Terms {
-	return budget.Terms{
-		Ratio:  b.RetryRatio,
-		Window: b.RetryWindow,
-		Extra:  b.RetryExtra,
+func retryTerms(b Bounds) budget.Limit {
+	return budget.Limit{
+		Ratio:     b.RetryRatio,
+		Window:    b.RetryWindow,
+		Allowance: b.RetryExtra,
 	}
 }
 
 // applyUpdate applies a catalog update and returns the changes of the recorded state.
-func (s *state) applyUpdate(u catalog.Update, now time.Duration) []placement.Belief {
-	var out []placement.Belief
-	applied := s.content.Take(u)
-	hasCatalog := s.content.Newest() > 0 // a policy from another box may arrive before the replicas
+func (s *state) applyUpdate(u catalog.Update, now time.Duration) []placement.Change {
+	var out []placement.Change
+	applied := s.content.Apply(u)
+	hasCatalog := s.content.NewestRevision() > 0 // a policy from another box may arrive before the replicas
 	if p := s.content.Policy(); hasCatalog && p != nil && (s.table == nil || p.Version > s.table.Version()) {
 		s.table = catalog.NewTable(*p)
 		s.view.SetTable(s.table)
 		s.pruneRoutes()
-		out = append(out, placement.Belief{
-			Reason: "policy in force",
-			About:  fmt.Sprint(p.Version),
+		out = append(out, placement.Change{
+			Reason:  "policy in force",
+			Subject: fmt.Sprint(p.Version),
 		})
 	}
 	if !applied {
@@ -117,8 +117,8 @@
 	return append(out, s.updateView(now)...)
 }
 
-func (s *state) updateView(now time.Duration) []placement.Belief {
-	out := s.view.Take(s.content, now)
+func (s *state) updateView(now time.Duration) []placement.Change {
+	out := s.view.Apply(s.content, now)
 	maps.DeleteFunc(s.unanswered, func(start string, _ int) bool { return s.view.Get(start) == nil })
 	if len(s.reportedBorn) > 0 {
 		s.pruneReportedBorn()
@@ -128,9 +128,9 @@
 
 // applyExpired applies removals whose time to be refuted has expired. It returns the changes since
 // its last call, also those by load reports.
-func (s *state) applyExpired(now time.Duration) []placement.Belief {
-	out := s.view.Changed()
-	if !s.content.Settle() {
+func (s *state) applyExpired(now time.Duration) []placement.Change {
+	out := s.view.TakeChanges()
+	if !s.content.ConfirmRemovals() {
 		return out
 	}
 	return append(out, s.updateView(now)...)
@@ -146,7 +146,7 @@
 		return nil
 	}
 	s.view.Pacer().SetStart(since) // other boxes' earlier requests count for a window
-	out := append([]string{s.settings.Box}, s.roster.Sharers(s.settings.Region, now)...)
+	out := append([]string{s.settings.Box}, s.roster.QuotaUsers(s.settings.Region, now)...)
 	minimum := minSharers
 	if len(out) == 1 {
 		minimum = minSharersAlone
@@ -164,13 +164,13 @@
 // all boxes of the region are recorded, it assumes the largest installation.
 func (s *state) retryBoxes(now time.Duration) int {
 	if _, ok := s.roster.CompleteSince(now); !ok {
-		return max(1+len(s.roster.Sharers("", now)), maxRetryBoxes)
+		return max(1+len(s.roster.QuotaUsers("", now)), maxRetryBoxes)
 	}
 	byRegion := map[string][]string{
-		s.settings.Region: append(s.roster.Sharers(s.settings.Region, now), s.settings.Box),
+		s.settings.Region: append(s.roster.QuotaUsers(s.settings.Region, now), s.settings.Box),
 	}
 	for m := range s.roster.All() {
-		if r := m.Status.Region; r != s.settings.Region && now-m.Seen < roster.SharesFor {
+		if r := m.Status.Region; r != s.settings.Region && now-m.LastAlive < roster.ShareTTL {
 			byRegion[r] = append(byRegion[r], m.Status.Box)
 		}
 	}
@@ -186,22 +186,22 @@
 }
 
 func (s *state) receive(g wire.Gossip, now time.Duration) {
-	if s.roster.Hear(g.From, true, now) && g.From.Region == s.settings.Region {
+	if s.roster.Receive(g.From, true, now) && g.From.Region == s.settings.Region {
 		loads := make([]placement.OwnLoad, 0, len(g.From.Loads))
 		for _, l := range g.From.Loads {
 			loads = append(loads, ownLoad(l.Replica, l))
 		}
-		s.view.Told(g.From.Box, loads, now)
+		s.view.RecordPeerLoads(g.From.Box, loads, now)
 	}
 	for _, o := range g.Others {
-		s.roster.Hear(o, false, now)
+		s.roster.Receive(o, false, now)
 	}
 }
 
-func (s *state) receiveCompact(b roster.Compact, from string, now time.Duration) roster.Heard {
-	h := s.roster.HearCompact(b, from, now)
-	s.receiveLoadReports(b.Words, now)
-	if !h.Newer || h.Status.Region != s.settings.Region || (len(h.Loads) == 0 && !h.All) {
+func (s *state) receiveCompact(b roster.Compact, from string, now time.Duration) roster.Received {
+	h := s.roster.ReceiveCompact(b, from, now)
+	s.receiveLoadReports(b.LoadReports, now)
+	if !h.Newer || h.Status.Region != s.settings.Region || (len(h.Loads) == 0 && !h.AllLoads) {
 		return h
 	}
 	loads := make([]placement.OwnLoad, 0, len(h.Loads))
@@ -210,25 +210,25 @@
 			loads = append(loads, ownLoad(id, l.Load))
 		}
 	}
-	s.view.Told(h.Sender, loads, now)
+	s.view.RecordPeerLoads(h.Sender, loads, now)
 	return h
 }
 
 func ownLoad(replica string, l wire.ReplicaLoad) placement.OwnLoad {
 	return placement.OwnLoad{
-		Replica: replica,
+		Incarnation: replica,
 		Load: placement.Load{
-			Requests: l.InFlight,
-			Tokens:   l.Tokens,
-			Unread:   l.Prompt,
-			Reads:    l.Reads,
+			Requests:       l.InFlight,
+			Tokens:         l.Tokens,
+			PendingPrefill: l.Prompt,
+			PrefillRate:    l.Reads,
 		},
-		Kept: segmentKeys(l.Kept),
+		RecentSegments: segmentKeys(l.Kept),
 	}
 }
 
 // segmentNumbers converts segment keys to their wire form.
-func segmentNumbers(keys []placement.PartKey) []int {
+func segmentNumbers(keys []placement.SegmentKey) []int {
 	out := make([]int, 0, len(keys))
 	for _, k := range keys {
 		out = append(out, int(k))
@@ -237,10 +237,10 @@
 }
 
 // segmentKeys converts segment keys from their wire form.
-func segmentKeys(list []int) []placement.PartKey {
-	out := make([]placement.PartKey, 0, len(list))
+func segmentKeys(list []int) []placement.SegmentKey {
+	out := make([]placement.SegmentKey, 0, len(list))
 	for _, n := range list {
-		out = append(out, placement.PartKey(n))
+		out = append(out, placement.SegmentKey(n))
 	}
 	return out
 }
@@ -249,20 +249,20 @@
 func (s *state) fillStatus(b wire.BoxStatus, now time.Duration) wire.BoxStatus {
 	s.seq++
 	b.Seq = s.seq
-	b.Catalog = int(s.content.Newest())
-	b.Lapses = s.content.Lapses()
+	b.Catalog = int(s.content.NewestRevision())
+	b.Lapses = s.content.ConfirmedRemovals()
 	if s.table == nil {
 		return b
 	}
 	b.Policy = s.table.Version()
-	for _, l := range s.view.Tell(now) {
+	for _, l := range s.view.OwnLoads(now) {
 		b.Loads = append(b.Loads, wire.ReplicaLoad{
-			Replica:  l.Replica,
+			Replica:  l.Incarnation,
 			InFlight: l.Load.Requests,
 			Tokens:   l.Load.Tokens,
-			Prompt:   l.Load.Unread,
-			Reads:    l.Load.Reads,
-			Kept:     segmentNumbers(l.Kept),
+			Prompt:   l.Load.PendingPrefill,
+			Reads:    l.Load.PrefillRate,
+			Kept:     segmentNumbers(l.RecentSegments),
 		})
 	}
 	if every := min(time.Duration(len(s.view.Replicas()))*capacityIntervalPerReplica, maxCapacityInterval); s.capacityAt == 0 || now-s.capacityAt >= every {
@@ -278,7 +278,7 @@
 	var out []wire.ServiceRoom
 	sharers := s.sharers(now)
 	for _, svc := range s.table.Policy().Services {
-		o := s.view.Outlook(placement.Request{
+		o := s.view.Estimate(placement.Request{
 			Service: svc.Name,
 		}, sharers, now)
 		if o.Reason != placement.None {
@@ -288,8 +288,8 @@
 			Service: svc.Name,
 			Usable:  o.Usable,
 			WaitMs:  int(o.Expect.Milliseconds()),
-			Busy:    int(percent * o.Busy),
-			Fewest:  o.Fewest,
+			Busy:    int(percent * o.PrefillShare),
+			Fewest:  o.MinRequests,
 		})
 	}
 	return out
@@ -299,18 +299,18 @@
 
 // place chooses a replica of this region, or a box of another region where the expected
 // loss is lower.
-func (s *state) place(ask ingress.Ask, now time.Duration, draw func(n int) int) ingress.Target {
-	if len(ask.Route.Homes) > 0 && !ask.Relayed {
+func (s *state) place(ask ingress.TargetQuery, now time.Duration, draw func(n int) int) ingress.Target {
+	if len(ask.Route.Homes) > 0 && !ask.Forwarded {
 		s.countRouteRequest(ask.Route.Name, now)
 	}
 	sharers := s.sharers(now)
-	ask.Request.Steps = s.view.Steps(ask.Request.Service)
-	goals := placement.Goals{
-		First: ask.Goal,
-		Gap:   ask.Route.GapGoal.Duration(),
-		Left:  ask.Left,
+	ask.Request.StepsPerEvent = s.view.StepsPerEvent(ask.Request.Service)
+	goals := placement.Targets{
+		FirstByte: ask.LatencyTarget,
+		Gap:       ask.Route.GapTarget.Duration(),
+		Deadline:  ask.TimeLeft,
 	}
-	here := s.view.Outlook(ask.Request, sharers, now)
+	here := s.view.Estimate(ask.Request, sharers, now)
 	others := s.remoteRegions(ask, now)
 	home := s.homeRegion(ask, here, others)
 	remote, hasRemote := s.lowestLoss(others, ask, home, goals, now)
@@ -325,32 +325,32 @@
 	}
 	if !allowed {
 		return ingress.Target{
-			Reason: placement.Nothing,
-			Wait:   placementRetryWait,
+			Reason:     placement.NoReplica,
+			RetryAfter: placementRetryWait,
 		}
 	}
 	c := s.pick(ask, sharers, now)
 	return ingress.Target{
-		Choice: c,
-		Reason: c.Reason,
-		Wait:   cmp.Or(c.Wait, placementRetryWait),
+		Choice:     c,
+		Reason:     c.Reason,
+		RetryAfter: cmp.Or(c.Wait, placementRetryWait),
 	}
 }
 
 // pick chooses a replica. A request on trial goes to the replica with the fewest other trials.
-func (s *state) pick(ask ingress.Ask, sharers []string, now time.Duration) placement.Choice {
+func (s *state) pick(ask ingress.TargetQuery, sharers []string, now time.Duration) placement.Choice {
 	if ask.Trial == nil {
 		return s.view.Pick(ask.Request, sharers, now)
 	}
 	for maxTrials := 0; ; maxTrials++ {
-		excluded := s.poison.Trials(*ask.Trial, maxTrials)
+		excluded := s.poison.IncarnationsOnTrial(*ask.Trial, maxTrials)
 		request := ask.Request
 		request.Tried = slices.Concat(request.Tried, excluded)
 		c := s.view.Pick(request, sharers, now)
-		if c.Replica != "" {
-			s.poison.BeginTrial(c.Replica, *ask.Trial)
+		if c.Incarnation != "" {
+			s.poison.BeginTrial(c.Incarnation, *ask.Trial)
 		}
-		if c.Replica != "" || len(excluded) == 0 {
+		if c.Incarnation != "" || len(excluded) == 0 {
 			return c
 		}
 	}
@@ -358,7 +358,7 @@
 
 // alternative returns a target that was not tried, without counting the request; false when there
 // is none.
-func (s *state) alternative(ask ingress.Ask, now time.Duration, draw func(n int) int) (ingress.Target, bool) {
+func (s *state) alternative(ask ingress.TargetQuery, now time.Duration, draw func(n int) int) (ingress.Target, bool) {
 	if ask.Route.Allows(s.settings.Region) {
 		if c := s.view.Next(ask.Request, s.sharers(now), now); c.Reason == placement.None {
 			return ingress.Target{
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -84,10 +84,10 @@
 	return u, version
 }
 
-func policiesInForce(news []placement.Belief) (out []string) {
+func policiesInForce(news []placement.Change) (out []string) {
 	for _, b := range news {
 		if b.Reason == "policy in force" {
-			out = append(out, b.About)
+			out = append(out, b.Subject)
 		}
 	}
 	return out
@@ -121,13 +121,13 @@
 	is := is.New(t)
 	b := newBox("self", "a", 0)
 	news := b.publish(2, policy(2), append(replicas("a", 1), replicas("b", 1)...))
-	is.Equal(news, []placement.Belief{
-		{Reason: "policy in force", About: "2"},
-		{Reason: "replica listed", About: "a-0", Rev: 1},
+	is.Equal(news, []placement.Change{
+		{Reason: "policy in force", Subject: "2"},
+		{Reason: "replica listed", Subject: "a-0", Rev: 1},
 	})
 	is.Equal(len(b.publish(2, policy(2), replicas("a", 1))), 0) // no changes
 	news = b.publish(3, policy(2), nil)
-	is.Equal(news, []placement.Belief{{Reason: "replica no longer listed", About: "a-0", Rev: 3}})
+	is.Equal(news, []placement.Change{{Reason: "replica no longer listed", Subject: "a-0", Rev: 3}})
 	is.Equal(len(b.publish(1, policy(1), replicas("a", 1))), 0) // it is older
 	is.Equal(b.message(start).From.Catalog, 3)
 }
--- a/node/usagereport.go
+++ b/node/usagereport.go
@@ -26,7 +26,7 @@
 // have different records, an engine may receive requests from two boxes or from none.
 func (s *state) reportTargets(now time.Duration) []reportTarget {
 	here := s.active[s.settings.Region]
-	if s.roster.TellsLoads() || s.table == nil || !here.has(s.settings.Box) {
+	if s.roster.SharesLoads() || s.table == nil || !here.has(s.settings.Box) {
 		return nil
 	}
 	names := []string{s.settings.Box}
@@ -38,9 +38,9 @@
 	mine := func(start string) bool { return rendezvous.Top(start, names, 1)[0] == s.settings.Box }
 	unanswered := func(start string) bool { return s.unanswered[start] > 0 }
 	var out []reportTarget
-	for _, r := range s.view.Questions(now, mine, unanswered) {
+	for _, r := range s.view.EnginesToPoll(now, mine, unanswered) {
 		out = append(out, reportTarget{
-			start: r.Start(),
+			start: r.Incarnation(),
 			addr:  r.Info().Addr,
 		})
 	}
@@ -49,12 +49,12 @@
 
 // runUsageReports starts a task that requests usage reports of engines until ctx is done.
 func (n *Node) runUsageReports(ctx context.Context) {
-	if n.adapter.Account == nil {
+	if n.adapter.RequestUsageReport == nil {
 		return
 	}
 	n.tasks.Go(func() {
 		for ctx.Err() == nil {
-			sleep.For(ctx, placement.AskEvery)
+			sleep.For(ctx, placement.PollInterval)
 			var list []reportTarget
 			_ = n.state.Do(func(s *state) { list = s.reportTargets(n.now()) }) // it fails only when the box has ended
 			for _, a := range list {
@@ -68,10 +68,10 @@
 	ctx, cancel := context.WithTimeout(ctx, usageReportTimeout)
 	defer cancel()
 	at := n.now()
-	got, err := n.adapter.Account(ctx, n.replicaPool, a.addr)
-	n.meter.Account(err == nil)
+	got, err := n.adapter.RequestUsageReport(ctx, n.replicaPool, a.addr)
+	n.meter.UsageReport(err == nil)
 	n.state.Post(func(s *state) {
-		start, news := s.reportingIncarnation(a.start, got.Born, n.now())
+		start, news := s.reportingIncarnation(a.start, got.StartedAt, n.now())
 		n.recordStateChanges(news)
 		s.recordUsageReport(start, got, err == nil, at, n.now())
 	})
@@ -79,32 +79,32 @@
 
 // reportingIncarnation returns the incarnation of a replica that sent a usage report. A later
 // one than recorded is applied, since its catalog entry may be a heartbeat late.
-func (s *state) reportingIncarnation(recorded string, born int64, now time.Duration) (string, []placement.Belief) {
+func (s *state) reportingIncarnation(recorded string, born int64, now time.Duration) (string, []placement.Change) {
 	info, svc := s.listed(recorded)
-	if svc == nil || born == 0 || info.Born == 0 || born == info.Born {
+	if svc == nil || born == 0 || info.StartedAt == 0 || born == info.StartedAt {
 		return recorded, nil
 	}
 	id := Identity{
-		ID:   info.ID,
-		Born: born,
+		ID:        info.ID,
+		StartedAt: born,
 	}
 	next := info
-	next.Born = born
+	next.StartedAt = born
 	switch {
-	case born < info.Born:
-		return next.Start(), nil // without a record
+	case born < info.StartedAt:
+		return next.Incarnation(), nil // without a record
 	case born <= s.reportedBorn[info.ID]:
 		return recorded, nil // the catalog has overruled it
 	}
 	s.reportedBorn[info.ID] = born
-	return next.Start(), s.applyUpdate(replacementUpdate(info, svc, id), now)
+	return next.Incarnation(), s.applyUpdate(replacementUpdate(info, svc, id), now)
 }
 
 // recordUsageReport records an engine's usage report, or that it sent none.
-func (s *state) recordUsageReport(start string, got Account, ok bool, at, now time.Duration) {
+func (s *state) recordUsageReport(start string, got UsageReport, ok bool, at, now time.Duration) {
 	if ok {
 		delete(s.unanswered, start)
-		s.view.Says(start, placement.Word{
+		s.view.RecordReport(start, placement.LoadReport{
 			Requests: got.Running + got.Waiting,
 			Waiting:  got.Waiting,
 			Tokens:   got.Tokens,
@@ -113,12 +113,12 @@
 		return
 	}
 	s.unanswered[start]++
-	if s.unanswered[start] < maxUnanswered || !s.roster.HeardWithin(placement.AskEvery*maxUnanswered, now) {
+	if s.unanswered[start] < maxUnanswered || !s.roster.ReceivedWithin(placement.PollInterval*maxUnanswered, now) {
 		return // this box may be cut off itself
 	}
-	s.view.Says(start, placement.Word{
-		Silent: true,
-		At:     at,
+	s.view.RecordReport(start, placement.LoadReport{
+		Unresponsive: true,
+		At:           at,
 	})
 }
 
--- a/pacing/fuzz_test.go
+++ b/pacing/fuzz_test.go
@@ -124,7 +124,7 @@
 	b.pending = nil
 	b.pacer = New(b.name, testTerms, WithStart(discoveryLag))
 	if r.cold {
-		b.pacer.Cold(replica, rate, farFuture)
+		b.pacer.MarkCold(replica, rate, farFuture)
 	}
 }
 
@@ -174,9 +174,9 @@
 		switch {
 		case !b.alive:
 		case r.cold:
-			b.pacer.Cold(replica, rate, farFuture)
+			b.pacer.MarkCold(replica, rate, farFuture)
 		default:
-			b.pacer.Warm(replica)
+			b.pacer.MarkWarm(replica)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 		if u.writeAt > r.now {
 			return false
 		}
-		b.pacer.Sent(replica, u.sent-b.startedAt, r.now-b.startedAt)
+		b.pacer.MarkSent(replica, u.sent-b.startedAt, r.now-b.startedAt)
 		took := time.Duration(len(r.sends)*37%(maxDelayMs+1)) * time.Millisecond
 		r.sends = append(r.sends, send{
 			box:        i,
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -38,8 +38,8 @@
 	maxWarm    = 512                     // warm replicas whose recent sends are kept
 )
 
-// Terms limits how far the sends to a cold replica may exceed its rate.
-type Terms struct {
+// Limit limits how far the sends to a cold replica may exceed its rate.
+type Limit struct {
 	Overage float64 // factor of the replica's rate
 	Slack   float64 // additional sends in each second
 }
@@ -53,7 +53,7 @@
 // Pacer is the rate limiter of one box for sends to cold replicas.
 type Pacer struct {
 	self   string
-	terms  Terms
+	terms  Limit
 	start  time.Duration
 	latest time.Duration
 	cold   map[string]*cold
@@ -73,7 +73,7 @@
 }
 
 // New returns the pacer of the box self.
-func New(self string, terms Terms, opts ...Option) *Pacer {
+func New(self string, terms Limit, opts ...Option) *Pacer {
 	warm, err := simplelru.NewLRU[string, *history](maxWarm, nil)
 	if err != nil {
 		panic(err) // the size is a positive constant
@@ -90,8 +90,8 @@
 	return p
 }
 
-// SetTerms replaces the terms. Earlier sends still count.
-func (p *Pacer) SetTerms(terms Terms) {
+// SetLimit replaces the limit. Earlier sends still count.
+func (p *Pacer) SetLimit(terms Limit) {
 	p.terms = terms
 }
 
@@ -100,9 +100,9 @@
 	p.start = now
 }
 
-// Cold records that replica is cold until the given time and serves perSecond requests
+// MarkCold records that replica is cold until the given time and serves perSecond requests
 // meanwhile. Further calls replace the rate; they may extend until but not shorten it.
-func (p *Pacer) Cold(replica string, perSecond float64, until time.Duration) {
+func (p *Pacer) MarkCold(replica string, perSecond float64, until time.Duration) {
 	c := p.cold[replica]
 	if c == nil {
 		p.sweep()
@@ -115,9 +115,9 @@
 	c.until = max(c.until, until)
 }
 
-// Warm records that replica is no longer cold. Its recent sends are kept in case it
+// MarkWarm records that replica is no longer cold. Its recent sends are kept in case it
 // turns cold again within the window.
-func (p *Pacer) Warm(replica string) {
+func (p *Pacer) MarkWarm(replica string) {
 	c := p.cold[replica]
 	if c == nil {
 		return
@@ -126,10 +126,10 @@
 	p.warm.Add(replica, c.sends)
 }
 
-// Forget removes the record of a replica that has left. Its recent sends are kept as
-// by Warm: a replica that is delisted for a moment must not receive its share twice.
-func (p *Pacer) Forget(replica string) {
-	p.Warm(replica)
+// Remove removes the record of a replica that has left. Its recent sends are kept as
+// by MarkWarm: a replica that is delisted for a moment must not receive its share twice.
+func (p *Pacer) Remove(replica string) {
+	p.MarkWarm(replica)
 }
 
 // IsCold reports whether replica is recorded as cold.
@@ -141,7 +141,7 @@
 // replica is not cold. It counts no send. The list names all boxes of the region that
 // may be alive or have sent within the last window, including this one.
 func (p *Pacer) Allow(replica string, boxes []string, now time.Duration) bool {
-	return p.Next(replica, boxes, now) <= now
+	return p.NextAllowed(replica, boxes, now) <= now
 }
 
 // Take reports whether a send to replica is allowed, and counts it if so. It takes
@@ -156,14 +156,14 @@
 		c.sends.add(now)
 		return true
 	}
-	p.Warm(replica) // its record may have expired
+	p.MarkWarm(replica) // its record may have expired
 	p.warmHistory(replica).addBounded(now)
 	return true
 }
 
-// Sent records that a send allowed by Take at the time taken is written only now, for
+// MarkSent records that a send allowed by Take at the time taken is written only now, for
 // example since its connection had to be opened. The send then counts from its write.
-func (p *Pacer) Sent(replica string, taken, now time.Duration) {
+func (p *Pacer) MarkSent(replica string, taken, now time.Duration) {
 	p.latest = max(p.latest, now)
 	if c := p.cold[replica]; c != nil {
 		c.sends.move(taken, now)
@@ -172,9 +172,9 @@
 	p.warmHistory(replica).move(taken, now)
 }
 
-// Next returns the earliest time, from now on, at which a send to replica is allowed.
+// NextAllowed returns the earliest time, from now on, at which a send to replica is allowed.
 // For a box without a share this is the time at which the replica is no longer cold.
-func (p *Pacer) Next(replica string, boxes []string, now time.Duration) time.Duration {
+func (p *Pacer) NextAllowed(replica string, boxes []string, now time.Duration) time.Duration {
 	c := p.coldAt(replica, now)
 	if c == nil {
 		return now
@@ -235,7 +235,7 @@
 func (p *Pacer) sweep() {
 	for replica, c := range p.cold {
 		if p.latest >= c.until {
-			p.Warm(replica)
+			p.MarkWarm(replica)
 		}
 	}
 }
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -13,7 +13,7 @@
 const replica = "replica-1"
 
 // testTerms give a bound of 6.3 sends at a rate of 2.2 a second.
-var testTerms = Terms{
+var testTerms = Limit{
 	Overage: 1.5,
 	Slack:   3,
 }
@@ -24,15 +24,15 @@
 )
 
 func ExamplePacer_Take() {
-	p := New("a", Terms{
+	p := New("a", Limit{
 		Overage: 1.5,
 		Slack:   3,
 	})
 	boxes := []string{"a", "b", "c"}
-	p.Cold("replica-1", 2.2, time.Minute)
+	p.MarkCold("replica-1", 2.2, time.Minute)
 	now := 10 * time.Second
 	fmt.Println(p.Take("replica-1", boxes, now), p.Take("replica-1", boxes, now))
-	fmt.Println(p.Next("replica-1", boxes, now) - now)
+	fmt.Println(p.NextAllowed("replica-1", boxes, now) - now)
 	// Output:
 	// true false
 	// 275ms
@@ -63,11 +63,11 @@
 	is := is.New(t)
 	boxes := names(40)
 	p := New(rendezvous.Top(replica, boxes, 1)[0], testTerms) // has a share of one
-	p.Cold(replica, rate, farFuture)
+	p.MarkCold(replica, rate, farFuture)
 	from := 10 * time.Second
 	is.True(p.Take(replica, boxes, from))
 	written := from + 241*time.Millisecond
-	p.Sent(replica, from, written)
+	p.MarkSent(replica, from, written)
 	is.Equal(takeEveryMillisecond(p, boxes, written, written+2*window), []time.Duration{written + window}) // the second one is two windows later
 }
 
@@ -77,7 +77,7 @@
 	total := 0
 	for _, name := range boxes {
 		p := New(name, testTerms)
-		p.Cold(replica, rate, farFuture)
+		p.MarkCold(replica, rate, farFuture)
 		total += len(takeEveryMillisecond(p, boxes, 10*time.Second, 20*time.Second))
 	}
 	t.Logf("%d sends in 10 s", total)
@@ -93,7 +93,7 @@
 			senders, total := 0, 0
 			for _, name := range boxes {
 				p := New(name, testTerms)
-				p.Cold(replica, rate, farFuture)
+				p.MarkCold(replica, rate, farFuture)
 				sent := len(takeEveryMillisecond(p, boxes, 10*time.Second, 10*time.Second+window))
 				total += sent
 				senders += min(sent, 1)
@@ -110,28 +110,28 @@
 	boxes := names(9)
 	last := rendezvous.Rank(replica, boxes)[8]
 	p := New(last, testTerms)
-	p.Cold(replica, rate, 20*time.Second)
-	is.Equal(p.Next(replica, boxes, 10*time.Second), 20*time.Second)
+	p.MarkCold(replica, rate, 20*time.Second)
+	is.Equal(p.NextAllowed(replica, boxes, 10*time.Second), 20*time.Second)
 	is.True(!p.Take(replica, boxes, 10*time.Second))
 	is.True(p.Take(replica, boxes, 20*time.Second))
 }
 
 func TestABoundBelowOneAllowsNothing(t *testing.T) {
 	is := is.New(t)
-	p := New("a", Terms{
+	p := New("a", Limit{
 		Overage: 1.5,
 		Slack:   0,
 	})
-	p.Cold(replica, 0.5, farFuture)
-	is.Equal(p.Next(replica, []string{"a"}, 10*time.Second), farFuture)
-	p.SetTerms(testTerms)
+	p.MarkCold(replica, 0.5, farFuture)
+	is.Equal(p.NextAllowed(replica, []string{"a"}, 10*time.Second), farFuture)
+	p.SetLimit(testTerms)
 	is.True(p.Allow(replica, []string{"a"}, 10*time.Second))
 }
 
 func TestNoBoxesAllowNothing(t *testing.T) {
 	is := is.New(t)
 	p := New("a", testTerms)
-	p.Cold(replica, rate, farFuture)
+	p.MarkCold(replica, rate, farFuture)
 	is.True(!p.Allow(replica, nil, 10*time.Second))
 	is.True(!p.Allow(replica, []string{"b"}, 10*time.Second))
 }
@@ -141,15 +141,15 @@
 	p := New("a", testTerms, WithStart(5*time.Second))
 	boxes := []string{"a"}
 	is.True(p.Take("other", boxes, 5*time.Second)) // not cold
-	p.Cold(replica, rate, farFuture)
-	is.Equal(p.Next(replica, boxes, 5*time.Second), 5*time.Second+window)
+	p.MarkCold(replica, rate, farFuture)
+	is.Equal(p.NextAllowed(replica, boxes, 5*time.Second), 5*time.Second+window)
 	is.Equal(takeEveryMillisecond(p, boxes, 5*time.Second, 7*time.Second)[0], 5*time.Second+window)
 }
 
 func TestSendsAreSpread(t *testing.T) {
 	is := is.New(t)
 	p := New("a", testTerms)
-	p.Cold(replica, rate, farFuture)
+	p.MarkCold(replica, rate, farFuture)
 	sent := takeEveryMillisecond(p, []string{"a"}, 10*time.Second, 20*time.Second)
 	for i := range len(sent) - 1 {
 		is.True(sent[i+1]-sent[i] >= window/12)
@@ -159,12 +159,12 @@
 func TestNextIsWhenTakeIsAllowed(t *testing.T) {
 	is := is.New(t)
 	p := New("a", testTerms)
-	p.Cold(replica, rate, farFuture)
+	p.MarkCold(replica, rate, farFuture)
 	boxes := []string{"a", "b"}
 	now := 10 * time.Second
 	for range 20 {
 		is.True(p.Take(replica, boxes, now))
-		next := p.Next(replica, boxes, now)
+		next := p.NextAllowed(replica, boxes, now)
 		is.True(next > now)
 		is.True(!p.Allow(replica, boxes, next-1))
 		now = next
@@ -174,7 +174,7 @@
 func TestAllowCountsNothing(t *testing.T) {
 	is := is.New(t)
 	p := New("a", testTerms)
-	p.Cold(replica, rate, farFuture)
+	p.MarkCold(replica, rate, farFuture)
 	for range 20 {
 		is.True(p.Allow(replica, []string{"a"}, 10*time.Second))
 	}
@@ -183,11 +183,11 @@
 func TestTheLaterUntilStays(t *testing.T) {
 	is := is.New(t)
 	p := New("a", testTerms)
-	p.Cold(replica, rate, 20*time.Second)
-	p.Cold(replica, rate, 15*time.Second)
+	p.MarkCold(replica, rate, 20*time.Second)
+	p.MarkCold(replica, rate, 15*time.Second)
 	is.True(p.IsCold(replica, 19*time.Second))
 	is.True(!p.IsCold(replica, 20*time.Second))
-	p.Warm(replica)
+	p.MarkWarm(replica)
 	is.True(!p.IsCold(replica, 15*time.Second))
 }
 
@@ -202,7 +202,7 @@
 				is.True(p.Take(replica, boxes, now))
 			}
 			now += 500 * time.Millisecond
-			p.Cold(replica, rate, farFuture)
+			p.MarkCold(replica, rate, farFuture)
 			sent := takeEveryMillisecond(p, boxes, now, 10*time.Second+window)
 			is.Equal(len(sent), max(0, 6-n))
 			is.True(p.Allow(replica, boxes, 10*time.Second+window))
@@ -219,21 +219,21 @@
 		is.True(p.Take(replica, boxes, now))
 		now += 10 * time.Millisecond
 	}
-	p.Cold(replica, 100, farFuture) // a share of 153
+	p.MarkCold(replica, 100, farFuture) // a share of 153
 	lost := 10*time.Second + 70*time.Millisecond
-	is.Equal(p.Next(replica, boxes, now), lost+window)
+	is.Equal(p.NextAllowed(replica, boxes, now), lost+window)
 }
 
 func TestSendsCountAcrossWarmAndForget(t *testing.T) {
-	for _, drop := range []func(*Pacer, string){(*Pacer).Warm, (*Pacer).Forget} {
+	for _, drop := range []func(*Pacer, string){(*Pacer).MarkWarm, (*Pacer).Remove} {
 		is := is.New(t)
 		p := New("a", testTerms)
 		boxes := []string{"a"}
-		p.Cold(replica, rate, farFuture)
+		p.MarkCold(replica, rate, farFuture)
 		is.Equal(len(takeEveryMillisecond(p, boxes, 10*time.Second, 11*time.Second)), 6)
 		drop(p, replica)
 		is.True(p.Allow(replica, boxes, 11*time.Second))
-		p.Cold(replica, rate, farFuture)
+		p.MarkCold(replica, rate, farFuture)
 		is.True(!p.Allow(replica, boxes, 11*time.Second))
 	}
 }
@@ -244,7 +244,7 @@
 	for n := range 3 * maxWarm {
 		name := fmt.Sprint(n)
 		now := time.Duration(n) * time.Second
-		p.Cold(name, rate, now+time.Second)
+		p.MarkCold(name, rate, now+time.Second)
 		is.True(p.Take(name, []string{"a"}, now+2*time.Second))
 		for range 2 * maxWarmSends {
 			is.True(p.Take(name, []string{"a"}, now+2*time.Second))
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -20,17 +20,17 @@
 
 // JSON-RPC methods, with the types of their parameters and results.
 const (
-	Heartbeat Method = "hb"       // wire.Heartbeat; notification
-	Fleet     Method = "fleet"    // wire.FleetUpdate; notification
-	Floor     Method = "floor"    // wire.FloorRequest; returns wire.Floor
-	Part      Method = "part"     // wire.PartRequest; returns wire.Part
-	Announce  Method = "announce" // wire.Announce; returns wire.Announced
-	Seal      Method = "seal"     // wire.Seal; returns wire.Sealed
-	Catalog   Method = "catalog"  // returns catalog.EncodedNews
-	Policy    Method = "policy"   // returns catalog.PolicyNews
-	Quota     Method = "quota"    // quota.Ask; returns quota.Grant
-	Demand    Method = "demand"   // demand of a region's callers, by organisation
-	Proof     Method = "proof"    // freshness proof of the policy; returns a version and an age
+	Heartbeat      Method = "hb"       // wire.Heartbeat; notification
+	Fleet          Method = "fleet"    // wire.FleetUpdate; notification
+	Floor          Method = "floor"    // wire.FloorRequest; returns wire.Floor
+	Part           Method = "part"     // wire.PartRequest; returns wire.Part
+	Announce       Method = "announce" // wire.Announce; returns wire.Announced
+	Seal           Method = "seal"     // wire.Seal; returns wire.Sealed
+	Catalog        Method = "catalog"  // returns catalog.EncodedChangeSet
+	Policy         Method = "policy"   // returns catalog.PolicyResponse
+	Quota          Method = "quota"    // quota.CreditRequest; returns quota.Grant
+	Demand         Method = "demand"   // demand of a region's callers, by organisation
+	FreshnessProof Method = "proof"    // freshness proof of the policy; returns a version and an age
 )
 
 // Handler handles one message. For a notification its result is discarded.
@@ -118,20 +118,20 @@
 
 func (discardLogger) Printf(string, ...any) {}
 
-// Dial opens a connection to an address.
-type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
+// DialFunc opens a connection to an address.
+type DialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Pool has one connection to each peer.
 type Pool struct {
 	ctx   context.Context
-	dial  Dial
+	dial  DialFunc
 	count Counter
 	mu    sync.Mutex
 	conns map[string]*jsonrpc2.Conn
 }
 
 // NewPool returns a pool whose connections are closed when ctx ends.
-func NewPool(ctx context.Context, dial Dial, count Counter) *Pool {
+func NewPool(ctx context.Context, dial DialFunc, count Counter) *Pool {
 	return &Pool{
 		ctx:   ctx,
 		dial:  dial,
--- a/placement/address_test.go
+++ b/placement/address_test.go
@@ -26,7 +26,7 @@
 	news := b.publish(start, nil, at("old", "127.0.0.1:1", 1), at("new", "127.0.0.1:1", 2))
 	is.Equal(len(news), 2)
 	is.Equal(news[0].Reason, "replica listed")
-	is.Equal(news[1].About, "old")
+	is.Equal(news[1].Subject, "old")
 	is.Equal(news[1].Reason, "replica's address has another")
 	for i := range 10 {
 		c := b.Pick(newRequest("engine", fmt.Sprint(i)), alone, start)
@@ -60,12 +60,12 @@
 func TestACopyOfAnEntryTakesNoAddressFromAReplicaThatTellsItsStart(t *testing.T) {
 	is := is.New(t)
 	original, copied := at("real", "127.0.0.1:1", 1), at("copied", "127.0.0.1:1", 2)
-	original.Born, copied.Born = firstBorn, firstBorn
+	original.StartedAt, copied.StartedAt = firstBorn, firstBorn
 	b := newBox("a", "hall", original)
 	b.publish(start, nil, original, copied)
-	is.True(b.Get(original.Start()).Listed())
-	copied.Born = secondBorn // a later start
+	is.True(b.Get(original.Incarnation()).Listed())
+	copied.StartedAt = secondBorn // a later start
 	copied.Revision = 3
 	b.publish(start, nil, original, copied)
-	is.True(!b.Get(original.Start()).Listed())
+	is.True(!b.Get(original.Incarnation()).Listed())
 }
--- a/placement/candidates.go
+++ b/placement/candidates.go
@@ -31,10 +31,10 @@
 		return v.sorted
 	}
 	out := v.top(req.Key, candidatesByKey, req, now)
-	if len(req.Parts) == 0 {
+	if len(req.Segments) == 0 {
 		return out
 	}
-	for _, r := range v.top(req.Subject(), candidatesBySegment, req, now) {
+	for _, r := range v.top(req.RoutingKey(), candidatesBySegment, req, now) {
 		if !slices.Contains(out, r) {
 			out = append(out, r)
 		}
--- a/placement/cold_test.go
+++ b/placement/cold_test.go
@@ -46,7 +46,7 @@
 
 func coldReplica(left catalog.Millis) catalog.Replica {
 	r := replicas("plain", 1)[0]
-	r.ColdLeft = left
+	r.ColdRemaining = left
 	r.Revision = 2
 	return r
 }
@@ -76,9 +76,9 @@
 			b.End(&c, placement.Answered, time.Millisecond, now)
 			continue
 		}
-		is.Equal(c.Reason, placement.Paced)
+		is.Equal(c.Reason, placement.RateLimited)
 		is.True(c.Wait > 0)
-		is.Equal(b.Outlook(newRequest("plain", "k"), alone, now).Reason, placement.Paced)
+		is.Equal(b.Estimate(newRequest("plain", "k"), alone, now).Reason, placement.RateLimited)
 		now += c.Wait
 		c = b.Pick(newRequest("plain", "k"), alone, now)
 		is.Equal(c.Reason, placement.None)
@@ -96,7 +96,7 @@
 		now := start + time.Duration(n)*5*time.Millisecond
 		c := b.Pick(newRequest("plain", fmt.Sprint(n)), alone, now)
 		is.Equal(c.Reason, placement.None)
-		got[c.Replica]++
+		got[c.Incarnation]++
 		b.End(&c, placement.Answered, time.Millisecond, now)
 	}
 	is.True(got["plain-0"] <= maxColdSends)
@@ -106,7 +106,7 @@
 func TestAServiceWithoutAColdRateIsNotRateLimited(t *testing.T) {
 	is := is.New(t)
 	r := replicas("steady", 1)[0]
-	r.ColdLeft = 5000
+	r.ColdRemaining = 5000
 	r.Revision = 2
 	b := newBox("a", "hall", r)
 	is.Equal(len(sendAll([]*box{b}, alone, "steady", start, start+time.Second)), 100)
@@ -149,8 +149,8 @@
 func TestAChoiceReportsHowManyBoxesShareAColdReplica(t *testing.T) {
 	is := is.New(t)
 	cold := newBox("a", "hall", coldReplica(5000))
-	is.Equal(cold.Pick(newRequest("plain", "k"), alone, start).Sharers, len(alone))
-	is.Equal(cold.Pick(newRequest("plain", "k"), alone, start+5*time.Second).Sharers, 0)
+	is.Equal(cold.Pick(newRequest("plain", "k"), alone, start).SharingBoxes, len(alone))
+	is.Equal(cold.Pick(newRequest("plain", "k"), alone, start+5*time.Second).SharingBoxes, 0)
 }
 
 func TestSendsToAColdReplicaCountFromWhenTheyAreWritten(t *testing.T) {
@@ -166,7 +166,7 @@
 				continue
 			}
 			late = 240*time.Millisecond - late // every second connection is late
-			b.Written(&c, now+late)
+			b.RecordSend(&c, now+late)
 			written = append(written, now+late)
 			b.End(&c, placement.Answered, time.Millisecond, now+late)
 		}
--- a/placement/copy.go
+++ b/placement/copy.go
@@ -17,12 +17,12 @@
 		return 0, false
 	}
 	e := r.service.Engine
-	if !e.Copies || e.LinkMbps <= 0 || e.TokenBytes <= 0 {
+	if !e.CopiesCache || e.LinkMbps <= 0 || e.TokenBytes <= 0 {
 		return 0, false
 	}
 	seconds := float64(tokens) * float64(e.TokenBytes) * bitsPerByte / (copyLinkShare * e.LinkMbps * bitsPerMegabit)
 	took := copySetupTime + scale(seconds, time.Second)
-	return took, took < ReadTime(tokens)
+	return took, took < PrefillTime(tokens)
 }
 
 // cacheHolder returns the usable replica that most likely has a prompt's shared segments
@@ -30,7 +30,7 @@
 // if there is none.
 func (v *View) cacheHolder(req Request, preferred *Replica, now time.Duration) *Replica {
 	best := preferred
-	fewest := req.Shared()
+	fewest := req.SharedTokens()
 	for _, r := range v.sorted {
 		if r.info.Service != req.Service || v.unusable(r, req, now) != None {
 			continue
--- a/placement/copy_test.go
+++ b/placement/copy_test.go
@@ -16,7 +16,7 @@
 func copyPolicy(mbps float64) catalog.Policy {
 	p := policy()
 	p.Version = 2
-	p.Services[0].Engine.Copies = true
+	p.Services[0].Engine.CopiesCache = true
 	p.Services[0].Engine.TokenBytes = 20_000
 	p.Services[0].Engine.LinkMbps = mbps
 	return p
@@ -25,11 +25,11 @@
 // addPeerLoad records enough load of another box that the next request is sent to another
 // replica.
 func (b *box) addPeerLoad(replica string, now time.Duration) {
-	b.Told("b", []placement.OwnLoad{{
-		Replica: replica,
+	b.RecordPeerLoads("b", []placement.OwnLoad{{
+		Incarnation: replica,
 		Load: placement.Load{
-			Requests: 7,
-			Unread:   40_000,
+			Requests:       7,
+			PendingPrefill: 40_000,
 		},
 	}}, now)
 }
@@ -47,11 +47,11 @@
 	b.SetTable(catalog.NewTable(copyPolicy(fastLink)))
 	first := b.pickAndEnd(newSharedRequest("manual", "r-1"), start)
 	is.Equal(first.CopyFrom, "") // none has them cached
-	b.addPeerLoad(first.Replica, start)
+	b.addPeerLoad(first.Incarnation, start)
 	second := b.pickAndEnd(newSharedRequest("manual", "r-2"), start)
-	is.True(second.Replica != first.Replica)
+	is.True(second.Incarnation != first.Incarnation)
 	is.Equal(second.CopyFrom, first.Addr)
-	is.Equal(second.Reads, prompt-shared) // its shared segment is copied
+	is.Equal(second.PrefillTokens, prompt-shared) // its shared segment is copied
 	third := b.pickAndEnd(newSharedRequest("manual", "r-3"), start)
 	is.Equal(third.CopyFrom, "") // the replica has them cached
 }
@@ -61,7 +61,7 @@
 		"slow link":         func(p *catalog.Policy) { p.Services[0].Engine.LinkMbps = 10_000 },
 		"no link":           func(p *catalog.Policy) { p.Services[0].Engine.LinkMbps = 0 },
 		"no size of tokens": func(p *catalog.Policy) { p.Services[0].Engine.TokenBytes = 0 },
-		"no copies":         func(p *catalog.Policy) { p.Services[0].Engine.Copies = false },
+		"no copies":         func(p *catalog.Policy) { p.Services[0].Engine.CopiesCache = false },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -71,11 +71,11 @@
 			b := newBox("a", "hall", replicas("engine", 3)...)
 			b.SetTable(catalog.NewTable(p))
 			first := b.pickAndEnd(newSharedRequest("manual", "r-1"), start)
-			b.addPeerLoad(first.Replica, start)
+			b.addPeerLoad(first.Incarnation, start)
 			second := b.pickAndEnd(newSharedRequest("manual", "r-2"), start)
-			is.True(second.Replica != first.Replica)
+			is.True(second.Incarnation != first.Incarnation)
 			is.Equal(second.CopyFrom, "")
-			is.Equal(second.Reads, prompt)
+			is.Equal(second.PrefillTokens, prompt)
 		})
 	}
 }
@@ -86,10 +86,10 @@
 	b.SetTable(catalog.NewTable(copyPolicy(fastLink)))
 	first := b.pickAndEnd(newSharedRequest("manual", "r-1"), start)
 	c := b.Pick(newSharedRequest("manual", "r-2"), alone, start)
-	is.Equal(c.Replica, first.Replica)
-	b.End(&c, placement.Silent, time.Millisecond, start)
-	b.addPeerLoad(first.Replica, start)
+	is.Equal(c.Incarnation, first.Incarnation)
+	b.End(&c, placement.NoResponse, time.Millisecond, start)
+	b.addPeerLoad(first.Incarnation, start)
 	other := b.pickAndEnd(newSharedRequest("manual", "r-3"), start)
-	is.True(other.Replica != first.Replica)
+	is.True(other.Incarnation != first.Incarnation)
 	is.True(other.CopyFrom != first.Addr)
 }
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// Outlook is an estimate of what a request would meet in a region.
-type Outlook struct {
-	Expect  time.Duration // until the first byte
-	Missing int           // shared tokens to prefill
-	Unsent  int           // shared tokens that no box is recorded to have sent to the replica
-	Failing float64       // recent share of failures at the replica that would receive it
-	Busy    float64       // share of the engines' time spent on prefill
-	Usable  int           // number of replicas that could receive it
-	Fewest  int           // fewest requests in flight at one of them
-	Reason  Reason        // why none can receive it now
-	AgeMs   int64         // age of the report of another region
+// Estimate is what a request is expected to meet in a region.
+type Estimate struct {
+	Expect       time.Duration // until the first byte
+	Missing      int           // shared tokens to prefill
+	Uncached     int           // shared tokens that no box is recorded to have sent to the replica
+	Failing      float64       // recent share of failures at the replica that would receive it
+	PrefillShare float64       // share of the engines' time spent on prefill
+	Usable       int           // number of replicas that could receive it
+	MinRequests  int           // fewest requests in flight at one of them
+	Reason       Reason        // why none can receive it now
+	AgeMs        int64         // age of the report of another region
 }
 
-// Outlook estimates what a request would meet in this region, without reserving capacity.
-func (v *View) Outlook(req Request, boxes []string, now time.Duration) Outlook {
+// Estimate estimates what a request would meet in this region, without reserving capacity.
+func (v *View) Estimate(req Request, boxes []string, now time.Duration) Estimate {
 	best, none := v.best(req, boxes, now)
-	out := Outlook{
-		Expect:  best.expect,
-		Missing: best.missing,
-		Unsent:  best.unsent,
-		Reason:  none.Reason,
+	out := Estimate{
+		Expect:   best.expect,
+		Missing:  best.missing,
+		Uncached: best.unsent,
+		Reason:   none.Reason,
 	}
 	if best.r != nil {
-		out.Failing = best.r.Failing(now)
+		out.Failing = best.r.FailureShare(now)
 	}
 	reads := 0
 	for _, r := range v.sorted {
 		if r.info.Service == req.Service && v.unusable(r, req, now) == None {
 			l := v.Load(r, now)
-			if out.Usable == 0 || l.Requests < out.Fewest {
-				out.Fewest = l.Requests
+			if out.Usable == 0 || l.Requests < out.MinRequests {
+				out.MinRequests = l.Requests
 			}
 			out.Usable++
-			reads += l.Reads
+			reads += l.PrefillRate
 		}
 	}
 	if v.byReports {
 		reads *= v.boxes // boxes don't report their prefill rates to each other then
 	}
 	if out.Usable > 0 {
-		out.Busy = float64(reads) / (float64(out.Usable) * prefillSpeed * 1000)
+		out.PrefillShare = float64(reads) / (float64(out.Usable) * prefillSpeed * 1000)
 	}
 	if v.byReports && out.Usable > 0 {
-		out.Busy = max(out.Busy, v.usedSlotShare(req.Service, now))
+		out.PrefillShare = max(out.PrefillShare, v.usedSlotShare(req.Service, now))
 	}
 	return out
 }
--- a/placement/export_test.go
+++ b/placement/export_test.go
@@ -1,6 +1,6 @@
 package placement
 
-// InvalidateIndex makes the next Take read all entries.
+// InvalidateIndex makes the next Apply read all entries.
 func (v *View) InvalidateIndex() { v.index.stale = true }
 
 // Unconfirmed reports whether the removal of the replica is unconfirmed.
--- a/placement/fuzz_test.go
+++ b/placement/fuzz_test.go
@@ -81,15 +81,15 @@
 		return
 	}
 	info := catalog.Replica{
-		ID:       id,
-		Service:  id[:len(id)-2],
-		Addr:     fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*replicasPerService).Draw(r.T, "address")), // sometimes that of another
-		Domain:   rapid.SampledFrom([]string{"hall", "attic"}).Draw(r.T, "domain"),
-		Region:   "north",
-		Slots:    rapid.IntRange(0, 4).Draw(r.T, "slots"),
-		Leaving:  rapid.IntRange(0, 5).Draw(r.T, "leaving") == 0,
-		ColdLeft: catalog.Millis(rapid.SampledFrom([]int{0, 0, 300, 3000}).Draw(r.T, "cold")),
-		Revision: r.rev + 1, // the next revision
+		ID:            id,
+		Service:       id[:len(id)-2],
+		Addr:          fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 2*replicasPerService).Draw(r.T, "address")), // sometimes that of another
+		Domain:        rapid.SampledFrom([]string{"hall", "attic"}).Draw(r.T, "domain"),
+		Region:        "north",
+		Slots:         rapid.IntRange(0, 4).Draw(r.T, "slots"),
+		Leaving:       rapid.IntRange(0, 5).Draw(r.T, "leaving") == 0,
+		ColdRemaining: catalog.Millis(rapid.SampledFrom([]int{0, 0, 300, 3000}).Draw(r.T, "cold")),
+		Revision:      r.rev + 1, // the next revision
 	}
 	if info.Leaving {
 		r.leaving[id] = true
@@ -112,12 +112,12 @@
 	req := newRequest(r.service(), fmt.Sprint(len(r.open)))
 	if req.Service == "engine" {
 		req.Prompt = rapid.SampledFrom([]int{1, 500, 5000, 60_000}).Draw(r.T, "prompt")
-		req.Out = rapid.SampledFrom([]int{0, 1, 400}).Draw(r.T, "out")
+		req.AnswerTokens = rapid.SampledFrom([]int{0, 1, 400}).Draw(r.T, "out")
 		left := req.Prompt
 		for n := range rapid.IntRange(0, 3).Draw(r.T, "parts") {
 			tokens := rapid.IntRange(0, left).Draw(r.T, "tokens")
 			left -= tokens
-			req.Parts = append(req.Parts, placement.Part{
+			req.Segments = append(req.Segments, placement.Segment{
 				ID:     fmt.Sprint("part-", n),
 				Tokens: tokens,
 			})
@@ -137,7 +137,7 @@
 	}
 	c := r.Pick(req, alone, r.now)
 	if c.Reason != placement.None {
-		if c.Replica != "" || c.Wait < 0 {
+		if c.Incarnation != "" || c.Wait < 0 {
 			r.Fatalf("a refusal with a replica or a negative wait: %v", c)
 		}
 		for id, own := range before {
@@ -148,13 +148,13 @@
 		return
 	}
 	r.mayServe(c, req)
-	now, old := r.Get(c.Replica).Own(), before[c.Replica]
+	now, old := r.Get(c.Incarnation).Own(), before[c.Incarnation]
 	r.open = append(r.open, open{
 		choice: c,
 		load: placement.Load{
-			Requests: now.Requests - old.Requests,
-			Tokens:   now.Tokens - old.Tokens,
-			Unread:   now.Unread - old.Unread,
+			Requests:       now.Requests - old.Requests,
+			Tokens:         now.Tokens - old.Tokens,
+			PendingPrefill: now.PendingPrefill - old.PendingPrefill,
 		},
 	})
 }
@@ -169,24 +169,24 @@
 }
 
 func (r *region) mayServe(c placement.Choice, req placement.Request) {
-	info, listed := r.published[c.Replica]
+	info, listed := r.published[c.Incarnation]
 	switch {
 	case !listed:
-		r.Fatalf("%s is not listed", c.Replica)
+		r.Fatalf("%s is not listed", c.Incarnation)
 	case info.Service != req.Service:
-		r.Fatalf("%s is of another service", c.Replica)
+		r.Fatalf("%s is of another service", c.Incarnation)
 	case r.superseded(info):
 		r.Fatalf("another replica is at %s", info.Addr)
 	case info.Addr != c.Addr:
-		r.Fatalf("%s is at %s, not %s", c.Replica, info.Addr, c.Addr)
-	case r.leaving[c.Replica]:
-		r.Fatalf("%s has left", c.Replica)
+		r.Fatalf("%s is at %s, not %s", c.Incarnation, info.Addr, c.Addr)
+	case r.leaving[c.Incarnation]:
+		r.Fatalf("%s has left", c.Incarnation)
 	case slices.Contains(r.evacuated, info.Domain):
-		r.Fatalf("%s is in an evacuated domain", c.Replica)
-	case slices.Contains(req.Tried, c.Replica):
-		r.Fatalf("%s was tried", c.Replica)
-	case r.Get(c.Replica).Out(r.now):
-		r.Fatalf("%s is ejected", c.Replica)
+		r.Fatalf("%s is in an evacuated domain", c.Incarnation)
+	case slices.Contains(req.Tried, c.Incarnation):
+		r.Fatalf("%s was tried", c.Incarnation)
+	case r.Get(c.Incarnation).Ejected(r.now):
+		r.Fatalf("%s is ejected", c.Incarnation)
 	case c.Expect < 0 || c.Missing < 0:
 		r.Fatalf("negative: %v", c)
 	}
@@ -197,8 +197,8 @@
 		return
 	}
 	o := &r.open[rapid.IntRange(0, len(r.open)-1).Draw(r.T, "open")]
-	r.First(&o.choice, time.Duration(rapid.IntRange(0, 5000).Draw(r.T, "took"))*time.Millisecond, r.now)
-	o.load.Unread = 0
+	r.RecordFirstByte(&o.choice, time.Duration(rapid.IntRange(0, 5000).Draw(r.T, "took"))*time.Millisecond, r.now)
+	o.load.PendingPrefill = 0
 }
 
 func (r *region) end() {
@@ -209,17 +209,17 @@
 	o := r.open[i]
 	r.open = slices.Delete(r.open, i, i+1)
 	result := placement.Result(rapid.IntRange(int(placement.Answered), int(placement.Misdirected)).Draw(r.T, "result"))
-	wasEjected := r.Get(o.choice.Replica).Out(r.now)
+	wasEjected := r.Get(o.choice.Incarnation).Ejected(r.now)
 	ejected := r.End(&o.choice, result, time.Duration(rapid.IntRange(0, 900).Draw(r.T, "hold"))*time.Millisecond, r.now)
-	if isEjected := r.Get(o.choice.Replica).Out(r.now); ejected != (isEjected && !wasEjected) {
+	if isEjected := r.Get(o.choice.Incarnation).Ejected(r.now); ejected != (isEjected && !wasEjected) {
 		r.Fatalf("End returned %v; ejected before: %v, after: %v", ejected, wasEjected, isEjected)
 	}
 	r.End(&o.choice, result, 0, r.now) // no effect the second time
 }
 
 func (r *region) recordPeerLoad() {
-	r.Told("b", []placement.OwnLoad{{
-		Replica: r.id(),
+	r.RecordPeerLoads("b", []placement.OwnLoad{{
+		Incarnation: r.id(),
 		Load: placement.Load{
 			Requests: rapid.IntRange(0, 20).Draw(r.T, "requests"),
 			Tokens:   rapid.IntRange(0, 90_000).Draw(r.T, "tokens"),
@@ -237,11 +237,11 @@
 func (r *region) check() {
 	want := make(map[string]placement.Load)
 	for _, o := range r.open {
-		l := want[o.choice.Replica]
+		l := want[o.choice.Incarnation]
 		l.Requests++
 		l.Tokens += o.load.Tokens
-		l.Unread += o.load.Unread
-		want[o.choice.Replica] = l
+		l.PendingPrefill += o.load.PendingPrefill
+		want[o.choice.Incarnation] = l
 	}
 	for id := range want {
 		if r.Get(id) == nil {
@@ -253,11 +253,11 @@
 		if own != want[known.ID()] {
 			r.Fatalf("%s: counted %v, open %v", known.ID(), own, want[known.ID()])
 		}
-		if all.Requests < own.Requests || all.Tokens < own.Tokens || own.Tokens < 0 || own.Unread < 0 {
+		if all.Requests < own.Requests || all.Tokens < own.Tokens || own.Tokens < 0 || own.PendingPrefill < 0 {
 			r.Fatalf("%s: own %v, all %v", known.ID(), own, all)
 		}
-		if f := known.Failing(r.now); f < 0 || f > 1 || known.Slow(r.now) < 1 {
-			r.Fatalf("%s: failing %g, slow %g", known.ID(), f, known.Slow(r.now))
+		if f := known.FailureShare(r.now); f < 0 || f > 1 || known.Slowness(r.now) < 1 {
+			r.Fatalf("%s: failing %g, slow %g", known.ID(), f, known.Slowness(r.now))
 		}
 	}
 }
--- a/placement/incarnation.go
+++ b/placement/incarnation.go
@@ -45,6 +45,6 @@
 func (v *View) evict(r *Replica) {
 	v.remove(r)
 	if v.otherIncarnation(r) == nil {
-		v.pacer.Forget(r.info.ID)
+		v.pacer.Remove(r.info.ID)
 	}
 }
--- a/placement/incarnation_test.go
+++ b/placement/incarnation_test.go
@@ -18,7 +18,7 @@
 
 func started(service string, born int64) catalog.Replica {
 	r := replicas(service, 1)[0]
-	r.Born = born
+	r.StartedAt = born
 	r.Revision = born
 	return r
 }
@@ -32,33 +32,33 @@
 			b.End(&c, placement.Answered, time.Millisecond, now)
 		},
 		"cached segments of other boxes": func(b *box, replica string, now time.Duration) {
-			b.Told("b", []placement.OwnLoad{{
-				Replica: replica,
-				Kept:    []placement.PartKey{placement.KeyOf("manual")},
+			b.RecordPeerLoads("b", []placement.OwnLoad{{
+				Incarnation:    replica,
+				RecentSegments: []placement.SegmentKey{placement.SegmentKeyOf("manual")},
 			}}, now)
 		},
 		"requests in flight": func(b *box, _ string, now time.Duration) {
 			b.Pick(newRequest("engine", "k"), alone, now)
 		},
 		"requests of other boxes": func(b *box, replica string, now time.Duration) {
-			b.Told("b", []placement.OwnLoad{{
-				Replica: replica,
+			b.RecordPeerLoads("b", []placement.OwnLoad{{
+				Incarnation: replica,
 				Load: placement.Load{
 					Requests: 7,
 				},
 			}}, now)
 		},
 		"load report": func(b *box, replica string, now time.Duration) {
-			b.ByWords(true, 1)
-			b.Says(replica, placement.Word{
+			b.UseReports(true, 1)
+			b.RecordReport(replica, placement.LoadReport{
 				Requests: 7,
 				At:       now,
 			})
 		},
 		"report without a response": func(b *box, replica string, now time.Duration) {
-			b.Says(replica, placement.Word{
-				Silent: true,
-				At:     now + time.Millisecond,
+			b.RecordReport(replica, placement.LoadReport{
+				Unresponsive: true,
+				At:           now + time.Millisecond,
 			})
 		},
 		"failures": func(b *box, _ string, now time.Duration) {
@@ -72,7 +72,7 @@
 		},
 		"slowness": func(b *box, _ string, now time.Duration) {
 			c := b.Pick(newRequest("engine", "k"), alone, now)
-			b.First(&c, time.Second, now)
+			b.RecordFirstByte(&c, time.Second, now)
 			b.End(&c, placement.Answered, time.Second, now)
 		},
 		"leaving": func(b *box, _ string, now time.Duration) {
@@ -86,30 +86,30 @@
 			is := is.New(t)
 			fresh := newBox("a", "hall", started("engine", secondBorn))
 			b := newBox("a", "hall", started("engine", firstBorn))
-			old := started("engine", firstBorn).Start()
+			old := started("engine", firstBorn).Incarnation()
 			now := start + time.Second
 			teach(b, old, now)
 			next := started("engine", secondBorn)
 			news := b.publish(now, nil, next)
-			is.Equal(news[0].About, next.Start())
+			is.Equal(news[0].Subject, next.Incarnation())
 			is.Equal(news[0].Reason, "replica started again")
-			is.Equal(news[1].About, old)
+			is.Equal(news[1].Subject, old)
 			is.Equal(news[1].Reason, "replica replaced by a later start")
 
-			got, want := b.Get(next.Start()), fresh.Get(next.Start())
+			got, want := b.Get(next.Incarnation()), fresh.Get(next.Incarnation())
 			is.True(got.Listed())
 			is.Equal(got.Own(), placement.Load{})
 			is.Equal(b.Load(got, now), placement.Load{})
-			is.Equal(got.Failing(now), want.Failing(now))
-			is.Equal(got.Slow(now), want.Slow(now))
-			is.Equal(got.WordAge(now), want.WordAge(now))
-			is.True(!got.Out(now))
+			is.Equal(got.FailureShare(now), want.FailureShare(now))
+			is.Equal(got.Slowness(now), want.Slowness(now))
+			is.Equal(got.ReportAge(now), want.ReportAge(now))
+			is.True(!got.Ejected(now))
 			choice := b.Pick(newSharedRequest("manual", "r-1"), alone, now+time.Minute) // after all rate limits
 			is.Equal(choice.Reason, placement.None)
-			is.Equal(choice.Replica, next.Start())
+			is.Equal(choice.Incarnation, next.Incarnation())
 			is.Equal(choice.ID, "engine-0") // the id
 			plain := fresh.Pick(newSharedRequest("manual", "r-1"), alone, now+time.Minute)
-			is.Equal(choice.Reads, plain.Reads)
+			is.Equal(choice.PrefillTokens, plain.PrefillTokens)
 			is.Equal(choice.Expect, plain.Expect)
 		})
 	}
@@ -126,13 +126,13 @@
 	b.publish(start, nil, next)
 	now := start + 10*time.Second
 	for i := range inFlight {
-		b.End(&inFlight[i], placement.Silent, time.Second, now)
+		b.End(&inFlight[i], placement.NoResponse, time.Second, now)
 	}
-	is.Equal(b.Get(inFlight[0].Replica).Own(), placement.Load{}) // released at the incarnation that received them
-	got := b.Get(next.Start())
+	is.Equal(b.Get(inFlight[0].Incarnation).Own(), placement.Load{}) // released at the incarnation that received them
+	got := b.Get(next.Incarnation())
 	is.Equal(got.Own(), placement.Load{})
-	is.True(!got.Out(now))
-	is.Equal(got.Failing(now), 0.0)
+	is.True(!got.Ejected(now))
+	is.Equal(got.FailureShare(now), 0.0)
 	is.Equal(len(sendAll([]*box{b}, alone, "plain", now, now+time.Second)), 100) // not rate-limited
 }
 
@@ -141,7 +141,7 @@
 	first := started("plain", firstBorn)
 	b := newBox("a", "hall", first)
 	req := newRequest("plain", "k")
-	req.Tried = []string{first.Start()}
+	req.Tried = []string{first.Incarnation()}
 	is.Equal(b.Pick(req, alone, start).Reason, placement.Tried)
 	b.publish(start, nil, started("plain", secondBorn))
 	is.Equal(b.Pick(req, alone, start).Reason, placement.None)
@@ -153,14 +153,14 @@
 	next := started("engine", secondBorn)
 	b.publish(start, nil, next)
 	now := start + time.Second
-	report := placement.Word{
+	report := placement.LoadReport{
 		Requests: 7,
 		At:       now,
 	}
-	b.Says(started("engine", firstBorn).Start(), report)
-	is.True(b.Get(next.Start()).WordAge(now) < 0)
-	is.True(!b.Says("engine-0", report)) // not an incarnation
-	is.True(b.Says(next.Start(), report))
+	b.RecordReport(started("engine", firstBorn).Incarnation(), report)
+	is.True(b.Get(next.Incarnation()).ReportAge(now) < 0)
+	is.True(!b.RecordReport("engine-0", report)) // not an incarnation
+	is.True(b.RecordReport(next.Incarnation(), report))
 }
 
 // Guards against a cold replica that receives twice its rate because boxes learn of its new
@@ -169,7 +169,7 @@
 	is := is.New(t)
 	cold := func(born int64) catalog.Replica {
 		r := started("plain", born)
-		r.ColdLeft = 10_000
+		r.ColdRemaining = 10_000
 		return r
 	}
 	names := []string{"a", "b", "c"}
@@ -195,7 +195,7 @@
 	is := is.New(t)
 	b := newBox("a", "hall", started("plain", firstBorn))
 	next := started("plain", secondBorn)
-	next.ColdLeft = 60_000
+	next.ColdRemaining = 60_000
 	b.publish(start, nil, next)
 	now := start + 40*time.Second
 	b.publish(now, nil, next)
@@ -211,8 +211,8 @@
 	b := newBox("a", "hall", replica)
 	req := newRequest("plain", "k")
 	next := b.Next(req, alone, start)
-	is.Equal(next.Replica, replica.Start())
-	req.Tried = []string{next.Replica}
+	is.Equal(next.Incarnation, replica.Incarnation())
+	req.Tried = []string{next.Incarnation}
 	is.Equal(b.Next(req, alone, start).Reason, placement.Tried)
 }
 
@@ -225,7 +225,7 @@
 		next := b.Next(newRequest("plain", "k"), alone, start)
 		b.End(&next, placement.Unreachable, time.Second, start)
 	}
-	got := b.Get(replica.Start())
-	is.True(got.Out(start))
+	got := b.Get(replica.Incarnation())
+	is.True(got.Ejected(start))
 	is.Equal(got.Own(), placement.Load{})
 }
--- a/placement/index.go
+++ b/placement/index.go
@@ -39,7 +39,7 @@
 // update applies the changed entries of a region. It returns the sorted ids of these and of
 // entries that share an address with them, before or after the change.
 func (e *index) update(c *catalog.Content, region string) []string {
-	ids, applied, ok := c.Touched(e.applied)
+	ids, applied, ok := c.ChangedIDs(e.applied)
 	if !ok || e.stale || e.content != c {
 		ids = e.allIDs(c)
 	}
--- a/placement/index_test.go
+++ b/placement/index_test.go
@@ -16,14 +16,14 @@
 
 func drawReplica(t *rapid.T, revision int64) catalog.Replica {
 	return catalog.Replica{
-		ID:       rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
-		Born:     rapid.SampledFrom([]int64{0, 100, 200}).Draw(t, "born"),
-		Service:  rapid.SampledFrom([]string{"engine", "plain", "other"}).Draw(t, "service"),
-		Addr:     rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "addr"),
-		Domain:   "hall",
-		Region:   rapid.SampledFrom([]string{"north", "north", "north", "south"}).Draw(t, "region"),
-		Leaving:  rapid.IntRange(0, 4).Draw(t, "leaves") == 0,
-		Revision: revision,
+		ID:        rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id"),
+		StartedAt: rapid.SampledFrom([]int64{0, 100, 200}).Draw(t, "born"),
+		Service:   rapid.SampledFrom([]string{"engine", "plain", "other"}).Draw(t, "service"),
+		Addr:      rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "addr"),
+		Domain:    "hall",
+		Region:    rapid.SampledFrom([]string{"north", "north", "north", "south"}).Draw(t, "region"),
+		Leaving:   rapid.IntRange(0, 4).Draw(t, "leaves") == 0,
+		Revision:  revision,
 	}
 }
 
@@ -44,7 +44,7 @@
 	case 1:
 		u.Changes = []catalog.Change{{
 			Revision: revision,
-			Gone:     replica.ID,
+			Removed:  replica.ID,
 		}}
 	default:
 		u.Changes = []catalog.Change{{
@@ -59,7 +59,7 @@
 	var out []string
 	for _, r := range v.Replicas() {
 		if r.Listed() {
-			out = append(out, fmt.Sprintf("%s %+v %t", r.Start(), r.Info(), r.Unconfirmed()))
+			out = append(out, fmt.Sprintf("%s %+v %t", r.Incarnation(), r.Info(), r.Unconfirmed()))
 		}
 	}
 	return out
@@ -73,7 +73,7 @@
 		full := placement.NewView("north", "hall", pacing.New("box", terms))
 		now := start
 		for revision := range int64(rapid.IntRange(1, 30).Draw(t, "updates")) {
-			content.Take(drawUpdate(t, revision+1))
+			content.Apply(drawUpdate(t, revision+1))
 			if rapid.IntRange(0, 5).Draw(t, "policy") == 0 {
 				p := policy()
 				p.Services = p.Services[:rapid.IntRange(1, len(p.Services)).Draw(t, "services")]
@@ -81,12 +81,12 @@
 				full.SetTable(catalog.NewTable(p))
 			}
 			now += longAfter / 10_000
-			incremental.Take(content, now)
+			incremental.Apply(content, now)
 			full.InvalidateIndex()
-			full.Take(content, now)
+			full.Apply(content, now)
 			is.Equal(listedState(incremental), listedState(full))
 			is.True(slices.IsSortedFunc(incremental.Replicas(), func(a, b *placement.Replica) int {
-				return map[bool]int{true: -1, false: 1}[a.Start() < b.Start()]
+				return map[bool]int{true: -1, false: 1}[a.Incarnation() < b.Incarnation()]
 			}))
 		}
 	})
@@ -103,12 +103,12 @@
 	for i := range n {
 		s.Replicas = append(s.Replicas, numberedReplica(i, int64(i+1)))
 	}
-	content.Take(catalog.Update{
+	content.Apply(catalog.Update{
 		Snapshot: &s,
 		Revision: s.Revision,
 		Settled:  true,
 	})
-	view.Take(content, start)
+	view.Apply(content, start)
 	return content, view
 }
 
@@ -126,7 +126,7 @@
 
 func changeReplica(content *catalog.Content, i int, revision int64) {
 	replica := numberedReplica(i, revision)
-	content.Take(catalog.Update{
+	content.Apply(catalog.Update{
 		Changes: []catalog.Change{{
 			Revision: revision,
 			Replica:  &replica,
@@ -145,8 +145,8 @@
 	for i := range changes {
 		revision := int64(n + i + 1)
 		changeReplica(content, i, revision)
-		view.Take(content, start)
-		content.Since(revision)
+		view.Apply(content, start)
+		content.ChangesSince(revision)
 	}
 	runtime.ReadMemStats(&after)
 	return (after.Mallocs - before.Mallocs) / changes, (after.TotalAlloc - before.TotalAlloc) / changes
@@ -167,7 +167,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		changeReplica(content, i%6000, int64(6001+i))
-		view.Take(content, start)
+		view.Apply(content, start)
 	}
 }
 
@@ -175,7 +175,7 @@
 	content, _ := newFleet(6000)
 	b.ResetTimer()
 	for range b.N {
-		content.Since(6000)
+		content.ChangesSince(6000)
 	}
 }
 
--- a/placement/loss.go
+++ b/placement/loss.go
@@ -16,26 +16,26 @@
 	prefillLossFull  = 1.1 // share at which all streams miss their targets
 )
 
-// Goals are the latency targets of an answer.
-type Goals struct {
-	First time.Duration // until the first byte
-	Gap   time.Duration // between two events of a stream; 0 for none
-	Left  time.Duration // until the answer is useless
+// Targets are the latency targets of an answer.
+type Targets struct {
+	FirstByte time.Duration // until the first byte
+	Gap       time.Duration // between two events of a stream; 0 for none
+	Deadline  time.Duration // until the answer is useless
 }
 
-// Risk returns the expected loss of an answer's value, in thousandths. Engines prefill
+// ExpectedLoss returns the expected loss of an answer's value, in thousandths. Engines prefill
 // between the steps of running streams, so the gaps between events grow with the time spent
 // on prefill.
-func (o Outlook) Risk(g Goals) float64 {
+func (o Estimate) ExpectedLoss(g Targets) float64 {
 	loss := 0.0
-	if g.First > 0 {
-		loss = quadraticRamp(float64(o.Expect)/float64(g.First), waitLossStart, waitLossFull)
+	if g.FirstByte > 0 {
+		loss = quadraticRamp(float64(o.Expect)/float64(g.FirstByte), waitLossStart, waitLossFull)
 	}
 	if g.Gap > 0 {
-		loss = max(loss, quadraticRamp(o.Busy, prefillLossStart, prefillLossFull))
+		loss = max(loss, quadraticRamp(o.PrefillShare, prefillLossStart, prefillLossFull))
 	}
 	loss = max(loss, quadraticRamp(o.Failing, failureLossStart, failureLossFull))
-	if g.Left > 0 && o.Expect > g.Left {
+	if g.Deadline > 0 && o.Expect > g.Deadline {
 		loss = 2 // a late answer keeps some value, a useless one none
 	}
 	return lossScale * loss
@@ -65,15 +65,15 @@
 	return scale(steps, stepTime) + scale(chunks, chunk) + others
 }
 
-// Harm returns the interference cost of a prompt to the requests that run at the same
+// InterferenceCost returns the interference cost of a prompt to the requests that run at the same
 // engine, in thousandths of a request's value. missing is the number of shared tokens that
 // the engine has to prefill.
-func (req *Request) Harm(missing, running int) float64 {
-	if req.Gap <= 0 || req.Prompt == 0 {
+func (req *Request) InterferenceCost(missing, running int) float64 {
+	if req.GapTarget <= 0 || req.Prompt == 0 {
 		return 0
 	}
-	steps := cmp.Or(req.Steps, defaultSteps)
-	share := float64(longestGap(req.Prompt, missing+req.Own(), running, steps)) / float64(req.Gap)
+	steps := cmp.Or(req.StepsPerEvent, defaultSteps)
+	share := float64(longestGap(req.Prompt, missing+req.UniqueTokens(), running, steps)) / float64(req.GapTarget)
 	return lateStreamLoss * min(max((share-gapLossStart)/(1-gapLossStart), 0), 1) * float64(running)
 }
 
--- a/placement/loss_test.go
+++ b/placement/loss_test.go
@@ -15,51 +15,51 @@
 func TestTheExpectedLossIsBoundedAndRisesWithWaitAndLoad(t *testing.T) {
 	anyTime := rapid.Int64Range(0, int64(20*time.Second))
 	rapid.Check(t, func(t *rapid.T) {
-		g := placement.Goals{
-			First: time.Duration(anyTime.Draw(t, "first")),
-			Gap:   time.Duration(anyTime.Draw(t, "gap")),
-			Left:  time.Duration(anyTime.Draw(t, "left")),
+		g := placement.Targets{
+			FirstByte: time.Duration(anyTime.Draw(t, "first")),
+			Gap:       time.Duration(anyTime.Draw(t, "gap")),
+			Deadline:  time.Duration(anyTime.Draw(t, "left")),
 		}
-		low := placement.Outlook{
-			Expect: time.Duration(anyTime.Draw(t, "expect")),
-			Busy:   rapid.Float64Range(0, 5).Draw(t, "busy"),
+		low := placement.Estimate{
+			Expect:       time.Duration(anyTime.Draw(t, "expect")),
+			PrefillShare: rapid.Float64Range(0, 5).Draw(t, "busy"),
 		}
-		high := placement.Outlook{
-			Expect: low.Expect + time.Duration(anyTime.Draw(t, "more wait")),
-			Busy:   low.Busy + rapid.Float64Range(0, 5).Draw(t, "more work"),
+		high := placement.Estimate{
+			Expect:       low.Expect + time.Duration(anyTime.Draw(t, "more wait")),
+			PrefillShare: low.PrefillShare + rapid.Float64Range(0, 5).Draw(t, "more work"),
 		}
-		a, b := low.Risk(g), high.Risk(g)
+		a, b := low.ExpectedLoss(g), high.ExpectedLoss(g)
 		if !(a >= 0 && a <= b && b <= maxLoss) {
 			t.Fatalf("%v: %g, %v: %g", low, a, high, b)
 		}
 		later := g
-		later.First = g.First + time.Duration(anyTime.Draw(t, "more time"))
-		if g.First > 0 && low.Risk(later) > a {
-			t.Fatalf("%v: %g, with more time %g", low, a, low.Risk(later))
+		later.FirstByte = g.FirstByte + time.Duration(anyTime.Draw(t, "more time"))
+		if g.FirstByte > 0 && low.ExpectedLoss(later) > a {
+			t.Fatalf("%v: %g, with more time %g", low, a, low.ExpectedLoss(later))
 		}
 	})
 }
 
 func TestALateAnswerHasAnExpectedLossAndAnIdleRegionNone(t *testing.T) {
 	is := is.New(t)
-	g := placement.Goals{
-		First: time.Second,
-		Gap:   time.Second,
-		Left:  5 * time.Second,
+	g := placement.Targets{
+		FirstByte: time.Second,
+		Gap:       time.Second,
+		Deadline:  5 * time.Second,
 	}
 	loss := func(expect time.Duration, busy float64) float64 {
-		return placement.Outlook{
-			Expect: expect,
-			Busy:   busy,
-		}.Risk(g)
+		return placement.Estimate{
+			Expect:       expect,
+			PrefillShare: busy,
+		}.ExpectedLoss(g)
 	}
 	is.Equal(loss(0, 0), 0.0)
 	is.Equal(loss(10*time.Millisecond, 0.01), 0.0)
 	is.True(loss(2*time.Second, 0) >= 500)
 	is.True(loss(0, 3) >= 500)
 	is.True(loss(6*time.Second, 0) > loss(4*time.Second, 0)) // a useless answer is worse than a late one
-	is.Equal(placement.Outlook{
-		Expect: time.Hour,
-		Busy:   9,
-	}.Risk(placement.Goals{}), 0.0) // no targets
+	is.Equal(placement.Estimate{
+		Expect:       time.Hour,
+		PrefillShare: 9,
+	}.ExpectedLoss(placement.Targets{}), 0.0) // no targets
 }
--- a/placement/outcome.go
+++ b/placement/outcome.go
@@ -11,32 +11,33 @@
 	Failed                    // response that reports an error
 	Refused                   // response that reports that the request did not run
 	Unreachable               // connection failed
-	Silent                    // no response or an incomplete one
+	NoResponse                // no response or an incomplete one
 	Abandoned                 // caller left or deadline passed; no evidence against the replica
 	Misdirected               // another replica has the address
 )
 
-// Written records when the request of a choice is written, which may be long after Pick.
-func (v *View) Written(c *Choice, now time.Duration) {
+// RecordSend records when the request of a choice is written, which may be long after Pick.
+func (v *View) RecordSend(c *Choice, now time.Duration) {
 	if c.reservation.replica != nil {
-		v.pacer.Sent(c.ID, c.reservation.at, now)
+		v.pacer.MarkSent(c.ID, c.reservation.at, now)
 	}
 }
 
-// First records the time until the first byte of a response.
-func (v *View) First(c *Choice, took, now time.Duration) {
+// RecordFirstByte records the time until the first byte of a response.
+func (v *View) RecordFirstByte(c *Choice, took, now time.Duration) {
 	r := c.reservation.replica
 	if r == nil {
 		return
 	}
 	r.recordFirstByte(took, c.Expect, now)
 	r.recordResponse(now)
-	r.own.Unread -= c.reservation.load.Unread
-	c.reservation.load.Unread = 0
+	r.own.PendingPrefill -= c.reservation.load.PendingPrefill
+	c.reservation.load.PendingPrefill = 0
 }
 
-// Loaded records the number of requests that the replica itself reports, this one included.
-func (v *View) Loaded(c *Choice, requests int, now time.Duration) {
+// RecordSelfReport records the number of requests that the replica itself reports, this one
+// included.
+func (v *View) RecordSelfReport(c *Choice, requests int, now time.Duration) {
 	r := c.reservation.replica
 	if r == nil {
 		return
@@ -49,16 +50,16 @@
 	}
 }
 
-// Heard records that a replica continues its response.
-func (v *View) Heard(c *Choice, now time.Duration) {
+// RecordActivity records that a replica continues its response.
+func (v *View) RecordActivity(c *Choice, now time.Duration) {
 	if r := c.reservation.replica; r != nil {
 		r.lastSeen = now
 	}
 }
 
-// Quiet returns the time since this box last received bytes from the replica of a choice,
+// SinceLastSeen returns the time since this box last received bytes from the replica of a choice,
 // or since it sent the request if that is later.
-func (v *View) Quiet(c *Choice, sent, now time.Duration) time.Duration {
+func (v *View) SinceLastSeen(c *Choice, sent, now time.Duration) time.Duration {
 	r := c.reservation.replica
 	if r == nil {
 		return 0
@@ -77,8 +78,8 @@
 	l := c.reservation.load
 	r.own.Requests -= l.Requests
 	r.own.Tokens -= l.Tokens
-	r.own.Unread -= l.Unread
-	wasEjected := r.Out(now)
+	r.own.PendingPrefill -= l.PendingPrefill
+	wasEjected := r.Ejected(now)
 	switch result {
 	case Answered:
 		r.outcomes.Add(false, now)
@@ -90,7 +91,7 @@
 	case Refused:
 		r.outcomes.Add(true, now) // it has no capacity, though its load looks low
 		r.recordResponse(now)
-	case Silent:
+	case NoResponse:
 		v.recordNoResponse(r, now)
 	case Unreachable:
 		r.outcomes.Add(true, now)
@@ -102,19 +103,19 @@
 		v.eject(r, now)
 	case Abandoned:
 	}
-	return !wasEjected && r.Out(now)
+	return !wasEjected && r.Ejected(now)
 }
 
-// Muted records that a replica doesn't respond to a request that keeps waiting. It returns
-// true if this ejects the replica.
-func (v *View) Muted(c *Choice, now time.Duration) bool {
+// RecordNoResponse records that a replica doesn't respond to a request that keeps waiting. It
+// returns true if this ejects the replica.
+func (v *View) RecordNoResponse(c *Choice, now time.Duration) bool {
 	r := c.reservation.replica
 	if r == nil {
 		return false
 	}
-	wasEjected := r.Out(now)
+	wasEjected := r.Ejected(now)
 	v.recordNoResponse(r, now)
-	return !wasEjected && r.Out(now)
+	return !wasEjected && r.Ejected(now)
 }
 
 func (v *View) recordNoResponse(r *Replica, now time.Duration) {
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -29,32 +29,32 @@
 
 // Reasons.
 const (
-	None     Reason = ""
-	Unlisted Reason = "not listed"
-	Leaving  Reason = "leaving"
-	Doubtful Reason = "may be gone"
-	Closed   Reason = "failure domain closed"
-	Tried    Reason = "tried before"
-	Out      Reason = "out of reach"
-	Paced    Reason = "cold, paced"
-	Full     Reason = "full"
-	Nothing  Reason = "no replica"
+	None        Reason = ""
+	Unlisted    Reason = "not listed"
+	Leaving     Reason = "leaving"
+	Unconfirmed Reason = "may be gone"
+	Evacuated   Reason = "failure domain closed"
+	Tried       Reason = "tried before"
+	Ejected     Reason = "out of reach"
+	RateLimited Reason = "cold, paced"
+	Full        Reason = "full"
+	NoReplica   Reason = "no replica"
 )
 
 // Choice is the outcome of a decision. If Reason isn't None, there is no replica, and Wait
 // is the time until there may be one.
 type Choice struct {
-	Replica string // its incarnation
-	ID      string // id that the replica answers to
-	Addr    string
-	Reason  Reason
-	Wait    time.Duration
-	Expect  time.Duration // until the first byte
-	Missing int           // shared tokens to prefill
-	Load    Load          // load of the replica before this request
-	Reads   int           // prompt tokens that the request adds to it
-	Sharers int           // boxes that share its rate limit while it is cold; 0 for any other
-	AgeMs   int64         // age of the oldest record of another box's load
+	Incarnation   string // its incarnation
+	ID            string // id that the replica answers to
+	Addr          string
+	Reason        Reason
+	Wait          time.Duration
+	Expect        time.Duration // until the first byte
+	Missing       int           // shared tokens to prefill
+	Load          Load          // load of the replica before this request
+	PrefillTokens int           // prompt tokens that the request adds to it
+	SharingBoxes  int           // boxes that share its rate limit while it is cold; 0 for any other
+	AgeMs         int64         // age of the oldest record of another box's load
 
 	CopyFrom string // address of a replica to copy missing segments from; empty for none
 
@@ -88,8 +88,8 @@
 	}
 	if !v.pacer.Take(best.r.info.ID, boxes, now) {
 		return Choice{
-			Reason: Paced,
-			Wait:   v.pacer.Next(best.r.info.ID, boxes, now) - now,
+			Reason: RateLimited,
+			Wait:   v.pacer.NextAllowed(best.r.info.ID, boxes, now) - now,
 		}
 	}
 	sharers := 0
@@ -104,11 +104,11 @@
 		},
 	}
 	if req.Prompt > 0 {
-		g.load.Tokens = req.Prompt + int(meanAnswerShare*float64(cmp.Or(req.Out, defaultAnswerTokens)))
-		g.load.Unread = best.missing + req.Own()
-		best.r.recordCached(req.Parts, now)
+		g.load.Tokens = req.Prompt + int(meanAnswerShare*float64(cmp.Or(req.AnswerTokens, defaultAnswerTokens)))
+		g.load.PendingPrefill = best.missing + req.UniqueTokens()
+		best.r.recordCached(req.Segments, now)
 		best.r.recordSentSegment(req, now)
-		best.r.recordPrefill(g.load.Unread, now)
+		best.r.recordPrefill(g.load.PendingPrefill, now)
 		u := v.typicalLoad[req.Service]
 		u.add(g.load)
 		v.typicalLoad[req.Service] = u
@@ -116,14 +116,14 @@
 	best.r.recordSent(g.load, now)
 	best.r.own = best.r.own.plus(g.load)
 	return Choice{
-		Replica: best.r.incarnation,
-		ID:      best.r.info.ID,
-		Addr:    best.r.info.Addr,
-		Expect:  best.expect,
-		Missing: best.missing,
-		Load:    best.load,
-		Reads:   g.load.Unread,
-		Sharers: sharers,
+		Incarnation:   best.r.incarnation,
+		ID:            best.r.info.ID,
+		Addr:          best.r.info.Addr,
+		Expect:        best.expect,
+		Missing:       best.missing,
+		Load:          best.load,
+		PrefillTokens: g.load.PendingPrefill,
+		SharingBoxes:  sharers,
 
 		CopyFrom: best.copyFrom(),
 
@@ -138,10 +138,10 @@
 		return none
 	}
 	return Choice{
-		Replica: best.r.incarnation, // Request.Tried holds incarnations
-		ID:      best.r.info.ID,
-		Addr:    best.r.info.Addr,
-		Expect:  best.expect,
+		Incarnation: best.r.incarnation, // Request.Tried holds incarnations
+		ID:          best.r.info.ID,
+		Addr:        best.r.info.Addr,
+		Expect:      best.expect,
 
 		reservation: reservation{
 			replica: best.r, // without load, so that End can record a failed connection
@@ -165,7 +165,7 @@
 
 // bestAmong is best for a list of replicas.
 func (v *View) bestAmong(list []*Replica, req Request, preferred, cacheHolder *Replica, typical time.Duration, boxes []string, now time.Duration) (best candidate, none Choice) {
-	none.Reason = Nothing
+	none.Reason = NoReplica
 	for _, r := range list {
 		if r.info.Service != req.Service {
 			continue
@@ -173,8 +173,8 @@
 		reason := v.unusable(r, req, now)
 		wait := time.Duration(0)
 		if reason == None && !v.pacer.Allow(r.info.ID, boxes, now) {
-			reason = Paced
-			wait = v.pacer.Next(r.info.ID, boxes, now) - now
+			reason = RateLimited
+			wait = v.pacer.NextAllowed(r.info.ID, boxes, now) - now
 		}
 		w := v.evaluate(r, req, cacheHolder, r == preferred, typical, now)
 		if reason == None && r.isFull(w.load, req) {
@@ -223,13 +223,13 @@
 	case r.info.Leaving:
 		return Leaving
 	case r.unconfirmed:
-		return Doubtful
+		return Unconfirmed
 	case v.evacuated[r.info.Domain]:
-		return Closed
+		return Evacuated
 	case slices.Contains(req.Tried, r.incarnation):
 		return Tried
-	case r.Out(now), r.isUnresponsive(now):
-		return Out
+	case r.Ejected(now), r.isUnresponsive(now):
+		return Ejected
 	}
 	return None
 }
@@ -237,10 +237,10 @@
 // preferred returns the usable replica with the highest rendezvous score for the request's
 // shared segments, nil for none. All boxes of a region compute the same one.
 func (v *View) preferred(req Request, now time.Duration) *Replica {
-	if len(req.Parts) == 0 {
+	if len(req.Segments) == 0 {
 		return nil
 	}
-	if best := v.top(req.Subject(), 1, req, now); len(best) > 0 {
+	if best := v.top(req.RoutingKey(), 1, req, now); len(best) > 0 {
 		return best[0]
 	}
 	return nil
@@ -254,12 +254,12 @@
 		load: v.Load(r, now),
 	}
 	if r.service == nil || r.service.Engine == nil {
-		w.expect = scale(r.Slow(now), r.queueWait(w.load, typical)+cmp.Or(r.duration, typical))
+		w.expect = scale(r.Slowness(now), r.queueWait(w.load, typical)+cmp.Or(r.duration, typical))
 		w.cost = w.expect
 	} else {
 		v.evaluateEngine(&w, req, cacheHolder, isPreferred, typical, now)
 	}
-	w.cost += scale(r.Failing(now), failureCost)
+	w.cost += scale(r.FailureShare(now), failureCost)
 	if r.info.Domain != v.domain {
 		w.cost += crossDomainCost
 	}
@@ -280,22 +280,22 @@
 	case isPreferred && w.missing > 0:
 		w.missing = expectedMissing(w.missing)
 	}
-	wait := ReadTime(w.load.Unread) + w.r.queueWait(w.load, typical) + copyDuration
+	wait := PrefillTime(w.load.PendingPrefill) + w.r.queueWait(w.load, typical) + copyDuration
 	step := time.Duration(stepMsPerKilotoken * float64(w.load.Tokens) / 1000 * float64(time.Millisecond))
-	w.expect = scale(w.r.Slow(now), firstEventTime+step+wait+ReadTime(w.missing+req.Own()))
-	interference := req.Harm(w.missing, w.load.Requests)
-	if req.Gap > 0 {
-		interference += maxPrefillInterference * float64(w.load.Reads) / (prefillSpeed * 1000)
+	w.expect = scale(w.r.Slowness(now), firstEventTime+step+wait+PrefillTime(w.missing+req.UniqueTokens()))
+	interference := req.InterferenceCost(w.missing, w.load.Requests)
+	if req.GapTarget > 0 {
+		interference += maxPrefillInterference * float64(w.load.PrefillRate) / (prefillSpeed * 1000)
 	}
-	w.cost = w.expect + scale(v.rereadFactor()-1, ReadTime(w.missing)) + w.r.preemptionCost(w.load, req) + scale(interference, interferenceTime)
+	w.cost = w.expect + scale(v.rereadFactor()-1, PrefillTime(w.missing)) + w.r.preemptionCost(w.load, req) + scale(interference, interferenceTime)
 }
 
 // expectedMissing estimates how many shared tokens the preferred replica or the cache holder
 // lacks, of those that no box is recorded to have sent there.
 func expectedMissing(unsent int) int { return int((1 - expectedCachedShare) * float64(unsent)) }
 
-// ReadTime returns the time that an engine takes to prefill tokens.
-func ReadTime(tokens int) time.Duration {
+// PrefillTime returns the time that an engine takes to prefill tokens.
+func PrefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / prefillSpeed * float64(time.Millisecond))
 }
 
--- a/placement/pick_test.go
+++ b/placement/pick_test.go
@@ -15,7 +15,7 @@
 func ExampleView_Pick() {
 	b := newBox("a", "hall", replicas("engine", 1)...)
 	c := b.Pick(newSharedRequest("manual", "request-1"), alone, start)
-	fmt.Println(c.Replica, c.Addr, b.Get(c.Replica).Own().Requests)
+	fmt.Println(c.Incarnation, c.Addr, b.Get(c.Incarnation).Own().Requests)
 	b.End(&c, placement.Answered, time.Second, start+time.Second)
 	fmt.Println(b.Get("engine-0").Own().Requests)
 	c = b.Pick(newRequest("unknown", "request-2"), alone, start)
@@ -34,7 +34,7 @@
 		want    placement.Reason
 	}{
 		{"usable", func(*box) placement.Request { return newRequest("engine", "k") }, placement.None},
-		{"another service", func(*box) placement.Request { return newRequest("plain", "k") }, placement.Nothing},
+		{"another service", func(*box) placement.Request { return newRequest("plain", "k") }, placement.NoReplica},
 		{"unlisted", func(b *box) placement.Request {
 			b.publish(start, nil)
 			return newRequest("engine", "k")
@@ -49,7 +49,7 @@
 		{"closed", func(b *box) placement.Request {
 			b.publish(start, []string{"hall"}, usual()...)
 			return newRequest("engine", "k")
-		}, placement.Closed},
+		}, placement.Evacuated},
 		{"another domain closed", func(b *box) placement.Request {
 			b.publish(start, []string{"attic"}, usual()...)
 			return newRequest("engine", "k")
@@ -62,7 +62,7 @@
 		{"out of reach", func(b *box) placement.Request {
 			failUntilEjected(b, "engine", placement.Unreachable, start)
 			return newRequest("engine", "k")
-		}, placement.Out},
+		}, placement.Ejected},
 		{"prompt larger than the memory", func(*box) placement.Request {
 			req := newRequest("engine", "k")
 			req.Prompt = 200_000
@@ -76,7 +76,7 @@
 			req := c.prepare(b)
 			got := b.Pick(req, alone, start)
 			is.Equal(got.Reason, c.want)
-			is.Equal(got.Replica != "", c.want == placement.None)
+			is.Equal(got.Incarnation != "", c.want == placement.None)
 			is.Equal(b.Get("engine-0").Own().Requests > 0, c.want == placement.None)
 			is.True(got.Wait >= 0)
 		})
@@ -105,7 +105,7 @@
 	b := newBox("a", "hall", all...)
 	is.True(b.Get("plain-0") == nil)
 	is.Equal(len(b.Replicas()), 1)
-	is.Equal(b.Pick(newRequest("plain", "k"), alone, start).Replica, "plain-1")
+	is.Equal(b.Pick(newRequest("plain", "k"), alone, start).Incarnation, "plain-1")
 }
 
 func TestALeavingReplicaNeverComesBack(t *testing.T) {
@@ -141,10 +141,10 @@
 func TestTakeReturnsWhatChanged(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall")
-	abouts := func(news []placement.Belief) (out []string) {
+	abouts := func(news []placement.Change) (out []string) {
 		for _, n := range news {
 			is.True(n.Reason != "")
-			out = append(out, n.About)
+			out = append(out, n.Subject)
 		}
 		slices.Sort(out)
 		return out
@@ -156,9 +156,9 @@
 	all[1].Revision = 2
 	is.Equal(abouts(b.publish(start, nil, all...)), []string{"plain-1"})
 	is.Equal(abouts(b.publish(start, []string{"hall"}, all...)), []string{"hall"})
-	is.True(b.Closed("hall"))
+	is.True(b.Evacuated("hall"))
 	is.Equal(abouts(b.publish(start, nil, all[0])), []string{"hall", "plain-1"})
-	is.True(!b.Closed("hall"))
+	is.True(!b.Evacuated("hall"))
 }
 
 func TestBoxesOfARegionAgreeOnThePreferredReplicaOfASegment(t *testing.T) {
@@ -174,9 +174,9 @@
 			c := b.Pick(newSharedRequest(part, name), boxes, start)
 			is.Equal(c.Reason, placement.None)
 			if i == 0 {
-				want = c.Replica
+				want = c.Incarnation
 			}
-			is.Equal(c.Replica, want)
+			is.Equal(c.Incarnation, want)
 		}
 		used[want]++
 	}
@@ -193,8 +193,8 @@
 		part := fmt.Sprint("part-", n)
 		before := newBox("a", "hall", all...).Pick(newSharedRequest(part, "k"), alone, start)
 		after := newBox("a", "hall", all[1:]...).Pick(newSharedRequest(part, "k"), alone, start)
-		if before.Replica != all[0].ID {
-			is.Equal(after.Replica, before.Replica)
+		if before.Incarnation != all[0].ID {
+			is.Equal(after.Incarnation, before.Incarnation)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	b.End(&first, placement.Answered, time.Second, start+time.Second)
 	again := b.Pick(newSharedRequest("manual", "2"), alone, start+time.Second)
 	b.End(&again, placement.Answered, time.Second, start+2*time.Second)
-	is.Equal(again.Replica, first.Replica)
+	is.Equal(again.Incarnation, first.Incarnation)
 	is.Equal(again.Missing, 0)
 	is.True(first.Missing >= again.Missing)
 	is.True(again.Expect < first.Expect || first.Missing == 0)
@@ -222,7 +222,7 @@
 	for i := range 40 {
 		c := b.Pick(newSharedRequest("hot", fmt.Sprint(i)), alone, start)
 		is.Equal(c.Reason, placement.None)
-		used[c.Replica]++
+		used[c.Incarnation]++
 	}
 	is.True(len(used) > 1)
 	for id, requests := range used {
@@ -236,17 +236,17 @@
 	b := newBox("a", "hall", replicas("engine", 4)...)
 	first := b.Pick(newSharedRequest("hot", "1"), alone, start)
 	b.End(&first, placement.Abandoned, 0, start)
-	b.Told("b", []placement.OwnLoad{{
-		Replica: first.Replica,
+	b.RecordPeerLoads("b", []placement.OwnLoad{{
+		Incarnation: first.Incarnation,
 		Load: placement.Load{
-			Requests: 40,
-			Tokens:   90_000,
-			Unread:   50_000,
+			Requests:       40,
+			Tokens:         90_000,
+			PendingPrefill: 50_000,
 		},
 	}}, start)
 	second := b.Pick(newSharedRequest("hot", "2"), alone, start)
 	is.Equal(second.Reason, placement.None)
-	is.True(second.Replica != first.Replica)
+	is.True(second.Incarnation != first.Incarnation)
 }
 
 func TestAReplicaWithAFullMemoryIsRefusedUntilSomeIsFree(t *testing.T) {
@@ -254,13 +254,13 @@
 	b := newBox("a", "hall", replicas("engine", 1)...)
 	req := newRequest("engine", "k")
 	req.Prompt = 40_000
-	req.Out = 10
+	req.AnswerTokens = 10
 	one := b.Pick(req, alone, start)
 	two := b.Pick(req, alone, start)
 	is.Equal(one.Reason, placement.None)
 	is.Equal(two.Reason, placement.None)
 	is.Equal(b.Pick(req, alone, start).Reason, placement.Full)
-	is.Equal(b.Outlook(req, alone, start).Reason, placement.Full)
+	is.Equal(b.Estimate(req, alone, start).Reason, placement.Full)
 	b.End(&one, placement.Answered, time.Second, start)
 	is.Equal(b.Pick(req, alone, start).Reason, placement.None)
 }
@@ -276,7 +276,7 @@
 			is.True(c.Wait > 0)
 			break
 		}
-		got[c.Replica]++
+		got[c.Incarnation]++
 	}
 	is.True(got["plain-0"] >= 8 && got["plain-0"] <= 100) // at least its slots
 	is.Equal(got["plain-0"], got["plain-1"])
@@ -298,7 +298,7 @@
 				c := b.Pick(req, alone, now)
 				now += 20 * time.Millisecond
 				b.End(&c, placement.Answered, 20*time.Millisecond, now)
-				used[c.Replica]++
+				used[c.Incarnation]++
 			}
 			t.Log(used)
 			is.Equal(len(used), 4)
@@ -311,7 +311,7 @@
 	b := newBox("a", "hall", replicas("engine", 3)...)
 	req := newSharedRequest("manual", "k")
 	req.Tried = []string{"engine-1"}
-	out := b.Outlook(req, alone, start)
+	out := b.Estimate(req, alone, start)
 	is.Equal(out.Reason, placement.None)
 	is.Equal(out.Usable, 2)
 	is.True(out.Expect > 0)
@@ -319,8 +319,8 @@
 		is.Equal(r.Own(), placement.Load{})
 	}
 	is.Equal(b.Pick(req, alone, start).Expect, out.Expect)
-	is.True(b.Outlook(req, alone, start).Busy > out.Busy)
-	none := b.Outlook(newRequest("unknown", "k"), alone, start)
-	is.Equal(none.Reason, placement.Nothing)
+	is.True(b.Estimate(req, alone, start).PrefillShare > out.PrefillShare)
+	none := b.Estimate(newRequest("unknown", "k"), alone, start)
+	is.Equal(none.Reason, placement.NoReplica)
 	is.Equal(none.Usable, 0)
 }
--- a/placement/poll.go
+++ b/placement/poll.go
@@ -5,7 +5,7 @@
 // Intervals at which engines are polled for load reports. The number of polls grows with
 // the requests in flight, not with the number of engines.
 const (
-	AskEvery         = 400 * time.Millisecond  // between two rounds of polls, and two polls of a busy engine
+	PollInterval     = 400 * time.Millisecond  // between two rounds of polls, and two polls of a busy engine
 	idlePollInterval = 1600 * time.Millisecond // between two polls of an engine that isn't busy
 	busyShare        = 0.125                   // share of its slots or memory above which an engine is busy
 )
@@ -15,15 +15,15 @@
 	if !r.fresh(now) {
 		return false
 	}
-	return r.report.Silent || r.report.Waiting > 0 ||
+	return r.report.Unresponsive || r.report.Waiting > 0 ||
 		float64(r.report.Requests) >= busyShare*float64(r.slots()) ||
 		r.memoryShare(Load{Tokens: r.report.Tokens}, Request{}) >= busyShare
 }
 
-// Questions returns the engines that this box has to poll for load reports now: busy ones
+// EnginesToPoll returns the engines that this box has to poll for load reports now: busy ones
 // if mine reports that this box polls them for the region, others where it has requests
 // itself, and those that failed to respond to it.
-func (v *View) Questions(now time.Duration, mine, unanswered func(incarnation string) bool) []*Replica {
+func (v *View) EnginesToPoll(now time.Duration, mine, unanswered func(incarnation string) bool) []*Replica {
 	var out []*Replica
 	for _, r := range v.sorted {
 		if !r.listed || r.service == nil || r.service.Engine == nil {
@@ -44,7 +44,7 @@
 		since = idlePollInterval
 	}
 	switch {
-	case since < AskEvery:
+	case since < PollInterval:
 		return false
 	case r.busy(now):
 		return mine(r.incarnation)
--- a/placement/rank_test.go
+++ b/placement/rank_test.go
@@ -25,8 +25,8 @@
 	} {
 		is := is.New(t)
 		b := newBox("a", "hall", replicas("engine", 1)...)
-		b.Told("b", []placement.OwnLoad{{
-			Replica: "engine-0",
+		b.RecordPeerLoads("b", []placement.OwnLoad{{
+			Incarnation: "engine-0",
 			Load: placement.Load{
 				Requests: 1,
 				Tokens:   tokens,
@@ -57,8 +57,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBox("a", "hall", replicas("engine", 1)...)
-			b.Told("b", []placement.OwnLoad{{
-				Replica: "engine-0",
+			b.RecordPeerLoads("b", []placement.OwnLoad{{
+				Incarnation: "engine-0",
 				Load: placement.Load{
 					Requests: 1,
 					Tokens:   c.tokens,
--- a/placement/region_test.go
+++ b/placement/region_test.go
@@ -16,7 +16,7 @@
 	shared    = 3000           // of these in a shared segment
 )
 
-var terms = pacing.Terms{
+var terms = pacing.Limit{
 	Overage: 1.5,
 	Slack:   3,
 }
@@ -77,9 +77,9 @@
 }
 
 // publish replaces the catalog's content and applies it.
-func (b *box) publish(now time.Duration, evacuated []string, all ...catalog.Replica) []placement.Belief {
+func (b *box) publish(now time.Duration, evacuated []string, all ...catalog.Replica) []placement.Change {
 	b.rev++
-	b.content.Take(catalog.Update{
+	b.content.Apply(catalog.Update{
 		Snapshot: &catalog.Snapshot{
 			Revision:  b.rev,
 			Replicas:  all,
@@ -88,7 +88,7 @@
 		Revision: b.rev,
 		Settled:  true,
 	})
-	return b.Take(b.content, now)
+	return b.Apply(b.content, now)
 }
 
 var alone = []string{"a"}
@@ -103,11 +103,11 @@
 // newSharedRequest returns a request whose prompt starts with a shared segment.
 func newSharedRequest(part, key string) placement.Request {
 	return placement.Request{
-		Service: "engine",
-		Key:     key,
-		Prompt:  prompt,
-		Out:     50,
-		Parts: []placement.Part{{
+		Service:      "engine",
+		Key:          key,
+		Prompt:       prompt,
+		AnswerTokens: 50,
+		Segments: []placement.Segment{{
 			ID:     part,
 			Tokens: shared,
 		}},
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -125,7 +125,7 @@
 		Memory: replayMemory,
 	}
 	content := catalog.NewContent()
-	content.Take(catalog.Update{
+	content.Apply(catalog.Update{
 		Snapshot: &catalog.Snapshot{
 			Revision: 1,
 			Replicas: list,
@@ -136,8 +136,8 @@
 		name := fmt.Sprintf("box-%03d", b)
 		v := placement.NewView("north", "hall", pacing.New(name, terms))
 		v.SetTable(catalog.NewTable(p))
-		v.Take(content, start)
-		v.ByWords(sharing == allReports || sharing == polledReports, boxes)
+		v.Apply(content, start)
+		v.UseReports(sharing == allReports || sharing == polledReports, boxes)
 		c.boxes = append(c.boxes, v)
 		c.names = append(c.names, name)
 	}
@@ -175,14 +175,14 @@
 	own := max(1, int(float64(k.own)*math.Exp(0.8*c.rnd.NormFloat64()-0.32)))
 	c.total++
 	choice := c.boxes[b].Pick(placement.Request{
-		Service: "engine",
-		Key:     fmt.Sprint(c.rnd.Uint64()),
-		Prompt:  k.shared + own,
-		Out:     out,
-		Gap:     replayGap,
-		Steps:   replayStride,
-		Rank:    k.rank,
-		Parts: []placement.Part{{
+		Service:       "engine",
+		Key:           fmt.Sprint(c.rnd.Uint64()),
+		Prompt:        k.shared + own,
+		AnswerTokens:  out,
+		GapTarget:     replayGap,
+		StepsPerEvent: replayStride,
+		Rank:          k.rank,
+		Segments: []placement.Segment{{
 			ID:     part,
 			Tokens: k.shared,
 		}},
@@ -192,7 +192,7 @@
 		return
 	}
 	n := 0
-	_, _ = fmt.Sscanf(choice.Replica, "engine-%d", &n)
+	_, _ = fmt.Sscanf(choice.Incarnation, "engine-%d", &n)
 	r := &replayRun{
 		kind:      k,
 		box:       b,
@@ -214,7 +214,7 @@
 	v := c.boxes[r.box]
 	if !r.first {
 		r.first = true
-		v.First(&r.choice, c.clock.Now()-r.start, c.clock.Now())
+		v.RecordFirstByte(&r.choice, c.clock.Now()-r.start, c.clock.Now())
 		r.pause = 0
 		if c.clock.Now()-r.start > r.kind.goal {
 			r.pause = time.Hour // already late
@@ -239,10 +239,10 @@
 	switch c.sharing {
 	case peerLoads:
 		for b, v := range c.boxes {
-			told := v.Tell(c.clock.Now())
+			told := v.OwnLoads(c.clock.Now())
 			for o, other := range c.boxes {
 				if o != b {
-					other.Told(c.names[b], told, c.clock.Now())
+					other.RecordPeerLoads(c.names[b], told, c.clock.Now())
 				}
 			}
 		}
@@ -252,12 +252,12 @@
 			c.polls++
 			c.gossip(fmt.Sprintf("engine-%02d", n), c.report(n))
 		}
-		c.clock.After(placement.AskEvery, c.exchangeLoads)
+		c.clock.After(placement.PollInterval, c.exchangeLoads)
 	case polledReports:
 		for b := range c.boxes {
 			c.poll(b)
 		}
-		c.clock.After(placement.AskEvery, c.exchangeLoads)
+		c.clock.After(placement.PollInterval, c.exchangeLoads)
 	case noReports:
 	}
 }
@@ -267,27 +267,27 @@
 	now := c.clock.Now()
 	v := c.boxes[b]
 	isPoller := func(incarnation string) bool { return rendezvous.Top(incarnation, c.names, 1)[0] == c.names[b] }
-	for _, r := range v.Questions(now, isPoller, func(string) bool { return false }) {
+	for _, r := range v.EnginesToPoll(now, isPoller, func(string) bool { return false }) {
 		c.polls++
 		n := 0
-		_, _ = fmt.Sscanf(r.Start(), "engine-%d", &n)
-		v.Says(r.Start(), c.report(n))
+		_, _ = fmt.Sscanf(r.Incarnation(), "engine-%d", &n)
+		v.RecordReport(r.Incarnation(), c.report(n))
 	}
-	for _, w := range v.Words(now) {
+	for _, w := range v.BusyReports(now) {
 		if w.At == now { // only the box that polled starts the gossip
 			c.gossiped++
-			c.gossip(w.Replica, w.Word)
+			c.gossip(w.Replica, w.LoadReport)
 		}
 	}
 }
 
-func (c *replay) report(n int) placement.Word {
+func (c *replay) report(n int) placement.LoadReport {
 	e := c.engines[n]
 	tokens := 0
 	for _, r := range e.running {
 		tokens += r.kind.shared + r.kind.own + r.kind.out
 	}
-	return placement.Word{
+	return placement.LoadReport{
 		Requests: len(e.running) + len(e.waiting),
 		Waiting:  len(e.waiting),
 		Tokens:   tokens,
@@ -296,11 +296,11 @@
 }
 
 // gossip sends a load report to all boxes with the delay of gossip.
-func (c *replay) gossip(id string, w placement.Word) {
+func (c *replay) gossip(id string, w placement.LoadReport) {
 	rounds := math.Log(float64(len(c.boxes))) / math.Log(3)
 	for _, v := range c.boxes {
 		lag := 100*time.Millisecond + time.Duration(c.rnd.Float64()*2*rounds*float64(250*time.Millisecond)/2)
-		c.clock.After(lag, func() { v.Says(id, w) })
+		c.clock.After(lag, func() { v.RecordReport(id, w) })
 	}
 }
 
--- a/placement/replica.go
+++ b/placement/replica.go
@@ -32,18 +32,18 @@
 
 // Load is the work of one box at a replica.
 type Load struct {
-	Requests int // in flight
-	Tokens   int // of memory that they use or will use
-	Unread   int // prompt tokens that await prefill
-	Reads    int // prompt tokens sent per second
+	Requests       int // in flight
+	Tokens         int // of memory that they use or will use
+	PendingPrefill int // prompt tokens that await prefill
+	PrefillRate    int // prompt tokens sent per second
 }
 
 func (l Load) plus(o Load) Load {
 	return Load{
-		Requests: l.Requests + o.Requests,
-		Tokens:   l.Tokens + o.Tokens,
-		Unread:   l.Unread + o.Unread,
-		Reads:    l.Reads + o.Reads,
+		Requests:       l.Requests + o.Requests,
+		Tokens:         l.Tokens + o.Tokens,
+		PendingPrefill: l.PendingPrefill + o.PendingPrefill,
+		PrefillRate:    l.PrefillRate + o.PrefillRate,
 	}
 }
 
@@ -62,7 +62,7 @@
 	own         Load
 	peerLoads   map[string]peerLoad // by box
 	selfReport  peerLoad            // requests of other boxes, by its latest response
-	report      Word                // the latest, whichever box polled it
+	report      LoadReport          // the latest, whichever box polled it
 	unreported  []unreported        // requests of this box that the report doesn't include
 	lastPoll    time.Duration       // last poll by this box; 0 for none
 
@@ -78,12 +78,12 @@
 	duration        time.Duration // moving average of a request's duration; 0 if unknown
 	lastSeen        time.Duration // when this box last received bytes from it
 	cached          map[string]time.Duration
-	sentSegments    []sentSegment             // recently sent by this box, for gossip
-	peerSegments    map[PartKey]time.Duration // sent by other boxes, by time of their message
+	sentSegments    []sentSegment                // recently sent by this box, for gossip
+	peerSegments    map[SegmentKey]time.Duration // sent by other boxes, by time of their message
 }
 
-// Start returns the incarnation of the replica, which is unique to its process.
-func (r *Replica) Start() string { return r.incarnation }
+// Incarnation returns the incarnation of the replica, which is unique to its process.
+func (r *Replica) Incarnation() string { return r.incarnation }
 
 // ID returns the id of the replica, which all its incarnations share.
 func (r *Replica) ID() string { return r.info.ID }
@@ -109,7 +109,7 @@
 // currentOwnLoad returns this box's load with its current prefill rate.
 func (r *Replica) currentOwnLoad(now time.Duration) Load {
 	l := r.own
-	l.Reads = int(r.currentPrefillRate(now))
+	l.PrefillRate = int(r.currentPrefillRate(now))
 	return l
 }
 
@@ -127,16 +127,16 @@
 	return l
 }
 
-// Failing returns the recent share of failures.
-func (r *Replica) Failing(now time.Duration) float64 { return r.outcomes.Share(now) }
+// FailureShare returns the recent share of failures.
+func (r *Replica) FailureShare(now time.Duration) float64 { return r.outcomes.Share(now) }
 
-// Slow returns the ratio of its actual to its expected times to the first byte, at least 1.
-func (r *Replica) Slow(now time.Duration) float64 {
+// Slowness returns the ratio of its actual to its expected times to the first byte, at least 1.
+func (r *Replica) Slowness(now time.Duration) float64 {
 	return math.Exp(r.slowness * decay.Left(now-r.slownessAt, slownessHalfLife))
 }
 
-// Out reports whether the replica is ejected at now.
-func (r *Replica) Out(now time.Duration) bool { return r.backoff.On(now) }
+// Ejected reports whether the replica is ejected at now.
+func (r *Replica) Ejected(now time.Duration) bool { return r.backoff.On(now) }
 
 func (r *Replica) slots() int {
 	switch {
@@ -156,7 +156,7 @@
 	}
 	n := 0
 	isCached := true
-	for _, p := range req.Parts {
+	for _, p := range req.Segments {
 		at, ok := r.cached[p.ID]
 		isCached = isCached && ok && now-at < cachedSegmentTTL
 		if !isCached {
@@ -167,7 +167,7 @@
 }
 
 // recordCached records that the replica prefills segments.
-func (r *Replica) recordCached(parts []Part, now time.Duration) {
+func (r *Replica) recordCached(parts []Segment, now time.Duration) {
 	if len(r.cached) > maxCachedSegments {
 		r.evictCached(now)
 	}
@@ -192,7 +192,7 @@
 // eject starts a back-off that doubles until the replica responds. Requests that fail
 // together count once.
 func (r *Replica) eject(now time.Duration) {
-	if !r.Out(now) {
+	if !r.Ejected(now) {
 		r.backoff.Begin(now)
 	}
 }
--- a/placement/report.go
+++ b/placement/report.go
@@ -15,13 +15,13 @@
 	typicalWeight   = 0.02            // of the newest request
 )
 
-// Word is a load report of an engine.
-type Word struct {
-	Requests int  // of all boxes
-	Waiting  int  // of these, not yet running
-	Tokens   int  // of memory in use; 0 if unknown
-	Silent   bool // the engine didn't respond; the other fields are not set
-	At       time.Duration
+// LoadReport is the load that an engine reports.
+type LoadReport struct {
+	Requests     int  // of all boxes
+	Waiting      int  // of these, not yet running
+	Tokens       int  // of memory in use; 0 if unknown
+	Unresponsive bool // the engine didn't respond; the other fields are not set
+	At           time.Duration
 }
 
 // typicalLoad is the average load of a service's requests.
@@ -32,29 +32,29 @@
 
 func (u *typicalLoad) add(l Load) {
 	if u.tokens == 0 {
-		u.tokens, u.unread = float64(l.Tokens), float64(l.Unread)
+		u.tokens, u.unread = float64(l.Tokens), float64(l.PendingPrefill)
 		return
 	}
 	u.tokens += typicalWeight * (float64(l.Tokens) - u.tokens)
-	u.unread += typicalWeight * (float64(l.Unread) - u.unread)
+	u.unread += typicalWeight * (float64(l.PendingPrefill) - u.unread)
 }
 
-// ByWords sets whether the view uses load reports of engines, and the number of boxes of
+// UseReports sets whether the view uses load reports of engines, and the number of boxes of
 // the region that callers use, including this one. Each is assumed to send equally much.
-func (v *View) ByWords(on bool, boxes int) {
+func (v *View) UseReports(on bool, boxes int) {
 	v.byReports = on
 	v.boxes = max(boxes, 1)
 }
 
-// Says records a load report. It returns false if the replica is unknown or the report
+// RecordReport records a load report. It returns false if the replica is unknown or the report
 // isn't newer than the recorded one.
-func (v *View) Says(replica string, w Word) bool {
+func (v *View) RecordReport(replica string, w LoadReport) bool {
 	r, ok := v.replicas[replica]
 	if !ok || w.At <= r.report.At {
 		return false
 	}
-	if w.Silent != r.report.Silent {
-		v.pendingChanges = append(v.pendingChanges, responseChange(replica, w.Silent))
+	if w.Unresponsive != r.report.Unresponsive {
+		v.pendingChanges = append(v.pendingChanges, responseChange(replica, w.Unresponsive))
 	}
 	r.report = w
 	r.unreported = slices.DeleteFunc(r.unreported, func(b unreported) bool { return b.at <= w.At })
@@ -63,10 +63,10 @@
 
 // responseChange returns the change that an engine stopped or resumed responding to another
 // box.
-func responseChange(replica string, silent bool) Belief {
-	out := Belief{
-		About:  replica,
-		Reason: "answers a box again",
+func responseChange(replica string, silent bool) Change {
+	out := Change{
+		Subject: replica,
+		Reason:  "answers a box again",
 	}
 	if silent {
 		out.Reason = "doesn't answer a box"
@@ -74,8 +74,8 @@
 	return out
 }
 
-// WordAge returns the age of a replica's load report, negative if there is no valid one.
-func (r *Replica) WordAge(now time.Duration) time.Duration {
+// ReportAge returns the age of a replica's load report, negative if there is no valid one.
+func (r *Replica) ReportAge(now time.Duration) time.Duration {
 	if !r.fresh(now) {
 		return -1
 	}
@@ -85,8 +85,8 @@
 // fresh reports whether the load report is still valid.
 func (r *Replica) fresh(now time.Duration) bool { return r.report.At > 0 && now-r.report.At < loadTTL }
 
-// Changed returns the changes by load reports since the last call.
-func (v *View) Changed() []Belief {
+// TakeChanges returns the changes by load reports since the last call.
+func (v *View) TakeChanges() []Change {
 	out := v.pendingChanges
 	v.pendingChanges = nil
 	return out
@@ -95,28 +95,28 @@
 // isUnresponsive reports whether a replica recently failed to respond to another box, and
 // this box has received nothing from it since.
 func (r *Replica) isUnresponsive(now time.Duration) bool {
-	return r.report.Silent && now-r.report.At < unresponsiveTTL && r.lastSeen <= r.report.At
+	return r.report.Unresponsive && now-r.report.At < unresponsiveTTL && r.lastSeen <= r.report.At
 }
 
-// Words returns the valid load reports of busy engines, latest first.
-func (v *View) Words(now time.Duration) []ReplicaWord {
-	var out []ReplicaWord
+// BusyReports returns the valid load reports of busy engines, latest first.
+func (v *View) BusyReports(now time.Duration) []ReplicaReport {
+	var out []ReplicaReport
 	for _, r := range v.sorted {
 		if r.listed && r.busy(now) {
-			out = append(out, ReplicaWord{
-				Replica: r.incarnation,
-				Word:    r.report,
+			out = append(out, ReplicaReport{
+				Replica:    r.incarnation,
+				LoadReport: r.report,
 			})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b ReplicaWord) int { return int(b.Word.At - a.Word.At) })
+	slices.SortStableFunc(out, func(a, b ReplicaReport) int { return int(b.LoadReport.At - a.LoadReport.At) })
 	return out
 }
 
-// ReplicaWord is the load report of a replica.
-type ReplicaWord struct {
+// ReplicaReport is the load report of a replica.
+type ReplicaReport struct {
 	Replica string
-	Word
+	LoadReport
 }
 
 // unreported is a request of this box that the last load report doesn't include.
@@ -138,13 +138,13 @@
 // reportedLoad returns the last reported load plus the requests that this box sent since.
 // It returns false without a valid report.
 func (r *Replica) reportedLoad(u typicalLoad, now time.Duration) (l Load, ok bool) {
-	if !r.fresh(now) || r.report.Silent {
+	if !r.fresh(now) || r.report.Unresponsive {
 		return Load{}, false
 	}
 	l = Load{
-		Requests: r.report.Requests,
-		Tokens:   cmp.Or(r.report.Tokens, int(float64(r.report.Requests)*u.tokens)),
-		Unread:   int(float64(r.report.Waiting) * u.unread),
+		Requests:       r.report.Requests,
+		Tokens:         cmp.Or(r.report.Tokens, int(float64(r.report.Requests)*u.tokens)),
+		PendingPrefill: int(float64(r.report.Waiting) * u.unread),
 	}
 	for _, b := range r.unreported {
 		l = l.plus(b.load)
@@ -152,8 +152,8 @@
 	own := r.currentOwnLoad(now)
 	l.Requests = max(l.Requests, own.Requests)
 	l.Tokens = max(l.Tokens, own.Tokens)
-	l.Unread = max(l.Unread, own.Unread)
-	l.Reads = own.Reads
+	l.PendingPrefill = max(l.PendingPrefill, own.PendingPrefill)
+	l.PrefillRate = own.PrefillRate
 	return l, true
 }
 
@@ -171,7 +171,7 @@
 	m := v.meanLoad(r.info.Service, now)
 	l.Requests = max(l.Requests, m.Requests)
 	l.Tokens = max(l.Tokens, m.Tokens)
-	l.Unread = max(l.Unread, m.Unread)
+	l.PendingPrefill = max(l.PendingPrefill, m.PendingPrefill)
 	return l
 }
 
@@ -207,9 +207,9 @@
 	}
 	if n > 0 {
 		out.Load = Load{
-			Requests: sum.Requests / n,
-			Tokens:   sum.Tokens / n,
-			Unread:   sum.Unread / n,
+			Requests:       sum.Requests / n,
+			Tokens:         sum.Tokens / n,
+			PendingPrefill: sum.PendingPrefill / n,
 		}
 	}
 	v.meanLoads[service] = out
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -11,7 +11,7 @@
 )
 
 func (b *box) recordReport(replica string, requests, waiting int, at time.Duration) bool {
-	return b.Says(replica, placement.Word{
+	return b.RecordReport(replica, placement.LoadReport{
 		Requests: requests,
 		Waiting:  waiting,
 		Tokens:   1000 * requests,
@@ -26,7 +26,7 @@
 		req.Key = fmt.Sprint(replica, n)
 		c := b.Pick(req, alone, now)
 		b.End(&c, placement.Abandoned, 0, now)
-		if c.Replica == replica {
+		if c.Incarnation == replica {
 			return c.Load
 		}
 	}
@@ -36,7 +36,7 @@
 func TestALoadIsTheLastReportAndTheRequestsSentSince(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 1)...)
-	b.ByWords(true, 32)
+	b.UseReports(true, 32)
 	is.True(b.recordReport("engine-0", 3, 1, start))
 	is.Equal(b.loadOf("engine-0", start+time.Millisecond).Requests, 3)
 	c := b.Pick(newSharedRequest("part", "k"), alone, start+2*time.Millisecond)
@@ -55,7 +55,7 @@
 	b.recordReport("engine-0", 1, 0, start)
 	b.recordReport("engine-1", 2, 0, start+2*time.Second)
 	b.recordReport("engine-2", 3, 0, start+time.Second)
-	list := b.Words(start + 4500*time.Millisecond)
+	list := b.BusyReports(start + 4500*time.Millisecond)
 	is.Equal(len(list), 2)
 	is.Equal(list[0].Replica, "engine-1")
 	is.Equal(list[1].Requests, 3)
@@ -67,7 +67,7 @@
 	is := is.New(t)
 	all := replicas("engine", 40)
 	b := newBox("a", "hall", all...)
-	b.ByWords(true, 32)
+	b.UseReports(true, 32)
 	for n, r := range all {
 		load := 6
 		switch n {
@@ -81,9 +81,9 @@
 	got := make(map[string]int)
 	for n := range 400 {
 		c := b.Pick(newRequest("engine", fmt.Sprint("key-", n)), alone, start+time.Millisecond)
-		got[c.Replica]++
+		got[c.Incarnation]++
 		b.End(&c, placement.Answered, time.Millisecond, start+time.Millisecond)
-		b.recordReport(c.Replica, 6, 0, start+time.Millisecond+time.Duration(n))
+		b.recordReport(c.Incarnation, 6, 0, start+time.Millisecond+time.Duration(n))
 	}
 	is.True(got["engine-0"] <= 40) // four times its share, not all
 	is.True(got["engine-1"] <= 10) // above the mean
@@ -92,39 +92,39 @@
 func TestARegionWhoseSlotsAreTakenIsBusy(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 4)...)
-	b.ByWords(true, 32)
+	b.UseReports(true, 32)
 	for n := range 4 {
 		b.recordReport(fmt.Sprint("engine-", n), 6, 0, start)
 	}
-	is.Equal(b.Outlook(newRequest("engine", "k"), alone, start+time.Millisecond).Busy, 0.75) // of eight slots
-	is.Equal(b.Outlook(newRequest("plain", "k"), alone, start+time.Millisecond).Busy, 0.0)
+	is.Equal(b.Estimate(newRequest("engine", "k"), alone, start+time.Millisecond).PrefillShare, 0.75) // of eight slots
+	is.Equal(b.Estimate(newRequest("plain", "k"), alone, start+time.Millisecond).PrefillShare, 0.0)
 }
 
 func TestAnEngineUnresponsiveToAnotherBoxIsEjectedUnlessItRespondsHere(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", replicas("engine", 2)...)
-	b.ByWords(true, 32)
-	silent := placement.Word{
-		Silent: true,
-		At:     start,
+	b.UseReports(true, 32)
+	silent := placement.LoadReport{
+		Unresponsive: true,
+		At:           start,
 	}
-	is.True(b.Says("engine-0", silent))
-	is.Equal(b.Changed(), []placement.Belief{{About: "engine-0", Reason: "doesn't answer a box"}})
+	is.True(b.RecordReport("engine-0", silent))
+	is.Equal(b.TakeChanges(), []placement.Change{{Subject: "engine-0", Reason: "doesn't answer a box"}})
 	for n := range 20 {
 		c := b.Pick(newRequest("engine", fmt.Sprint(n)), alone, start+time.Millisecond)
-		is.Equal(c.Replica, "engine-1")
+		is.Equal(c.Incarnation, "engine-1")
 		b.End(&c, placement.Answered, time.Millisecond, start+time.Millisecond)
 	}
-	is.Equal(b.Outlook(newRequest("engine", "k"), alone, start+time.Second).Usable, 1)
-	is.Equal(b.Outlook(newRequest("engine", "k"), alone, start+3*time.Second).Usable, 2) // the report is too old
+	is.Equal(b.Estimate(newRequest("engine", "k"), alone, start+time.Second).Usable, 1)
+	is.Equal(b.Estimate(newRequest("engine", "k"), alone, start+3*time.Second).Usable, 2) // the report is too old
 	silent.At = start + 4*time.Second
 	req := newRequest("engine", "k")
 	req.Tried = []string{"engine-1"}
 	c := b.Pick(req, alone, silent.At-time.Millisecond)
-	is.Equal(c.Replica, "engine-0")
-	b.Says("engine-0", silent)
-	b.First(&c, time.Millisecond, silent.At+time.Millisecond)
-	is.Equal(b.Outlook(newRequest("engine", "k"), alone, silent.At+2*time.Millisecond).Usable, 2) // only the other box gets no response
+	is.Equal(c.Incarnation, "engine-0")
+	b.RecordReport("engine-0", silent)
+	b.RecordFirstByte(&c, time.Millisecond, silent.At+time.Millisecond)
+	is.Equal(b.Estimate(newRequest("engine", "k"), alone, silent.At+2*time.Millisecond).Usable, 2) // only the other box gets no response
 	is.True(b.recordReport("engine-0", 1, 0, silent.At+time.Second))
-	is.Equal(len(b.Changed()), 1)
+	is.Equal(len(b.TakeChanges()), 1)
 }
--- a/placement/segment.go
+++ b/placement/segment.go
@@ -15,25 +15,25 @@
 	maxSentSegments     = 32              // per replica
 )
 
-// PartKey is the hash that identifies a shared segment between boxes. A collision costs
+// SegmentKey is the hash that identifies a shared segment between boxes. A collision costs
 // only a redundant prefill.
-type PartKey uint32
+type SegmentKey uint32
 
-// KeyOf returns the key of a segment.
-func KeyOf(part string) PartKey { return PartKey(short.Of(part)) }
+// SegmentKeyOf returns the key of a segment.
+func SegmentKeyOf(part string) SegmentKey { return SegmentKey(short.Of(part)) }
 
 // sentSegment is the last shared segment of a prompt that this box sent, and when.
 type sentSegment struct {
-	key PartKey
+	key SegmentKey
 	at  time.Duration
 }
 
 // recordSentSegment records the last segment of a sent prompt for gossip.
 func (r *Replica) recordSentSegment(req Request, now time.Duration) {
-	if req.Shared() < minSegmentTokens {
+	if req.SharedTokens() < minSegmentTokens {
 		return
 	}
-	key := KeyOf(req.Subject())
+	key := SegmentKeyOf(req.RoutingKey())
 	r.sentSegments = slices.DeleteFunc(r.sentSegments, func(g sentSegment) bool { return g.key == key || now-g.at > segmentGossipWindow })
 	if len(r.sentSegments) >= maxSentSegments {
 		r.sentSegments = r.sentSegments[1:]
@@ -45,8 +45,8 @@
 }
 
 // sentSegmentKeys returns the keys of the segments that this box sent recently.
-func (r *Replica) sentSegmentKeys(now time.Duration) []PartKey {
-	var out []PartKey
+func (r *Replica) sentSegmentKeys(now time.Duration) []SegmentKey {
+	var out []SegmentKey
 	for _, g := range r.sentSegments {
 		if now-g.at <= segmentGossipWindow {
 			out = append(out, g.key)
@@ -55,7 +55,7 @@
 	return out
 }
 
-func (r *Replica) recordPeerSegments(keys []PartKey, now time.Duration) {
+func (r *Replica) recordPeerSegments(keys []SegmentKey, now time.Duration) {
 	if len(r.peerSegments) > maxCachedSegments {
 		clear(r.peerSegments)
 	}
@@ -67,9 +67,9 @@
 // isCachedPerPeers reports whether another box recently sent the shared segments of a
 // prompt to the replica.
 func (r *Replica) isCachedPerPeers(req Request, now time.Duration) bool {
-	if len(r.peerSegments) == 0 || req.Shared() < minSegmentTokens {
+	if len(r.peerSegments) == 0 || req.SharedTokens() < minSegmentTokens {
 		return false
 	}
-	at, ok := r.peerSegments[KeyOf(req.Subject())]
+	at, ok := r.peerSegments[SegmentKeyOf(req.RoutingKey())]
 	return ok && now-at < cachedSegmentTTL
 }
--- a/placement/steps.go
+++ b/placement/steps.go
@@ -13,16 +13,16 @@
 	minStreamEvents = 4 // shorter streams are ignored
 )
 
-// Streamed updates the steps per event from a complete stream and the length in tokens that
+// RecordStream updates the steps per event from a complete stream and the length in tokens that
 // the caller had hinted.
-func (v *View) Streamed(service string, events, guess int) {
+func (v *View) RecordStream(service string, events, guess int) {
 	if events < minStreamEvents || guess <= 0 {
 		return
 	}
 	sample := math.Log(min(max(float64(guess)/float64(events), minSteps), maxSteps))
-	old := math.Log(v.Steps(service))
+	old := math.Log(v.StepsPerEvent(service))
 	v.steps[service] = math.Exp(old + stepsWeight*(sample-old))
 }
 
-// Steps returns the number of engine steps per event of a service's streams.
-func (v *View) Steps(service string) float64 { return cmp.Or(v.steps[service], defaultSteps) }
+// StepsPerEvent returns the number of engine steps per event of a service's streams.
+func (v *View) StepsPerEvent(service string) float64 { return cmp.Or(v.steps[service], defaultSteps) }
--- a/placement/unconfirmed.go
+++ b/placement/unconfirmed.go
@@ -15,7 +15,7 @@
 	}
 	e.unconfirmed = e.unconfirmed[:0]
 	count := make(map[string]int)
-	for _, id := range c.Doubts() {
+	for _, id := range c.UnconfirmedRemovals() {
 		for _, r := range e.byID[id] {
 			if r.listed {
 				e.unconfirmed = append(e.unconfirmed, r)
--- a/placement/unconfirmed_test.go
+++ b/placement/unconfirmed_test.go
@@ -12,14 +12,14 @@
 // removeUnsettled applies an unsettled snapshot with only the given replicas.
 func (b *box) removeUnsettled(left ...catalog.Replica) {
 	b.rev++
-	b.content.Take(catalog.Update{
+	b.content.Apply(catalog.Update{
 		Snapshot: &catalog.Snapshot{
 			Revision: b.rev,
 			Replicas: left,
 		},
 		Revision: b.rev,
 	})
-	b.Take(b.content, start)
+	b.Apply(b.content, start)
 }
 
 func TestAReplicaWithUnconfirmedRemovalReceivesNoRequests(t *testing.T) {
@@ -29,8 +29,8 @@
 	b.removeUnsettled(all[1:]...)
 	for range 20 {
 		c := b.Pick(newRequest("engine", "request"), alone, start)
-		is.True(c.Replica != all[0].ID)
-		is.True(c.Replica != "")
+		is.True(c.Incarnation != all[0].ID)
+		is.True(c.Incarnation != "")
 	}
 	is.True(b.Get(all[0].ID).Listed())
 }
@@ -41,7 +41,7 @@
 	b.removeUnsettled()
 	seen := make(map[string]bool)
 	for n := range 12 {
-		seen[b.Pick(newRequest("engine", fmt.Sprint(n)), alone, start).Replica] = true
+		seen[b.Pick(newRequest("engine", fmt.Sprint(n)), alone, start).Incarnation] = true
 	}
 	is.Equal(len(seen), 4)
 }
