--- a/placement/view.go
+++ b/placement/view.go
@@ -28,7 +28,7 @@
 
 	peerLoadTTL    time.Duration          // for which the report of another box is valid
 	byReports      bool                   // use load reports of engines instead of those of boxes
-	pendingChanges []Belief               // not yet returned by Changed
+	pendingChanges []Change               // not yet returned by TakeChanges
 	boxes          int                    // boxes of the region that callers use
 	typicalLoad    map[string]typicalLoad // by service
 	meanLoads      map[string]meanLoad    // by service
@@ -38,8 +38,8 @@
 // Option configures a View.
 type Option func(*View)
 
-// WithStarts sets the callbacks for incarnations that are recorded or evicted.
-func WithStarts(onAdded, onRemoved func(incarnation string)) Option {
+// WithCallbacks sets the callbacks for incarnations that are recorded or evicted.
+func WithCallbacks(onAdded, onRemoved func(incarnation string)) Option {
 	return func(v *View) {
 		v.onAdded = onAdded
 		v.onRemoved = onRemoved
@@ -79,8 +79,8 @@
 // Get returns the replica of an incarnation, nil for none.
 func (v *View) Get(incarnation string) *Replica { return v.replicas[incarnation] }
 
-// Closed reports whether a failure domain is evacuated.
-func (v *View) Closed(domain string) bool { return v.evacuated[domain] }
+// Evacuated reports whether a failure domain is evacuated.
+func (v *View) Evacuated(domain string) bool { return v.evacuated[domain] }
 
 // SetTable applies a new policy.
 func (v *View) SetTable(t *catalog.Table) {
@@ -104,20 +104,20 @@
 	return true
 }
 
-// Belief is a change of recorded state.
-type Belief struct {
-	About  string // incarnation of a replica, or failure domain
-	Reason string // what changed
-	Rev    int64  // catalog revision of the change
-	Addr   string // address of a new incarnation; open connections may lead to an earlier one
+// Change is a change of recorded state.
+type Change struct {
+	Subject string // incarnation of a replica, or failure domain
+	Reason  string // what changed
+	Rev     int64  // catalog revision of the change
+	Addr    string // address of a new incarnation; open connections may lead to an earlier one
 }
 
-// Take applies the changes of the catalog since the last call.
-func (v *View) Take(c *catalog.Content, now time.Duration) []Belief {
+// Apply applies the changes of the catalog since the last call.
+func (v *View) Apply(c *catalog.Content, now time.Duration) []Change {
 	ids := v.index.update(c, v.region)
 	newest := v.newestAt(c, ids)
 	seen := make(map[string]bool, len(ids))
-	var changes []Belief
+	var changes []Change
 	for _, id := range ids {
 		info, ok := c.Replica(id)
 		switch {
@@ -125,7 +125,7 @@
 		case isSuperseded(info, newest[info.Addr]):
 			v.applySuperseded(info, now)
 		default:
-			seen[info.Start()] = true
+			seen[info.Incarnation()] = true
 			changes = v.applyReplica(changes, info, now)
 		}
 	}
@@ -134,10 +134,10 @@
 			if r.listed && !seen[r.incarnation] {
 				v.markUnlisted(r)
 				r.lastSeen = now
-				changes = append(changes, Belief{
-					About:  r.incarnation,
-					Reason: v.describeRemoval(r, newest),
-					Rev:    c.Newest(),
+				changes = append(changes, Change{
+					Subject: r.incarnation,
+					Reason:  v.describeRemoval(r, newest),
+					Rev:     c.NewestRevision(),
 				})
 			}
 		}
@@ -170,11 +170,11 @@
 	if newest.Revision <= info.Revision {
 		return false
 	}
-	return newest.Born == 0 || info.Born == 0 || newest.Born > info.Born
+	return newest.StartedAt == 0 || info.StartedAt == 0 || newest.StartedAt > info.StartedAt
 }
 
-func (v *View) applyReplica(changes []Belief, info catalog.Replica, now time.Duration) []Belief {
-	incarnation := info.Start()
+func (v *View) applyReplica(changes []Change, info catalog.Replica, now time.Duration) []Change {
+	incarnation := info.Incarnation()
 	r, ok := v.getOrAdd(info, now)
 	changed := info.Revision != r.info.Revision || !ok
 	leaves := info.Leaving && !r.info.Leaving
@@ -183,16 +183,16 @@
 	if v.table != nil {
 		r.service = v.table.Service(info.Service)
 	}
-	if changed && info.ColdLeft > 0 {
-		v.markCold(r, info.ColdLeft.Duration(), now)
+	if changed && info.ColdRemaining > 0 {
+		v.markCold(r, info.ColdRemaining.Duration(), now)
 	}
 	if !changed {
 		return changes
 	}
-	b := Belief{
-		About:  incarnation,
-		Reason: v.describeChange(r, ok, leaves),
-		Rev:    info.Revision,
+	b := Change{
+		Subject: incarnation,
+		Reason:  v.describeChange(r, ok, leaves),
+		Rev:     info.Revision,
 	}
 	if !ok && v.otherIncarnation(r) != nil {
 		b.Addr = info.Addr
@@ -202,7 +202,7 @@
 
 // getOrAdd returns the record of an incarnation and whether it existed.
 func (v *View) getOrAdd(info catalog.Replica, now time.Duration) (r *Replica, ok bool) {
-	incarnation := info.Start()
+	incarnation := info.Incarnation()
 	if r, ok = v.replicas[incarnation]; ok {
 		return r, true
 	}
@@ -213,7 +213,7 @@
 		cached:      make(map[string]time.Duration),
 		lastSeen:    now,
 
-		peerSegments: make(map[PartKey]time.Duration),
+		peerSegments: make(map[SegmentKey]time.Duration),
 	}
 	v.add(r)
 	return r, false
@@ -234,7 +234,7 @@
 		return "replica leaving"
 	case !known && v.otherIncarnation(r) != nil:
 		return "replica started again"
-	case r.info.ColdLeft > 0:
+	case r.info.ColdRemaining > 0:
 		return "replica cold"
 	case !known:
 		return "replica listed"
@@ -253,7 +253,7 @@
 // limitCold starts the rate limit of a cold replica, if its service defines one.
 func (v *View) limitCold(r *Replica, until time.Duration) {
 	if r.service != nil && r.service.ColdPerSecond > 0 && until > 0 {
-		v.pacer.Cold(r.info.ID, r.service.ColdPerSecond, until)
+		v.pacer.MarkCold(r.info.ID, r.service.ColdPerSecond, until)
 	}
 }
 
@@ -266,25 +266,25 @@
 	v.markCold(r, left, now)
 }
 
-func (v *View) applyEvacuated(changes []Belief, c *catalog.Content, now time.Duration) []Belief {
+func (v *View) applyEvacuated(changes []Change, c *catalog.Content, now time.Duration) []Change {
 	evacuated := make(map[string]bool)
 	for _, d := range c.Evacuated() {
 		evacuated[d] = true
 		if !v.evacuated[d] {
-			changes = append(changes, Belief{
-				About:  d,
-				Reason: "failure domain closed",
-				Rev:    c.Newest(),
+			changes = append(changes, Change{
+				Subject: d,
+				Reason:  "failure domain closed",
+				Rev:     c.NewestRevision(),
 			})
 		}
 	}
 	for d := range v.evacuated {
 		if !evacuated[d] {
 			v.restoreDomain(d, now)
-			changes = append(changes, Belief{
-				About:  d,
-				Reason: "failure domain open again",
-				Rev:    c.Newest(),
+			changes = append(changes, Change{
+				Subject: d,
+				Reason:  "failure domain open again",
+				Rev:     c.NewestRevision(),
 			})
 		}
 	}
@@ -301,35 +301,35 @@
 	}
 }
 
-// Told records the loads that another box reports. The box has none at replicas that it
-// leaves out.
-func (v *View) Told(box string, loads []OwnLoad, now time.Duration) {
+// RecordPeerLoads records the loads that another box reports. The box has none at replicas that
+// it leaves out.
+func (v *View) RecordPeerLoads(box string, loads []OwnLoad, now time.Duration) {
 	for _, r := range v.replicas {
 		delete(r.peerLoads, box)
 	}
 	for _, l := range loads {
-		if r, ok := v.replicas[l.Replica]; ok {
+		if r, ok := v.replicas[l.Incarnation]; ok {
 			r.peerLoads[box] = peerLoad{
 				load:   l.Load,
 				expiry: now + v.peerLoadTTL,
 			}
-			r.recordPeerSegments(l.Kept, now)
+			r.recordPeerSegments(l.RecentSegments, now)
 		}
 	}
 }
 
-// OthersFor sets for how long the reports of other boxes are valid, at least peerLoadTTL.
-func (v *View) OthersFor(d time.Duration) { v.peerLoadTTL = max(d, peerLoadTTL) }
+// SetPeerLoadTTL sets for how long the reports of other boxes are valid, at least peerLoadTTL.
+func (v *View) SetPeerLoadTTL(d time.Duration) { v.peerLoadTTL = max(d, peerLoadTTL) }
 
 // OwnLoad is the load of one box at one replica.
 type OwnLoad struct {
-	Replica string // its incarnation
-	Load    Load
-	Kept    []PartKey // last shared segments of recently sent prompts
+	Incarnation    string // its incarnation
+	Load           Load
+	RecentSegments []SegmentKey // last shared segments of recently sent prompts
 }
 
-// Tell returns this box's loads, for its reports to other boxes.
-func (v *View) Tell(now time.Duration) []OwnLoad {
+// OwnLoads returns this box's loads, for its reports to other boxes.
+func (v *View) OwnLoads(now time.Duration) []OwnLoad {
 	var out []OwnLoad
 	for _, r := range v.sorted {
 		if r.own == (Load{}) && now-r.prefillRateAt > prefillWindow {
@@ -338,9 +338,9 @@
 		own := r.currentOwnLoad(now)
 		if own != (Load{}) {
 			out = append(out, OwnLoad{
-				Replica: r.incarnation,
-				Load:    own,
-				Kept:    r.sentSegmentKeys(now),
+				Incarnation:    r.incarnation,
+				Load:           own,
+				RecentSegments: r.sentSegmentKeys(now),
 			})
 		}
 	}
--- a/poison/cluster_test.go
+++ b/poison/cluster_test.go
@@ -31,13 +31,13 @@
 // recordOfCrashes returns a record with n crashes a second apart, the last at now.
 func recordOfCrashes(d Digest, n int, now time.Duration) Record {
 	r := Record{
-		Digest:   d,
-		Answered: never,
+		Digest:       d,
+		LastSurvived: never,
 	}
 	for i := range n {
-		r.Ends = append(r.Ends, End{
-			Start: Start(i + 1),
-			At:    now - time.Duration(n-1-i)*time.Second,
+		r.Crashes = append(r.Crashes, Crash{
+			Incarnation: Incarnation(i + 1),
+			At:          now - time.Duration(n-1-i)*time.Second,
 		})
 	}
 	return r
@@ -47,7 +47,7 @@
 type cluster struct {
 	t       *testing.T
 	now     time.Duration
-	watches map[string]*Watch // by address, which equals the name
+	watches map[string]*Detector // by address, which equals the name
 	rnd     *rand.Rand
 	drop    func(from, to string) bool
 }
@@ -56,7 +56,7 @@
 	b := &cluster{
 		t:       t,
 		now:     testStart,
-		watches: make(map[string]*Watch),
+		watches: make(map[string]*Detector),
 		rnd:     rand.New(rand.NewPCG(1, 1)),
 		drop:    func(string, string) bool { return false },
 	}
@@ -66,8 +66,8 @@
 	return b
 }
 
-func (b *cluster) join(name string) *Watch {
-	w := NewWatch(name)
+func (b *cluster) join(name string) *Detector {
+	w := NewDetector(name)
 	b.watches[name] = w
 	return w
 }
@@ -98,7 +98,7 @@
 		if to == nil || b.drop(from, p.Addr) {
 			continue
 		}
-		answers, news := to.Hear(p.Buf, from, b.now)
+		answers, news := to.Receive(p.Buf, from, b.now)
 		b.deliver(p.Addr, answers)
 		if news {
 			b.sendDue(p.Addr)
@@ -117,8 +117,8 @@
 func (b *cluster) crash(name, replica string, d Digest) {
 	b.now += 2 * jointCrashWindow // keeps the crashes from being joint ones
 	w := b.watches[name]
-	w.Cut(replica, d, sentBefore, b.now)
-	w.Ended(replica, b.now)
+	w.Interrupted(replica, d, sentBefore, b.now)
+	w.Crashed(replica, b.now)
 	b.sendDue(name)
 }
 
--- a/poison/compatibility_test.go
+++ b/poison/compatibility_test.go
@@ -20,18 +20,18 @@
 func earlierRecords() []Record {
 	return []Record{
 		{
-			Digest:   Digest{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16},
-			Answered: earlierNow - 90*time.Second,
-			Ends: []End{
-				{Start: 0x1112131415161718, At: earlierNow - 20*time.Second},
-				{Start: 0x2122232425262728, At: earlierNow - 5*time.Millisecond, Alone: true},
+			Digest:       Digest{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16},
+			LastSurvived: earlierNow - 90*time.Second,
+			Crashes: []Crash{
+				{Incarnation: 0x1112131415161718, At: earlierNow - 20*time.Second},
+				{Incarnation: 0x2122232425262728, At: earlierNow - 5*time.Millisecond, OnTrial: true},
 			},
 			published: true,
 		},
 		{
-			Digest:   Digest{0xff, 0xee},
-			Answered: never,
-			Ends:     []End{{Start: 7, At: earlierNow}},
+			Digest:       Digest{0xff, 0xee},
+			LastSurvived: never,
+			Crashes:      []Crash{{Incarnation: 7, At: earlierNow}},
 		},
 	}
 }
@@ -40,9 +40,9 @@
 func TestDatagramsOfAnEarlierBuildAreDecodedAndEncodedAlike(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]Datagram{
-		earlierComparison: {Compare: true, Sums: Sums{0: 0x01020304, 15: 0xfffefdfc}},
-		earlierReply:      {Answer: true, Sums: Sums{3: 9}, Records: earlierRecords()},
-		earlierGrant:      {Word: trialGrant, Trial: Digest{15: 0x99}, Records: earlierRecords()[1:]},
+		earlierComparison: {Compare: true, Checksums: Checksums{0: 0x01020304, 15: 0xfffefdfc}},
+		earlierReply:      {Reply: true, Checksums: Checksums{3: 9}, Records: earlierRecords()},
+		earlierGrant:      {TrialMessage: trialGrant, Trial: Digest{15: 0x99}, Records: earlierRecords()[1:]},
 	} {
 		buf, err := hex.DecodeString(text)
 		is.NoErr(err)
@@ -58,8 +58,8 @@
 func TestTrialMessagesAndHashesAreThoseOfAnEarlierBuild(t *testing.T) {
 	is := is.New(t)
 	is.Equal([]trialMessage{trialRequest, trialGrant, trialDenial}, []trialMessage{1, 2, 3})
-	is.Equal(StartOf(""), Start(0xef46db3751d8e999))
-	is.Equal(StartOf("i-0042 1796200000000"), Start(0xfdde40a95194567))
+	is.Equal(IncarnationOf(""), Incarnation(0xef46db3751d8e999))
+	is.Equal(IncarnationOf("i-0042 1796200000000"), Incarnation(0xfdde40a95194567))
 	c := Content{Method: "POST", Host: "chat.example", Target: "/v1/chat?a=b", Caller: "key", Body: []byte("{}")}
 	is.Equal(c.Digest().String(), "4718b875add204eb757a37a1729c9776")
 	is.Equal((&earlierRecords()[0]).checksum(), uint32(0x8e5b7614))
--- a/poison/datagram.go
+++ b/poison/datagram.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mark is the first byte of each datagram of this package.
-const Mark = 4
+// DatagramType is the first byte of each datagram of this package.
+const DatagramType = 4
 
 const (
 	datagramBytes  = 1200 // below the common path MTU (RFC 9000, section 14)
@@ -45,16 +45,16 @@
 
 // Datagram is a gossip message on requests under which replicas crashed.
 type Datagram struct {
-	Compare bool // requests the published records whose checksums differ
-	Answer  bool
-	Sums    Sums         // of the sender's records, with Compare or Answer
-	Word    trialMessage // on a run on trial
-	Trial   Digest
-	Records []Record
+	Compare      bool // requests the published records whose checksums differ
+	Reply        bool
+	Checksums    Checksums    // of the sender's records, with Compare or Reply
+	TrialMessage trialMessage // on a run on trial
+	Trial        Digest
+	Records      []Record
 }
 
 // IsDatagram reports whether a datagram belongs to this package.
-func IsDatagram(buf []byte) bool { return len(buf) > 0 && buf[0] == Mark }
+func IsDatagram(buf []byte) bool { return len(buf) > 0 && buf[0] == DatagramType }
 
 // Encode returns the encoded datagram, with ages relative to now.
 func (d *Datagram) Encode(now time.Duration) []byte {
@@ -62,15 +62,15 @@
 	if d.Compare {
 		flags |= bitCompare
 	}
-	if d.Answer {
+	if d.Reply {
 		flags |= bitReply
 	}
-	flags |= byte(d.Word) << shiftTrial
-	out := append(make([]byte, 0, datagramBytes), Mark, flags)
-	if d.Compare || d.Answer {
-		out = d.Sums.append(out)
+	flags |= byte(d.TrialMessage) << shiftTrial
+	out := append(make([]byte, 0, datagramBytes), DatagramType, flags)
+	if d.Compare || d.Reply {
+		out = d.Checksums.append(out)
 	}
-	if d.Word != noTrialMessage {
+	if d.TrialMessage != noTrialMessage {
 		out = append(out, d.Trial[:]...)
 	}
 	for i := range d.Records {
@@ -80,7 +80,7 @@
 }
 
 // append encodes the checksums that aren't zero, after a mask of their partitions.
-func (s *Sums) append(out []byte) []byte {
+func (s *Checksums) append(out []byte) []byte {
 	var mask uint16
 	for i, n := range s {
 		if n != 0 {
@@ -98,8 +98,8 @@
 
 func (r *Record) append(out []byte, now time.Duration) []byte {
 	out = append(out, r.Digest[:]...)
-	head := byte(len(r.Ends))
-	if r.Answered != never {
+	head := byte(len(r.Crashes))
+	if r.LastSurvived != never {
 		head |= bitSurvived
 	}
 	if r.published {
@@ -110,11 +110,11 @@
 		head |= bitTrials
 	}
 	out = append(out, head)
-	if r.Answered != never {
-		out = appendAge(out, now-r.Answered)
+	if r.LastSurvived != never {
+		out = appendAge(out, now-r.LastSurvived)
 	}
-	for _, e := range r.Ends {
-		out = binary.LittleEndian.AppendUint64(out, uint64(e.Start))
+	for _, e := range r.Crashes {
+		out = binary.LittleEndian.AppendUint64(out, uint64(e.Incarnation))
 		out = appendAge(out, now-e.At)
 	}
 	if trialBits != 0 {
@@ -124,8 +124,8 @@
 }
 
 func (r *Record) trialBits() (bits byte) {
-	for i, e := range r.Ends {
-		if e.Alone {
+	for i, e := range r.Crashes {
+		if e.OnTrial {
 			bits |= 1 << i
 		}
 	}
@@ -145,15 +145,15 @@
 		return d, ErrDatagram
 	}
 	d.Compare = buf[1]&bitCompare != 0
-	d.Answer = buf[1]&bitReply != 0
+	d.Reply = buf[1]&bitReply != 0
 	in := reader{
 		rest: buf[headerBytes:],
 		now:  now,
 	}
-	if d.Compare || d.Answer {
-		d.Sums = in.checksums()
+	if d.Compare || d.Reply {
+		d.Checksums = in.checksums()
 	}
-	if d.Word = trialMessage(buf[1] >> shiftTrial & maskTrial); d.Word != noTrialMessage {
+	if d.TrialMessage = trialMessage(buf[1] >> shiftTrial & maskTrial); d.TrialMessage != noTrialMessage {
 		copy(d.Trial[:], in.bytes(digestBytes))
 	}
 	for len(in.rest) > 0 && !in.failed {
@@ -172,8 +172,8 @@
 	failed bool
 }
 
-func (in *reader) checksums() Sums {
-	var out Sums
+func (in *reader) checksums() Checksums {
+	var out Checksums
 	mask := binary.LittleEndian.Uint16(in.bytes(2))
 	for i := range out {
 		if mask&(1<<i) != 0 {
@@ -185,7 +185,7 @@
 
 func (in *reader) record() Record {
 	r := Record{
-		Answered: never,
+		LastSurvived: never,
 	}
 	copy(r.Digest[:], in.bytes(digestBytes))
 	head := in.bytes(1)[0]
@@ -196,13 +196,13 @@
 		return r
 	}
 	if head&bitSurvived != 0 {
-		r.Answered = in.now - in.age()
+		r.LastSurvived = in.now - in.age()
 	}
 	for range n {
-		start := Start(binary.LittleEndian.Uint64(in.bytes(8)))
-		r.Ends = append(r.Ends, End{
-			Start: start,
-			At:    in.now - in.age(),
+		start := Incarnation(binary.LittleEndian.Uint64(in.bytes(8)))
+		r.Crashes = append(r.Crashes, Crash{
+			Incarnation: start,
+			At:          in.now - in.age(),
 		})
 	}
 	if head&bitTrials != 0 {
@@ -212,8 +212,8 @@
 }
 
 func (r *Record) setTrialBits(bits byte) {
-	for i := range r.Ends {
-		r.Ends[i].Alone = bits&(1<<i) != 0
+	for i := range r.Crashes {
+		r.Crashes[i].OnTrial = bits&(1<<i) != 0
 	}
 }
 
@@ -240,7 +240,7 @@
 }
 
 // size returns the maximum encoded size of the record.
-func (r *Record) size() int { return recordBytes + len(r.Ends)*crashBytes }
+func (r *Record) size() int { return recordBytes + len(r.Crashes)*crashBytes }
 
 // pack splits records into the contents of single datagrams.
 func pack(records []Record) [][]Record {
--- a/poison/innocent_test.go
+++ b/poison/innocent_test.go
@@ -19,9 +19,9 @@
 func (b *cluster) crashUnderBoth(name, replica string) {
 	b.now += 2 * jointCrashWindow
 	w := b.watches[name]
-	w.Cut(replica, poisonous.Digest(), sentBefore, b.now)
-	w.Cut(replica, innocent.Digest(), sentBefore, b.now)
-	w.Ended(replica, b.now)
+	w.Interrupted(replica, poisonous.Digest(), sentBefore, b.now)
+	w.Interrupted(replica, innocent.Digest(), sentBefore, b.now)
+	w.Crashed(replica, b.now)
 	b.sendDue(name)
 }
 
@@ -45,12 +45,12 @@
 	is := is.New(t)
 	b := newCluster(t, 3)
 	w := b.watches["box-0"]
-	w.Cut("replica-0", innocent.Digest(), sentBefore, b.now)
+	w.Interrupted("replica-0", innocent.Digest(), sentBefore, b.now)
 	b.now += 43 * time.Millisecond
 	is.True(w.Clear(innocent.Digest(), b.now)) // a complete response of the next replica
 	b.sendDue("box-0")
 	b.now += 9 * time.Millisecond
-	is.Equal(w.Ended("replica-0", b.now), 0)
+	is.Equal(w.Crashed("replica-0", b.now), 0)
 	b.sendDue("box-0")
 	b.now += 200 * time.Millisecond
 	b.crash("box-1", "replica-1", innocent.Digest())
--- a/poison/interruptions.go
+++ b/poison/interruptions.go
@@ -16,8 +16,8 @@
 	minJointCrashes  = 3                     // as with a rack or a power line: only a request that several of them ran may be the cause
 )
 
-// Settles is the delay before a crash is counted, in which joint crashes become known.
-const Settles = 50 * time.Millisecond
+// JointCrashDelay is the delay before a crash is counted, in which joint crashes become known.
+const JointCrashDelay = 50 * time.Millisecond
 
 // interruption holds the requests to which an incarnation gave no complete response.
 type interruption struct {
@@ -28,16 +28,16 @@
 	joint   bool // several replicas crashed together
 }
 
-// Cuts holds requests without a complete response until it is known whether their replica has
-// crashed. A replica that survives may have interrupted a single response, which is not held
-// against the request.
-type Cuts struct {
+// Interruptions holds requests without a complete response until it is known whether their
+// replica has crashed. A replica that survives may have interrupted a single response, which is
+// not held against the request.
+type Interruptions struct {
 	incarnations map[string]*interruption
 }
 
-// NewCuts returns an empty Cuts.
-func NewCuts() *Cuts {
-	return &Cuts{
+// NewInterruptions returns empty Interruptions.
+func NewInterruptions() *Interruptions {
+	return &Interruptions{
 		incarnations: make(map[string]*interruption),
 	}
 }
@@ -45,7 +45,7 @@
 // Add records that an incarnation gave no complete response to a request, and reports whether
 // the incarnation is known to have crashed and the request may be the cause. A request sent just
 // after the first interruption can't be. alone marks a run on trial.
-func (c *Cuts) Add(incarnation string, d Digest, alone bool, sent, now time.Duration) (crashed bool) {
+func (c *Interruptions) Add(incarnation string, d Digest, alone bool, sent, now time.Duration) (crashed bool) {
 	k := c.incarnations[incarnation]
 	if k != nil && sent >= k.first && (k.crashed || sent-k.first < dialInterval) {
 		return false
@@ -69,7 +69,7 @@
 
 // Clear removes a request that a replica has survived from all incarnations not known to have
 // crashed, and reports whether it was present.
-func (c *Cuts) Clear(d Digest) (found bool) {
+func (c *Interruptions) Clear(d Digest) (found bool) {
 	for _, k := range c.incarnations {
 		if _, ok := k.digests[d]; ok && !k.crashed {
 			delete(k.digests, d)
@@ -79,8 +79,8 @@
 	return found
 }
 
-// CutBy returns up to maxLoggedDigests requests that an incarnation interrupted.
-func (c *Cuts) CutBy(incarnation string) []Digest {
+// InterruptedBy returns up to maxLoggedDigests requests that an incarnation interrupted.
+func (c *Interruptions) InterruptedBy(incarnation string) []Digest {
 	k := c.incarnations[incarnation]
 	if k == nil {
 		return nil
@@ -89,32 +89,33 @@
 	return list[:min(len(list), maxLoggedDigests)]
 }
 
-// Ending is a crash with a request that may be its cause.
-type Ending struct {
+// SuspectedCrash is a crash with a request that may be its cause.
+type SuspectedCrash struct {
 	Digest Digest
-	End    End
+	Crash  Crash
 }
 
-// Ended records that an incarnation has crashed, and returns the crash for each request that may
-// be the cause. A crash has the time of its interruption, so that a later response clears it.
-func (c *Cuts) Ended(incarnation string) []Ending {
+// Crashed records that an incarnation has crashed, and returns the crash for each request that
+// may be the cause. A crash has the time of its interruption, so that a later response clears
+// it.
+func (c *Interruptions) Crashed(incarnation string) []SuspectedCrash {
 	k := c.incarnations[incarnation]
 	if k == nil || k.crashed {
 		return nil
 	}
 	k.crashed = true
 	k.joint = len(c.concurrentWith(k)) >= minJointCrashes
-	out := make([]Ending, 0, len(k.digests))
+	out := make([]SuspectedCrash, 0, len(k.digests))
 	for d, alone := range k.digests {
 		if !c.mayCause(k, d) {
 			continue
 		}
-		out = append(out, Ending{
+		out = append(out, SuspectedCrash{
 			Digest: d,
-			End: End{
-				Start: StartOf(incarnation),
-				At:    k.last,
-				Alone: alone,
+			Crash: Crash{
+				Incarnation: IncarnationOf(incarnation),
+				At:          k.last,
+				OnTrial:     alone,
 			},
 		})
 	}
@@ -123,7 +124,7 @@
 
 // mayCause reports whether a request may be the cause of a crash. Of a joint crash, only a
 // request that several of the replicas ran may be, as it can arrive at several boxes at once.
-func (c *Cuts) mayCause(k *interruption, d Digest) bool {
+func (c *Interruptions) mayCause(k *interruption, d Digest) bool {
 	if !k.joint {
 		return true
 	}
@@ -137,7 +138,7 @@
 }
 
 // concurrentWith returns the interruptions that began together with k, including k.
-func (c *Cuts) concurrentWith(k *interruption) (out []*interruption) {
+func (c *Interruptions) concurrentWith(k *interruption) (out []*interruption) {
 	for _, other := range c.incarnations {
 		if (other.first - k.first).Abs() <= jointCrashWindow {
 			out = append(out, other)
@@ -146,15 +147,15 @@
 	return out
 }
 
-// Lives records that an incarnation gave a complete response to a request sent at a time.
-func (c *Cuts) Lives(incarnation string, sent time.Duration) {
+// Survived records that an incarnation gave a complete response to a request sent at a time.
+func (c *Interruptions) Survived(incarnation string, sent time.Duration) {
 	if k := c.incarnations[incarnation]; k != nil && !k.crashed && sent > k.last {
 		delete(c.incarnations, incarnation)
 	}
 }
 
-// Open returns the incarnations that are not known to have crashed.
-func (c *Cuts) Open() []string {
+// Unconfirmed returns the incarnations that are not known to have crashed.
+func (c *Interruptions) Unconfirmed() []string {
 	var out []string
 	for incarnation, k := range c.incarnations {
 		if !k.crashed {
@@ -164,8 +165,8 @@
 	return out
 }
 
-// Forget drops expired interruptions.
-func (c *Cuts) Forget(now time.Duration) {
+// Expire drops expired interruptions.
+func (c *Interruptions) Expire(now time.Duration) {
 	for incarnation, k := range c.incarnations {
 		if now-k.last > interruptionTTL {
 			delete(c.incarnations, incarnation)
--- a/poison/ledger.go
+++ b/poison/ledger.go
@@ -12,9 +12,9 @@
 	recordsAfterEviction = maxRecords * 3 / 4
 )
 
-// Sums are the checksums of the published records, one per partition of the digests. Boxes
+// Checksums are the checksums of the published records, one per partition of the digests. Boxes
 // exchange only the partitions whose checksums differ.
-type Sums [partitions]uint32
+type Checksums [partitions]uint32
 
 func partitionOf(d Digest) int { return int(d[0]) % partitions }
 
@@ -46,8 +46,8 @@
 	return out
 }
 
-// Open returns the published records in no particular order.
-func (l *Ledger) Open() []*Record {
+// Published returns the published records in no particular order.
+func (l *Ledger) Published() []*Record {
 	var out []*Record
 	for _, r := range l.records {
 		if r.published {
@@ -57,9 +57,9 @@
 	return out
 }
 
-// Sums returns the checksums of the published records.
-func (l *Ledger) Sums() Sums {
-	var out Sums
+// Checksums returns the checksums of the published records.
+func (l *Ledger) Checksums() Checksums {
+	var out Checksums
 	for _, r := range l.records {
 		if r.published {
 			out[partitionOf(r.Digest)] ^= r.checksum()
@@ -68,20 +68,20 @@
 	return out
 }
 
-// AddEnd records that an incarnation crashed under a request, and reports whether that is new.
-func (l *Ledger) AddEnd(d Digest, s Start, at time.Duration) bool {
-	return l.addCrash(d, End{
-		Start: s,
-		At:    at,
+// AddCrash records that an incarnation crashed under a request, and reports whether that is new.
+func (l *Ledger) AddCrash(d Digest, s Incarnation, at time.Duration) bool {
+	return l.addCrash(d, Crash{
+		Incarnation: s,
+		At:          at,
 	})
 }
 
-// addCrash is AddEnd for any crash, including those of runs on trial.
-func (l *Ledger) addCrash(d Digest, e End) bool {
-	return l.Take(Record{
-		Digest:   d,
-		Ends:     []End{e},
-		Answered: never,
+// addCrash is AddCrash for any crash, including those of runs on trial.
+func (l *Ledger) addCrash(d Digest, e Crash) bool {
+	return l.Merge(Record{
+		Digest:       d,
+		Crashes:      []Crash{e},
+		LastSurvived: never,
 	}, e.At)
 }
 
@@ -90,22 +90,22 @@
 // wherever a replica crashes for other reasons.
 func (l *Ledger) Clear(d Digest, at time.Duration) bool {
 	r := l.records[d]
-	if r == nil || len(r.Ends) == 0 {
+	if r == nil || len(r.Crashes) == 0 {
 		return false
 	}
-	return l.Answer(d, at)
+	return l.RecordSurvival(d, at)
 }
 
-// Answer is Clear for any request, whether it has a record or not.
-func (l *Ledger) Answer(d Digest, at time.Duration) bool {
-	return l.Take(Record{
-		Digest:   d,
-		Answered: at,
+// RecordSurvival is Clear for any request, whether it has a record or not.
+func (l *Ledger) RecordSurvival(d Digest, at time.Duration) bool {
+	return l.Merge(Record{
+		Digest:       d,
+		LastSurvived: at,
 	}, at)
 }
 
-// Take merges a record from another box, and reports whether the crashes changed.
-func (l *Ledger) Take(in Record, now time.Duration) bool {
+// Merge merges a record from another box, and reports whether the crashes changed.
+func (l *Ledger) Merge(in Record, now time.Duration) bool {
 	if in.isExpired(now) {
 		return false
 	}
@@ -113,8 +113,8 @@
 	if r == nil {
 		l.evict(now)
 		r = &Record{
-			Digest:   in.Digest,
-			Answered: never,
+			Digest:       in.Digest,
+			LastSurvived: never,
 		}
 		l.records[in.Digest] = r
 	}
@@ -122,12 +122,12 @@
 	if changed {
 		l.assessment = nil
 	}
-	r.published = r.published || in.published || len(r.Ends) >= publishThreshold
+	r.published = r.published || in.published || len(r.Crashes) >= publishThreshold
 	return changed
 }
 
-// Forget drops expired records.
-func (l *Ledger) Forget(now time.Duration) {
+// Expire drops expired records.
+func (l *Ledger) Expire(now time.Duration) {
 	for d, r := range l.records {
 		if r.isExpired(now) {
 			delete(l.records, d)
@@ -142,10 +142,10 @@
 	if len(l.records) < maxRecords {
 		return
 	}
-	l.Forget(now)
+	l.Expire(now)
 	all := l.All()
 	slices.SortFunc(all, func(a, b *Record) int {
-		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(b.latest(), a.latest()))
+		return cmp.Or(cmp.Compare(len(b.Crashes), len(a.Crashes)), cmp.Compare(b.latest(), a.latest()))
 	})
 	l.assessment = nil
 	for _, r := range all[min(len(all), recordsAfterEviction):] {
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -28,12 +28,12 @@
 func TestAfterAQuarantineASingleCrashRenewsIt(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
-	l.Take(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
+	l.Merge(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
 	now := testStart + quarantineTTL + time.Second
-	l.Forget(now)
+	l.Expire(now)
 	_, quarantined := l.Get(poisonous.Digest()).Quarantined(now)
 	is.True(!quarantined)
-	is.True(l.AddEnd(poisonous.Digest(), 99, now))
+	is.True(l.AddCrash(poisonous.Digest(), 99, now))
 	left, _ := l.Get(poisonous.Digest()).Quarantined(now)
 	is.Equal(left, 2*quarantineTTL)
 }
@@ -41,15 +41,15 @@
 func TestRecordsExpire(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
-	l.Take(recordOfCrashes(digestOf(1), 1, testStart), testStart)
-	l.Take(recordOfCrashes(digestOf(2), quarantineThreshold, testStart), testStart)
-	l.Forget(testStart + suspectTTL)
+	l.Merge(recordOfCrashes(digestOf(1), 1, testStart), testStart)
+	l.Merge(recordOfCrashes(digestOf(2), quarantineThreshold, testStart), testStart)
+	l.Expire(testStart + suspectTTL)
 	is.Equal(l.Len(), 2)
-	l.Forget(testStart + suspectTTL + 1)
+	l.Expire(testStart + suspectTTL + 1)
 	is.Equal(l.Len(), 1)
-	l.Forget(testStart + 2*quarantineTTL + 1)
+	l.Expire(testStart + 2*quarantineTTL + 1)
 	is.Equal(l.Len(), 0)
-	is.True(!l.Take(recordOfCrashes(digestOf(1), 1, testStart), testStart+suspectTTL+1)) // nor accepted from others
+	is.True(!l.Merge(recordOfCrashes(digestOf(1), 1, testStart), testStart+suspectTTL+1)) // nor accepted from others
 	is.Equal(l.Len(), 0)
 }
 
@@ -57,19 +57,19 @@
 	is := is.New(t)
 	l := NewLedger()
 	d := poisonous.Digest()
-	l.Take(recordOfCrashes(d, quarantineThreshold, testStart), testStart)
+	l.Merge(recordOfCrashes(d, quarantineThreshold, testStart), testStart)
 	is.True(l.Clear(d, testStart+1))
-	is.True(!l.AddEnd(d, 7, testStart))
-	is.True(!l.AddEnd(d, 8, testStart+1+clearanceWindow))
-	is.True(l.AddEnd(d, 9, testStart+2+clearanceWindow))
-	is.Equal(len(l.Get(d).Ends), 1)
+	is.True(!l.AddCrash(d, 7, testStart))
+	is.True(!l.AddCrash(d, 8, testStart+1+clearanceWindow))
+	is.True(l.AddCrash(d, 9, testStart+2+clearanceWindow))
+	is.Equal(len(l.Get(d).Crashes), 1)
 }
 
 func TestGossipDoesNotAdvanceTheTimeOfAResponse(t *testing.T) {
 	is := is.New(t)
 	a, b := NewLedger(), NewLedger()
 	d := poisonous.Digest()
-	a.Take(recordOfCrashes(d, publishThreshold, testStart), testStart)
+	a.Merge(recordOfCrashes(d, publishThreshold, testStart), testStart)
 	a.Clear(d, testStart+time.Second)
 	now := testStart + time.Second
 	for range 1000 { // each datagram takes 80 ms, by which the response seems later
@@ -81,12 +81,12 @@
 			now += 80 * time.Millisecond
 			got, err := Decode(buf, now)
 			is.NoErr(err)
-			to.Take(got.Records[0], now)
+			to.Merge(got.Records[0], now)
 		}
 		pass(a, b)
 		pass(b, a)
 	}
-	is.True(a.Get(d).Answered <= testStart+time.Second+maxSkew)
+	is.True(a.Get(d).LastSurvived <= testStart+time.Second+maxSkew)
 }
 
 // drawRecord draws a record with whole milliseconds, as datagrams hold them.
@@ -95,17 +95,17 @@
 		return testStart - time.Duration(rapid.IntRange(0, 600_000).Draw(t, "age"))*time.Millisecond
 	})
 	r := Record{
-		Digest:    digestOf(rapid.IntRange(0, 5).Draw(t, "request")),
-		Answered:  never,
-		published: rapid.Bool().Draw(t, "open"),
+		Digest:       digestOf(rapid.IntRange(0, 5).Draw(t, "request")),
+		LastSurvived: never,
+		published:    rapid.Bool().Draw(t, "open"),
 	}
 	if rapid.Bool().Draw(t, "answered") {
-		r.Answered = age.Draw(t, "answer")
+		r.LastSurvived = age.Draw(t, "answer")
 	}
 	for range rapid.IntRange(0, maxCrashes).Draw(t, "ends") {
-		r.Ends = append(r.Ends, End{
-			Start: Start(rapid.Uint64Range(0, 12).Draw(t, "start")),
-			At:    age.Draw(t, "end"),
+		r.Crashes = append(r.Crashes, Crash{
+			Incarnation: Incarnation(rapid.Uint64Range(0, 12).Draw(t, "start")),
+			At:          age.Draw(t, "end"),
 		})
 	}
 	return r
@@ -116,11 +116,11 @@
 		is := is.New(t)
 		d := Datagram{
 			Compare: rapid.Bool().Draw(t, "compare"),
-			Answer:  rapid.Bool().Draw(t, "answers"),
+			Reply:   rapid.Bool().Draw(t, "answers"),
 			Records: rapid.SliceOfN(rapid.Custom(drawRecord), 0, 8).Draw(t, "records"),
 		}
-		if d.Compare || d.Answer {
-			d.Sums[rapid.IntRange(0, partitions-1).Draw(t, "part")] = rapid.Uint32().Draw(t, "sum")
+		if d.Compare || d.Reply {
+			d.Checksums[rapid.IntRange(0, partitions-1).Draw(t, "part")] = rapid.Uint32().Draw(t, "sum")
 		}
 		got, err := Decode(d.Encode(testStart), testStart)
 		is.NoErr(err)
@@ -133,14 +133,14 @@
 
 func TestArbitraryDatagramsDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		buf := append([]byte{Mark}, rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes")...)
+		buf := append([]byte{DatagramType}, rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "bytes")...)
 		d, err := Decode(buf, testStart)
 		if err != nil {
 			return
 		}
-		w := NewWatch("box")
-		w.spread.Hear(d, "other", testStart)
-		w.Forget(testStart)
+		w := NewDetector("box")
+		w.spread.Receive(d, "other", testStart)
+		w.Expire(testStart)
 	})
 }
 
@@ -149,21 +149,21 @@
 		is := is.New(t)
 		list := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 8).Draw(t, "records")
 		for i := range list {
-			list[i].Answered = never // of two responses within maxSkew the first stays, which depends on the order
-			for k := range list[i].Ends {
-				list[i].Ends[k].At = testStart - time.Duration(list[i].Ends[k].Start)*time.Second // an incarnation crashes once
+			list[i].LastSurvived = never // of two responses within maxSkew the first stays, which depends on the order
+			for k := range list[i].Crashes {
+				list[i].Crashes[k].At = testStart - time.Duration(list[i].Crashes[k].Incarnation)*time.Second // an incarnation crashes once
 			}
 		}
 		a, b := NewLedger(), NewLedger()
 		for _, r := range list {
-			a.Take(r, testStart)
+			a.Merge(r, testStart)
 		}
 		for _, r := range rapid.Permutation(list).Draw(t, "other order") {
-			b.Take(r, testStart)
+			b.Merge(r, testStart)
 		}
-		is.Equal(a.Sums(), b.Sums())
+		is.Equal(a.Checksums(), b.Checksums())
 		for _, r := range a.All() {
-			is.Equal(b.Get(r.Digest).Ends, r.Ends)
+			is.Equal(b.Get(r.Digest).Crashes, r.Crashes)
 		}
 	})
 }
@@ -179,8 +179,8 @@
 				Compare: true,
 				Records: part,
 			}
-			for i := range d.Sums {
-				d.Sums[i] = 1
+			for i := range d.Checksums {
+				d.Checksums[i] = 1
 			}
 			is.True(len(d.Encode(testStart)) <= datagramBytes)
 		}
--- a/poison/served.go
+++ b/poison/served.go
@@ -53,15 +53,16 @@
 	p.current[key] = now
 }
 
-// Lately reports whether a request was served so recently that crashes don't count for it.
-func (p *Served) Lately(c *Content, now time.Duration) bool {
+// ServedRecently reports whether a request was served so recently that crashes don't count for
+// it.
+func (p *Served) ServedRecently(c *Content, now time.Duration) bool {
 	at, ok := p.lastServed(c)
 	return ok && now-at <= recentWindow
 }
 
-// Before reports whether a request was served within the retained generations, so that it may
+// WasServed reports whether a request was served within the retained generations, so that it may
 // be retried.
-func (p *Served) Before(c *Content) bool {
+func (p *Served) WasServed(c *Content) bool {
 	_, ok := p.lastServed(c)
 	return ok
 }
--- a/poison/served_test.go
+++ b/poison/served_test.go
@@ -12,15 +12,15 @@
 func TestServedRequestsExpire(t *testing.T) {
 	is := is.New(t)
 	p := NewServed()
-	is.True(!p.Before(&poisonous))
+	is.True(!p.WasServed(&poisonous))
 	p.Add(&poisonous, testStart)
-	is.True(p.Lately(&poisonous, testStart+recentWindow))
-	is.True(!p.Lately(&poisonous, testStart+recentWindow+1))
+	is.True(p.ServedRecently(&poisonous, testStart+recentWindow))
+	is.True(!p.ServedRecently(&poisonous, testStart+recentWindow+1))
 	other := Content{}
 	p.Add(&other, testStart+generationTTL+1)
-	is.True(p.Before(&poisonous))
+	is.True(p.WasServed(&poisonous))
 	p.Add(&other, testStart+2*generationTTL+2)
-	is.True(!p.Before(&poisonous))
+	is.True(!p.WasServed(&poisonous))
 }
 
 func TestServedIsBounded(t *testing.T) {
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -32,27 +32,27 @@
 	toAll     bool // send once to all boxes, if this box is an announcer
 }
 
-// Spread gossips the records of a ledger. A crash interrupts many requests, most of them only
+// Gossip gossips the records of a ledger. A crash interrupts many requests, most of them only
 // once. To limit the traffic, the first crash of a request goes to its owners, a few boxes
 // selected by its digest; from the second on the record goes to all boxes.
-type Spread struct {
+type Gossip struct {
 	self        string
 	ledger      *Ledger
 	pending     map[Digest]*pendingUpdate
 	nextCompare time.Duration
 }
 
-// NewSpread returns a Spread for the ledger of a box.
-func NewSpread(self string, ledger *Ledger) *Spread {
-	return &Spread{
+// NewGossip returns a Gossip for the ledger of a box.
+func NewGossip(self string, ledger *Ledger) *Gossip {
+	return &Gossip{
 		self:    self,
 		ledger:  ledger,
 		pending: make(map[Digest]*pendingUpdate),
 	}
 }
 
-// Learned schedules an update after this box has changed a record itself.
-func (s *Spread) Learned(d Digest, now time.Duration) {
+// Updated schedules an update after this box has changed a record itself.
+func (s *Gossip) Updated(d Digest, now time.Duration) {
 	s.pending[d] = &pendingUpdate{
 		sendsLeft: sendsToOwners,
 		nextSend:  now,
@@ -62,7 +62,7 @@
 
 // Due returns the datagrams to send at now; others are the boxes alive, and rnd returns a
 // random number from 0 to n-1.
-func (s *Spread) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
+func (s *Gossip) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
 	out := make(map[string][]Record)
 	group := newGroup(s.self, others)
 	for d, t := range s.pending {
@@ -80,7 +80,7 @@
 }
 
 // enqueueDue adds a record to the output of each box to which it is due.
-func (s *Spread) enqueueDue(d Digest, t *pendingUpdate, g *group, now time.Duration, out map[string][]Record) {
+func (s *Gossip) enqueueDue(d Digest, t *pendingUpdate, g *group, now time.Duration, out map[string][]Record) {
 	r := s.ledger.Get(d)
 	if r == nil {
 		t.sendsLeft = 0
@@ -110,7 +110,7 @@
 	}
 }
 
-func (s *Spread) packets(records map[string][]Record, now time.Duration) []Packet {
+func (s *Gossip) packets(records map[string][]Record, now time.Duration) []Packet {
 	var out []Packet
 	for addr, list := range records {
 		slices.SortFunc(list, func(a, b Record) int { return slices.Compare(a.Digest[:], b.Digest[:]) })
@@ -128,10 +128,10 @@
 	return out
 }
 
-func (s *Spread) compareRequest(b Box, now time.Duration) Packet {
+func (s *Gossip) compareRequest(b Box, now time.Duration) Packet {
 	d := Datagram{
-		Compare: true,
-		Sums:    s.ledger.Sums(),
+		Compare:   true,
+		Checksums: s.ledger.Checksums(),
 	}
 	return Packet{
 		Addr: b.Addr,
@@ -139,21 +139,21 @@
 	}
 }
 
-// Hear processes a datagram from an address, and reports whether the ledger changed. The replies
-// include own records that clear the received crashes.
-func (s *Spread) Hear(d Datagram, from string, now time.Duration) (replies []Packet, changed bool) {
+// Receive processes a datagram from an address, and reports whether the ledger changed. The
+// replies include own records that clear the received crashes.
+func (s *Gossip) Receive(d Datagram, from string, now time.Duration) (replies []Packet, changed bool) {
 	var corrections []Record
 	for _, r := range d.Records {
-		if own := s.ledger.Get(r.Digest); own != nil && own.clearsAny(r.Ends) {
+		if own := s.ledger.Get(r.Digest); own != nil && own.clearsAny(r.Crashes) {
 			corrections = append(corrections, *own)
 		}
-		if !s.ledger.Take(r, now) {
+		if !s.ledger.Merge(r, now) {
 			continue
 		}
 		changed = true
 		s.forward(r.Digest, d)
 	}
-	if own := s.ledger.Sums(); (d.Compare || d.Answer) && d.Sums != own {
+	if own := s.ledger.Checksums(); (d.Compare || d.Reply) && d.Checksums != own {
 		replies = s.reply(from, d, own, now)
 	}
 	return append(replies, s.packets(map[string][]Record{from: corrections}, now)...), changed
@@ -161,8 +161,8 @@
 
 // forward schedules a published record for all boxes. The records in a reply to a comparison
 // were published before, and are not forwarded.
-func (s *Spread) forward(d Digest, in Datagram) {
-	if in.Answer || !s.ledger.Get(d).published {
+func (s *Gossip) forward(d Digest, in Datagram) {
+	if in.Reply || !s.ledger.Get(d).published {
 		return
 	}
 	t := s.pending[d]
@@ -175,10 +175,10 @@
 
 // reply returns the records of the partitions whose checksums differ, limited to the latest,
 // as these are the most likely to be missing.
-func (s *Spread) reply(to string, in Datagram, own Sums, now time.Duration) []Packet {
+func (s *Gossip) reply(to string, in Datagram, own Checksums, now time.Duration) []Packet {
 	var list []Record
-	for _, r := range s.ledger.Open() {
-		if part := partitionOf(r.Digest); in.Sums[part] != own[part] {
+	for _, r := range s.ledger.Published() {
+		if part := partitionOf(r.Digest); in.Checksums[part] != own[part] {
 			list = append(list, *r)
 		}
 	}
@@ -192,9 +192,9 @@
 	var out []Packet
 	for _, records := range packed[:min(len(packed), maxReplies)] {
 		d := Datagram{
-			Answer:  in.Compare,
-			Sums:    own,
-			Records: records,
+			Reply:     in.Compare,
+			Checksums: own,
+			Records:   records,
 		}
 		out = append(out, Packet{
 			Addr: to,
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Try reports whether a request on trial may run now, and returns the message to its owner if
-// one is due. It is called repeatedly while the request waits.
-func (w *Watch) Try(d Digest, others func() []Box, now time.Duration) (may bool, messages []Packet) {
+// RequestTrial reports whether a request on trial may run now, and returns the message to its
+// owner if one is due. It is called repeatedly while the request waits.
+func (w *Detector) RequestTrial(d Digest, others func() []Box, now time.Duration) (may bool, messages []Packet) {
 	q := w.trials.queries[d]
 	if q == nil {
 		q = &trialQuery{
@@ -82,10 +82,10 @@
 }
 
 // queryOwner requests a run from an owner, and includes the record of this box.
-func (w *Watch) queryOwner(d Digest, owner Box, now time.Duration) []Packet {
+func (w *Detector) queryOwner(d Digest, owner Box, now time.Duration) []Packet {
 	out := Datagram{
-		Word:  trialRequest,
-		Trial: d,
+		TrialMessage: trialRequest,
+		Trial:        d,
 	}
 	if r := w.ledger.Get(d); r != nil {
 		out.Records = append(out.Records, *r)
@@ -98,7 +98,7 @@
 
 // grantTrial reports whether a request may run on trial now, and records the grant. A further
 // run must wait for the last one, unless the record has changed since.
-func (w *Watch) grantTrial(d Digest, now time.Duration) bool {
+func (w *Detector) grantTrial(d Digest, now time.Duration) bool {
 	v, _ := w.ledger.Verdict(d, now)
 	if v != OnTrial && (v != Quarantined || !w.Untried(d)) { // an untried request that the sender has served
 		return false
@@ -116,27 +116,27 @@
 
 // receiveTrialMessage processes a trial message, and returns the reply to a request. The reply
 // includes the record of this box, as the sender may not know that the trial is over.
-func (w *Watch) receiveTrialMessage(in Datagram, from string, now time.Duration) []Packet {
+func (w *Detector) receiveTrialMessage(in Datagram, from string, now time.Duration) []Packet {
 	q := w.trials.queries[in.Trial]
 	switch {
-	case in.Word == trialRequest:
+	case in.TrialMessage == trialRequest:
 		return w.replyToTrialRequest(in.Trial, from, now)
 	case q == nil:
 		return nil
-	case in.Word == trialGrant:
+	case in.TrialMessage == trialGrant:
 		q.grantedAt = now
 	}
 	q.replied = true
 	return nil
 }
 
-func (w *Watch) replyToTrialRequest(d Digest, to string, now time.Duration) []Packet {
+func (w *Detector) replyToTrialRequest(d Digest, to string, now time.Duration) []Packet {
 	out := Datagram{
-		Word:  trialDenial,
-		Trial: d,
+		TrialMessage: trialDenial,
+		Trial:        d,
 	}
 	if w.grantTrial(d, now) {
-		out.Word = trialGrant
+		out.TrialMessage = trialGrant
 	}
 	if r := w.ledger.Get(d); r != nil {
 		out.Records = append(out.Records, *r)
@@ -148,7 +148,7 @@
 }
 
 // BeginTrial records that a request on trial is sent to an incarnation.
-func (w *Watch) BeginTrial(incarnation string, d Digest) {
+func (w *Detector) BeginTrial(incarnation string, d Digest) {
 	if w.trials.runs[incarnation] == nil {
 		w.trials.runs[incarnation] = make(map[Digest]struct{})
 	}
@@ -156,16 +156,17 @@
 }
 
 // EndTrial records that the run of a request on trial at an incarnation is over.
-func (w *Watch) EndTrial(incarnation string, d Digest) {
+func (w *Detector) EndTrial(incarnation string, d Digest) {
 	delete(w.trials.runs[incarnation], d)
 	if len(w.trials.runs[incarnation]) == 0 {
 		delete(w.trials.runs, incarnation)
 	}
 }
 
-// Trials returns the incarnations at which more than limit other requests run on trial that have
-// at least as many crashes as d. Spreading the runs separates requests with the same crashes.
-func (w *Watch) Trials(d Digest, limit int) []string {
+// IncarnationsOnTrial returns the incarnations at which more than limit other requests run on
+// trial that have at least as many crashes as d. Spreading the runs separates requests with the
+// same crashes.
+func (w *Detector) IncarnationsOnTrial(d Digest, limit int) []string {
 	var out []string
 	for incarnation, list := range w.trials.runs {
 		if w.countPeers(d, list) > limit {
@@ -176,7 +177,7 @@
 }
 
 // countPeers returns how many other requests of a list have at least as many crashes as d.
-func (w *Watch) countPeers(d Digest, list map[Digest]struct{}) (n int) {
+func (w *Detector) countPeers(d Digest, list map[Digest]struct{}) (n int) {
 	for other := range list {
 		if other != d && w.crashCount(other) >= w.crashCount(d) {
 			n++
@@ -185,9 +186,9 @@
 	return n
 }
 
-func (w *Watch) crashCount(d Digest) int {
+func (w *Detector) crashCount(d Digest) int {
 	if r := w.ledger.Get(d); r != nil {
-		return len(r.Ends)
+		return len(r.Crashes)
 	}
 	return 0
 }
@@ -200,7 +201,7 @@
 		}
 	}
 	for d := range t.queries {
-		if v, _ := l.Verdict(d, now); v == Free {
+		if v, _ := l.Verdict(d, now); v == Unrestricted {
 			delete(t.queries, d)
 		}
 	}
--- a/poison/trial_test.go
+++ b/poison/trial_test.go
@@ -22,7 +22,7 @@
 // try requests a run on trial from a box until it is granted or a time is over.
 func (b *cluster) try(name string, d Digest, within time.Duration) bool {
 	for until := b.now + within; b.now < until; b.now += 40 * time.Millisecond {
-		may, asks := b.watches[name].Try(d, func() []Box { return b.others(name) }, b.now)
+		may, asks := b.watches[name].RequestTrial(d, func() []Box { return b.others(name) }, b.now)
 		if may {
 			return true
 		}
@@ -84,10 +84,10 @@
 func TestARequestIsOnTrialWhileTheRecordOfAnotherIsIncomplete(t *testing.T) {
 	is := is.New(t)
 	l := NewLedger()
-	l.Take(recordOfCrashes(innocent.Digest(), quarantineThreshold, testStart), testStart)
+	l.Merge(recordOfCrashes(innocent.Digest(), quarantineThreshold, testStart), testStart)
 	late := recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart)
-	late.Ends = late.Ends[:quarantineThreshold-1] // the latest crash has not been received yet
-	l.Take(late, testStart)
+	late.Crashes = late.Crashes[:quarantineThreshold-1] // the latest crash has not been received yet
+	l.Merge(late, testStart)
 	v, _ := l.Verdict(innocent.Digest(), testStart+settleWindow)
 	is.Equal(v, OnTrial)
 	v, _ = l.Verdict(innocent.Digest(), testStart+settleWindow+1) // it is not expected any more
@@ -99,11 +99,11 @@
 	b := newClusterOnTrial(t, 3)
 	w := b.watches["box-0"]
 	w.BeginTrial("replica-7", poisonous.Digest())
-	is.Equal(w.Trials(innocent.Digest(), 0), []string{"replica-7"})
-	is.Equal(w.Trials(innocent.Digest(), 1), nil)
-	is.Equal(w.Trials(poisonous.Digest(), 0), nil) // its own run does not count
+	is.Equal(w.IncarnationsOnTrial(innocent.Digest(), 0), []string{"replica-7"})
+	is.Equal(w.IncarnationsOnTrial(innocent.Digest(), 1), nil)
+	is.Equal(w.IncarnationsOnTrial(poisonous.Digest(), 0), nil) // its own run does not count
 	w.EndTrial("replica-7", poisonous.Digest())
-	is.Equal(w.Trials(innocent.Digest(), 0), nil)
+	is.Equal(w.IncarnationsOnTrial(innocent.Digest(), 0), nil)
 }
 
 func TestRunsOnTrialAreLimited(t *testing.T) {
@@ -111,14 +111,14 @@
 	r := recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart)
 	for n := range maxEarlyTrials {
 		is.Equal(r.trialDelay(testStart), time.Duration(0))
-		r.Ends = append(r.Ends, End{
-			Start: Start(100 + n),
-			At:    testStart,
-			Alone: true,
+		r.Crashes = append(r.Crashes, Crash{
+			Incarnation: Incarnation(100 + n),
+			At:          testStart,
+			OnTrial:     true,
 		})
 	}
 	is.Equal(r.trialDelay(testStart), retryDelay)
-	r.Ends[len(r.Ends)-1].At = testStart + earlyTrialWindow // past the window no further run is made
+	r.Crashes[len(r.Crashes)-1].At = testStart + earlyTrialWindow // past the window no further run is made
 	is.Equal(r.trialDelay(testStart+time.Hour), never.Abs())
 }
 
@@ -126,17 +126,17 @@
 	is := is.New(t)
 	l := NewLedger()
 	list := recordOfCrashes(poisonous.Digest(), maxCrashes+4, testStart)
-	is.True(l.Take(list, testStart))
-	is.True(!l.Take(list, testStart)) // or it would be gossiped forever
+	is.True(l.Merge(list, testStart))
+	is.True(!l.Merge(list, testStart)) // or it would be gossiped forever
 }
 
 func TestTrialMessagesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		d := Datagram{
-			Word:    trialMessage(rapid.IntRange(int(trialRequest), int(trialDenial)).Draw(t, "word")),
-			Trial:   digestOf(rapid.IntRange(0, 5).Draw(t, "trial")),
-			Records: rapid.SliceOfN(rapid.Custom(drawRecord), 1, 4).Draw(t, "records"),
+			TrialMessage: trialMessage(rapid.IntRange(int(trialRequest), int(trialDenial)).Draw(t, "word")),
+			Trial:        digestOf(rapid.IntRange(0, 5).Draw(t, "trial")),
+			Records:      rapid.SliceOfN(rapid.Custom(drawRecord), 1, 4).Draw(t, "records"),
 		}
 		for i := range d.Records {
 			d.Records[i].setTrialBits(rapid.Byte().Draw(t, "alone"))
--- a/poison/verdict.go
+++ b/poison/verdict.go
@@ -10,9 +10,9 @@
 
 // The verdicts.
 const (
-	Free        Verdict = iota // routed as any other
-	OnTrial                    // one run at a time over all boxes, until it is known whether replicas survive it
-	Quarantined                // rejected
+	Unrestricted Verdict = iota // routed as any other
+	OnTrial                     // one run at a time over all boxes, until it is known whether replicas survive it
+	Quarantined                 // rejected
 )
 
 const (
@@ -31,18 +31,18 @@
 func (l *Ledger) Verdict(d Digest, now time.Duration) (v Verdict, left time.Duration) {
 	r := l.records[d]
 	if r == nil {
-		return Free, 0
+		return Unrestricted, 0
 	}
 	left, quarantined := r.Quarantined(now)
 	if !quarantined {
-		return Free, 0
+		return Unrestricted, 0
 	}
 	guilt := l.attributionOf(r)
 	if guilt == cause && !l.isUnsettled(r, now) {
 		return Quarantined, left
 	}
 	if guilt == explained && now-l.assessment.explainedSince[d] > settleWindow {
-		return Free, 0
+		return Unrestricted, 0
 	}
 	if wait := r.trialDelay(now); wait > 0 {
 		return Quarantined, min(wait, left)
@@ -61,7 +61,7 @@
 
 // assessment is the attribution of crashes for all records; it is valid until one changes.
 type assessment struct {
-	suspectCount   map[Start]int // how many requests a crash counts for, without those that another exceeds
+	suspectCount   map[Incarnation]int // how many requests a crash counts for, without those that another exceeds
 	attribution    map[Digest]attribution
 	explainedSince map[Digest]time.Duration // time of the crash that explains those of a request
 }
@@ -75,7 +75,7 @@
 
 func (l *Ledger) assess() {
 	w := &assessment{
-		suspectCount:   make(map[Start]int),
+		suspectCount:   make(map[Incarnation]int),
 		attribution:    make(map[Digest]attribution),
 		explainedSince: make(map[Digest]time.Duration),
 	}
@@ -100,30 +100,30 @@
 			w.explainedSince[r.Digest] = at
 			continue
 		}
-		for _, e := range r.Ends {
-			w.suspectCount[e.Start]++
+		for _, e := range r.Crashes {
+			w.suspectCount[e.Incarnation]++
 		}
 	}
 }
 
 // findCauses marks the requests that are the cause of their crashes, and returns these crashes.
-func (w *assessment) findCauses(list []*Record) map[Start]bool {
-	caused := make(map[Start]bool)
+func (w *assessment) findCauses(list []*Record) map[Incarnation]bool {
+	caused := make(map[Incarnation]bool)
 	for _, r := range list {
 		if w.attribution[r.Digest] != ambiguous || !w.isCause(r) {
 			continue
 		}
 		w.attribution[r.Digest] = cause
-		for _, e := range r.Ends {
-			caused[e.Start] = true
+		for _, e := range r.Crashes {
+			caused[e.Incarnation] = true
 		}
 	}
 	return caused
 }
 
-func (w *assessment) findExplained(list []*Record, caused map[Start]bool) {
+func (w *assessment) findExplained(list []*Record, caused map[Incarnation]bool) {
 	for _, r := range list {
-		isOpen := slices.ContainsFunc(r.Ends, func(e End) bool { return !caused[e.Start] })
+		isOpen := slices.ContainsFunc(r.Crashes, func(e Crash) bool { return !caused[e.Incarnation] })
 		if w.attribution[r.Digest] == ambiguous && !isOpen {
 			w.attribution[r.Digest] = explained
 		}
@@ -144,7 +144,7 @@
 func (l *Ledger) overThreshold() []*Record {
 	var out []*Record
 	for _, r := range l.records {
-		if len(r.Ends) >= quarantineThreshold {
+		if len(r.Crashes) >= quarantineThreshold {
 			out = append(out, r)
 		}
 	}
@@ -154,11 +154,11 @@
 // isCause reports whether enough crashes are no other request's, or one was on trial.
 func (w *assessment) isCause(r *Record) bool {
 	own := 0
-	for _, e := range r.Ends {
-		if w.suspectCount[e.Start] > 1 {
+	for _, e := range r.Crashes {
+		if w.suspectCount[e.Incarnation] > 1 {
 			continue
 		}
-		if e.Alone {
+		if e.OnTrial {
 			return true
 		}
 		own++
@@ -169,9 +169,9 @@
 // trialDelay returns how long the next run of a request on trial must wait. After maxEarlyTrials
 // a request that always shared its replica is no more likely to be the cause than the others.
 func (r *Record) trialDelay(now time.Duration) time.Duration {
-	var runs []End
-	for _, e := range r.Ends {
-		if e.Alone {
+	var runs []Crash
+	for _, e := range r.Crashes {
+		if e.OnTrial {
 			runs = append(runs, e)
 		}
 	}
@@ -179,7 +179,7 @@
 	switch {
 	case n < maxEarlyTrials:
 		return 0
-	case n >= maxTrials, runs[maxEarlyTrials-1].At-r.Ends[0].At > earlyTrialWindow:
+	case n >= maxTrials, runs[maxEarlyTrials-1].At-r.Crashes[0].At > earlyTrialWindow:
 		return never.Abs()
 	}
 	wait := retryDelay
@@ -193,11 +193,11 @@
 // another suspect has one of its crashes. Pending gossip may then still explain the crashes, or
 // report that a box has served the request.
 func (l *Ledger) isUnsettled(r *Record, now time.Duration) bool {
-	if now-r.latest() > settleWindow || len(r.Ends) != quarantineThreshold {
+	if now-r.latest() > settleWindow || len(r.Crashes) != quarantineThreshold {
 		return false
 	}
 	for _, other := range l.records {
-		if other != r && len(other.Ends) >= publishThreshold && other.countShared(r) > 0 {
+		if other != r && len(other.Crashes) >= publishThreshold && other.countShared(r) > 0 {
 			return true
 		}
 	}
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -13,12 +13,12 @@
 // dialInterval is the minimum time between two probes of a replica that interrupted requests.
 const dialInterval = time.Second
 
-// Watch is the state of a box on requests that crash their replicas. It belongs to one actor,
+// Detector is the state of a box on requests that crash their replicas. It belongs to one actor,
 // except for Served.
-type Watch struct {
+type Detector struct {
 	ledger      *Ledger
-	cuts        *Cuts
-	spread      *Spread
+	cuts        *Interruptions
+	spread      *Gossip
 	served      *Served
 	trials      trials
 	lastDial    map[string]time.Duration
@@ -26,13 +26,13 @@
 	quarantined map[Digest]bool          // as last returned by Changes
 }
 
-// NewWatch returns an empty Watch for a box.
-func NewWatch(box string) *Watch {
+// NewDetector returns a Detector without records for a box.
+func NewDetector(box string) *Detector {
 	ledger := NewLedger()
-	return &Watch{
+	return &Detector{
 		ledger:      ledger,
-		cuts:        NewCuts(),
-		spread:      NewSpread(box, ledger),
+		cuts:        NewInterruptions(),
+		spread:      NewGossip(box, ledger),
 		served:      NewServed(),
 		trials:      newTrials(),
 		lastDial:    make(map[string]time.Duration),
@@ -42,45 +42,45 @@
 }
 
 // Served returns the requests that were served here. It is safe for concurrent use.
-func (w *Watch) Served() *Served { return w.served }
+func (w *Detector) Served() *Served { return w.served }
 
-// Known returns the number of published records.
-func (w *Watch) Known() int { return len(w.ledger.Open()) }
+// PublishedCount returns the number of published records.
+func (w *Detector) PublishedCount() int { return len(w.ledger.Published()) }
 
-// Records returns the published records in no particular order.
-func (w *Watch) Records() []*Record { return w.ledger.Open() }
+// Published returns the published records in no particular order.
+func (w *Detector) Published() []*Record { return w.ledger.Published() }
 
 // Quarantined reports whether a request is quarantined, and the time left.
-func (w *Watch) Quarantined(d Digest, now time.Duration) (left time.Duration, quarantined bool) {
+func (w *Detector) Quarantined(d Digest, now time.Duration) (left time.Duration, quarantined bool) {
 	v, left := w.ledger.Verdict(d, now)
 	return left, v == Quarantined
 }
 
 // OnTrial reports whether a request is limited to one run at a time over all boxes.
-func (w *Watch) OnTrial(d Digest, now time.Duration) bool {
+func (w *Detector) OnTrial(d Digest, now time.Duration) bool {
 	v, _ := w.ledger.Verdict(d, now)
 	return v == OnTrial
 }
 
 // Untried reports whether a request with a record has not been on trial yet. If it was served
 // before, it is put on trial: its crashes may be those of several poison requests.
-func (w *Watch) Untried(d Digest) bool {
+func (w *Detector) Untried(d Digest) bool {
 	r := w.ledger.Get(d)
 	return r != nil && r.trialBits() == 0
 }
 
-// Tries reports whether this box retries a quarantined request that was served before. Only its
-// first owner does, after a delay that grows with each crash.
-func (w *Watch) Tries(d Digest, others []Box, now time.Duration) bool {
+// ShouldRetry reports whether this box retries a quarantined request that was served before.
+// Only its first owner does, after a delay that grows with each crash.
+func (w *Detector) ShouldRetry(d Digest, others []Box, now time.Duration) bool {
 	r := w.ledger.Get(d)
-	if r == nil || len(r.Ends) < quarantineThreshold {
+	if r == nil || len(r.Crashes) < quarantineThreshold {
 		return false
 	}
 	if rank, _ := newGroup(w.spread.self, others).ownersOf(d); rank > 0 {
 		return false
 	}
 	wait := retryDelay
-	for range len(r.Ends) - quarantineThreshold {
+	for range len(r.Crashes) - quarantineThreshold {
 		wait *= retryFactor
 	}
 	if now-max(r.latest(), w.lastRetry[d]) < wait {
@@ -91,37 +91,39 @@
 }
 
 // Clear records that a replica survived a request, and reports whether to notify other boxes.
-func (w *Watch) Clear(d Digest, now time.Duration) bool {
+func (w *Detector) Clear(d Digest, now time.Duration) bool {
 	waited := w.cuts.Clear(d)
 	if waited {
-		w.ledger.Answer(d, now) // others may have recorded crashes of it
+		w.ledger.RecordSurvival(d, now) // others may have recorded crashes of it
 	} else if !w.ledger.Clear(d, now) {
 		return false
 	}
-	w.spread.Learned(d, now)
+	w.spread.Updated(d, now)
 	return true
 }
 
-// Lives records that an incarnation survived a request sent at a time.
-func (w *Watch) Lives(incarnation string, sent time.Duration) { w.cuts.Lives(incarnation, sent) }
+// Survived records that an incarnation survived a request sent at a time.
+func (w *Detector) Survived(incarnation string, sent time.Duration) {
+	w.cuts.Survived(incarnation, sent)
+}
 
-// Cut records that an incarnation gave no complete response to a request, and reports whether
-// that counts as a crash because the incarnation is known to have crashed.
-func (w *Watch) Cut(incarnation string, d Digest, sent, now time.Duration) bool {
+// Interrupted records that an incarnation gave no complete response to a request, and reports
+// whether that counts as a crash because the incarnation is known to have crashed.
+func (w *Detector) Interrupted(incarnation string, d Digest, sent, now time.Duration) bool {
 	_, alone := w.trials.runs[incarnation][d]
 	if !w.cuts.Add(incarnation, d, alone, sent, now) {
 		return false
 	}
-	w.addCrash(d, End{
-		Start: StartOf(incarnation),
-		At:    now,
-		Alone: alone,
+	w.addCrash(d, Crash{
+		Incarnation: IncarnationOf(incarnation),
+		At:          now,
+		OnTrial:     alone,
 	}, now)
 	return true
 }
 
-// Dials reports whether to probe an incarnation that interrupted requests now.
-func (w *Watch) Dials(incarnation string, now time.Duration) bool {
+// ShouldProbe reports whether to probe an incarnation that interrupted requests now.
+func (w *Detector) ShouldProbe(incarnation string, now time.Duration) bool {
 	if last, ok := w.lastDial[incarnation]; ok && now-last < dialInterval {
 		return false
 	}
@@ -129,47 +131,50 @@
 	return true
 }
 
-// Doubtful returns the incarnations that interrupted requests and aren't known to have crashed.
-func (w *Watch) Doubtful() []string { return w.cuts.Open() }
+// Unconfirmed returns the incarnations that interrupted requests and aren't known to have
+// crashed.
+func (w *Detector) Unconfirmed() []string { return w.cuts.Unconfirmed() }
 
-// Suspects reports whether the record of a request is published.
-func (w *Watch) Suspects(d Digest) bool {
+// IsPublished reports whether the record of a request is published.
+func (w *Detector) IsPublished(d Digest) bool {
 	r := w.ledger.Get(d)
 	return r != nil && r.published
 }
 
-// Ended records that an incarnation has crashed, and returns for how many requests that counts.
-// It is called after the delay Settles.
-func (w *Watch) Ended(incarnation string, now time.Duration) int {
-	list := w.cuts.Ended(incarnation)
+// Crashed records that an incarnation has crashed, and returns for how many requests that counts.
+// It is called after JointCrashDelay.
+func (w *Detector) Crashed(incarnation string, now time.Duration) int {
+	list := w.cuts.Crashed(incarnation)
 	for _, e := range list {
-		w.addCrash(e.Digest, e.End, now)
+		w.addCrash(e.Digest, e.Crash, now)
 	}
 	return len(list)
 }
 
-// CutBy returns up to maxLoggedDigests requests that an incarnation interrupted.
-func (w *Watch) CutBy(incarnation string) []Digest { return w.cuts.CutBy(incarnation) }
+// InterruptedBy returns up to maxLoggedDigests requests that an incarnation interrupted.
+func (w *Detector) InterruptedBy(incarnation string) []Digest {
+	return w.cuts.InterruptedBy(incarnation)
+}
 
-func (w *Watch) addCrash(d Digest, e End, now time.Duration) {
+func (w *Detector) addCrash(d Digest, e Crash, now time.Duration) {
 	if w.ledger.addCrash(d, e) {
-		w.spread.Learned(d, now)
+		w.spread.Updated(d, now)
 	}
 }
 
 // Due returns the datagrams to send at now. rnd returns a random number from 0 to n-1.
-func (w *Watch) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
+func (w *Detector) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
 	return w.spread.Due(others, now, rnd)
 }
 
-// Hear processes the records and the trial message of a datagram. It drops malformed ones.
-func (w *Watch) Hear(buf []byte, from string, now time.Duration) (replies []Packet, changed bool) {
+// Receive processes the records and the trial message of a datagram. It drops malformed ones.
+func (w *Detector) Receive(buf []byte, from string, now time.Duration) (replies []Packet, changed bool) {
 	d, err := Decode(buf, now)
 	if err != nil {
 		return nil, false
 	}
-	replies, changed = w.spread.Hear(d, from, now)
-	if d.Word != noTrialMessage {
+	replies, changed = w.spread.Receive(d, from, now)
+	if d.TrialMessage != noTrialMessage {
 		replies = append(replies, w.receiveTrialMessage(d, from, now)...)
 	}
 	return replies, changed
@@ -177,39 +182,39 @@
 
 // Change is a change of the quarantine of a request.
 type Change struct {
-	Digest      Digest
-	Quarantined bool
-	Cleared     bool // by a complete response; otherwise the quarantine has expired
-	Ends        int
-	Left        time.Duration
-	Starts      []Start // that crashed
+	Digest       Digest
+	Quarantined  bool
+	Cleared      bool // by a complete response; otherwise the quarantine has expired
+	Crashes      int
+	Left         time.Duration
+	Incarnations []Incarnation // that crashed
 }
 
 // Changes returns the changes since the last call.
-func (w *Watch) Changes(now time.Duration) []Change {
+func (w *Detector) Changes(now time.Duration) []Change {
 	var out []Change
-	for _, r := range w.ledger.Open() {
+	for _, r := range w.ledger.Published() {
 		left, quarantined := w.Quarantined(r.Digest, now)
 		if quarantined == w.quarantined[r.Digest] {
 			continue
 		}
 		w.quarantined[r.Digest] = quarantined
 		out = append(out, Change{
-			Digest:      r.Digest,
-			Quarantined: quarantined,
-			Cleared:     !quarantined && len(r.Ends) == 0,
-			Ends:        len(r.Ends),
-			Left:        left,
-			Starts:      r.incarnations(),
+			Digest:       r.Digest,
+			Quarantined:  quarantined,
+			Cleared:      !quarantined && len(r.Crashes) == 0,
+			Crashes:      len(r.Crashes),
+			Left:         left,
+			Incarnations: r.incarnations(),
 		})
 	}
 	return out
 }
 
-// Forget drops expired state.
-func (w *Watch) Forget(now time.Duration) {
-	w.ledger.Forget(now)
-	w.cuts.Forget(now)
+// Expire drops expired state.
+func (w *Detector) Expire(now time.Duration) {
+	w.ledger.Expire(now)
+	w.cuts.Expire(now)
 	w.trials.forget(w.ledger, now)
 	maps.DeleteFunc(w.lastDial, func(_ string, at time.Duration) bool { return now-at > dialInterval })
 	maps.DeleteFunc(w.lastRetry, func(d Digest, _ time.Duration) bool { return w.ledger.Get(d) == nil })
--- a/poison/watch_test.go
+++ b/poison/watch_test.go
@@ -30,67 +30,67 @@
 
 func TestAnInterruptionByAReplicaThatSurvivesDoesNotCount(t *testing.T) {
 	is := is.New(t)
-	w := NewWatch("box")
-	is.True(!w.Cut("replica", poisonous.Digest(), sentBefore, testStart))
-	is.Equal(w.Doubtful(), []string{"replica"})
-	w.Lives("replica", testStart-time.Second) // sent before the interruption
-	is.Equal(w.Doubtful(), []string{"replica"})
-	w.Lives("replica", testStart+time.Second)
-	is.Equal(w.Doubtful(), nil)
-	is.Equal(w.Ended("replica", testStart+2*time.Second), 0)
+	w := NewDetector("box")
+	is.True(!w.Interrupted("replica", poisonous.Digest(), sentBefore, testStart))
+	is.Equal(w.Unconfirmed(), []string{"replica"})
+	w.Survived("replica", testStart-time.Second) // sent before the interruption
+	is.Equal(w.Unconfirmed(), []string{"replica"})
+	w.Survived("replica", testStart+time.Second)
+	is.Equal(w.Unconfirmed(), nil)
+	is.Equal(w.Crashed("replica", testStart+2*time.Second), 0)
 }
 
 func TestAnInterruptionAfterTheCrashIsKnownCounts(t *testing.T) {
 	is := is.New(t)
-	w := NewWatch("box")
-	w.Cut("replica", digestOf(1), sentBefore, testStart)
-	is.Equal(w.Ended("replica", testStart), 1)
-	is.Equal(w.Ended("replica", testStart), 0)
-	is.True(w.Cut("replica", poisonous.Digest(), sentBefore, testStart))
-	is.Equal(len(w.ledger.Get(poisonous.Digest()).Ends), 1)
+	w := NewDetector("box")
+	w.Interrupted("replica", digestOf(1), sentBefore, testStart)
+	is.Equal(w.Crashed("replica", testStart), 1)
+	is.Equal(w.Crashed("replica", testStart), 0)
+	is.True(w.Interrupted("replica", poisonous.Digest(), sentBefore, testStart))
+	is.Equal(len(w.ledger.Get(poisonous.Digest()).Crashes), 1)
 }
 
 func TestOfAJointCrashOnlyARequestThatSeveralReplicasRanMayBeTheCause(t *testing.T) {
 	is := is.New(t)
-	w := NewWatch("box")
+	w := NewDetector("box")
 	name := func(i int) string { return fmt.Sprint("replica-", i) }
 	for i := range minJointCrashes {
 		at := testStart + time.Duration(i)*jointCrashWindow/minJointCrashes
-		w.Cut(name(i), digestOf(i), sentBefore, at)
-		w.Cut(name(i), poisonous.Digest(), sentBefore, at)
+		w.Interrupted(name(i), digestOf(i), sentBefore, at)
+		w.Interrupted(name(i), poisonous.Digest(), sentBefore, at)
 	}
 	for i := range minJointCrashes {
-		is.Equal(w.Ended(name(i), testStart+Settles), 1)
-		is.True(!w.Cut(name(i), digestOf(10+i), sentBefore, testStart+Settles)) // nor a request that is interrupted later
+		is.Equal(w.Crashed(name(i), testStart+JointCrashDelay), 1)
+		is.True(!w.Interrupted(name(i), digestOf(10+i), sentBefore, testStart+JointCrashDelay)) // nor a request that is interrupted later
 	}
-	_, quarantined := w.Quarantined(poisonous.Digest(), testStart+Settles)
+	_, quarantined := w.Quarantined(poisonous.Digest(), testStart+JointCrashDelay)
 	is.True(quarantined)
-	w.Cut("alone", digestOf(20), sentBefore, testStart+time.Second)
-	w.Cut("beside", digestOf(21), sentBefore, testStart+time.Second)
-	is.Equal(w.Ended("alone", testStart+time.Second+Settles), 1)
-	is.Equal(w.Ended("beside", testStart+time.Second+Settles), 1)
+	w.Interrupted("alone", digestOf(20), sentBefore, testStart+time.Second)
+	w.Interrupted("beside", digestOf(21), sentBefore, testStart+time.Second)
+	is.Equal(w.Crashed("alone", testStart+time.Second+JointCrashDelay), 1)
+	is.Equal(w.Crashed("beside", testStart+time.Second+JointCrashDelay), 1)
 }
 
 // Guards against counting a retry that is sent on an idle connection to a replica that has
 // just crashed.
 func TestARequestSentAfterTheCrashIsNotTheCause(t *testing.T) {
 	is := is.New(t)
-	w := NewWatch("box")
-	w.Cut("replica", poisonous.Digest(), sentBefore, testStart)
-	w.Cut("replica", digestOf(1), testStart+time.Millisecond, testStart+2*time.Millisecond)
-	is.Equal(w.Ended("replica", testStart+Settles), 1)
-	is.True(!w.Cut("replica", digestOf(2), testStart+time.Minute, testStart+time.Minute))
-	w.Cut("lives", digestOf(1), sentBefore, testStart) // the only request interrupted before
-	w.Cut("lives", poisonous.Digest(), testStart+dialInterval, testStart+2*dialInterval)
-	is.Equal(w.Ended("lives", testStart+2*dialInterval+Settles), 2)
+	w := NewDetector("box")
+	w.Interrupted("replica", poisonous.Digest(), sentBefore, testStart)
+	w.Interrupted("replica", digestOf(1), testStart+time.Millisecond, testStart+2*time.Millisecond)
+	is.Equal(w.Crashed("replica", testStart+JointCrashDelay), 1)
+	is.True(!w.Interrupted("replica", digestOf(2), testStart+time.Minute, testStart+time.Minute))
+	w.Interrupted("lives", digestOf(1), sentBefore, testStart) // the only request interrupted before
+	w.Interrupted("lives", poisonous.Digest(), testStart+dialInterval, testStart+2*dialInterval)
+	is.Equal(w.Crashed("lives", testStart+2*dialInterval+JointCrashDelay), 2)
 }
 
 func TestInterruptionsExpire(t *testing.T) {
 	is := is.New(t)
-	w := NewWatch("box")
-	w.Cut("replica", poisonous.Digest(), sentBefore, testStart)
-	w.Forget(testStart + interruptionTTL + 1)
-	is.Equal(w.Ended("replica", testStart+interruptionTTL+1), 0)
+	w := NewDetector("box")
+	w.Interrupted("replica", poisonous.Digest(), sentBefore, testStart)
+	w.Expire(testStart + interruptionTTL + 1)
+	is.Equal(w.Crashed("replica", testStart+interruptionTTL+1), 0)
 }
 
 func TestABoxThatJoinsReceivesTheQuarantineWithinTwoSeconds(t *testing.T) {
@@ -161,7 +161,7 @@
 	}
 	tries := func() (n int) {
 		for _, name := range b.names() {
-			if b.watches[name].Tries(poisonous.Digest(), b.others(name), b.now) {
+			if b.watches[name].ShouldRetry(poisonous.Digest(), b.others(name), b.now) {
 				n++
 			}
 		}
@@ -180,11 +180,11 @@
 
 func TestChangesAreReportedOnce(t *testing.T) {
 	is := is.New(t)
-	w := NewWatch("box")
+	w := NewDetector("box")
 	for i := range quarantineThreshold {
 		now := testStart + time.Duration(i-quarantineThreshold+1)*time.Second // the last at start
-		w.Cut(fmt.Sprint("replica-", i), poisonous.Digest(), sentBefore, now)
-		w.Ended(fmt.Sprint("replica-", i), now)
+		w.Interrupted(fmt.Sprint("replica-", i), poisonous.Digest(), sentBefore, now)
+		w.Crashed(fmt.Sprint("replica-", i), now)
 	}
 	list := w.Changes(testStart)
 	is.Equal(len(list), 1)
@@ -199,10 +199,10 @@
 
 func TestAFloodOfInterruptedRequestsEvictsNoQuarantinedOne(t *testing.T) {
 	is := is.New(t)
-	w := NewWatch("box")
-	w.ledger.Take(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
+	w := NewDetector("box")
+	w.ledger.Merge(recordOfCrashes(poisonous.Digest(), quarantineThreshold, testStart), testStart)
 	for i := range 100_000 {
-		w.ledger.AddEnd(digestOf(i), Start(i), testStart+time.Duration(i)*time.Millisecond/2)
+		w.ledger.AddCrash(digestOf(i), Incarnation(i), testStart+time.Duration(i)*time.Millisecond/2)
 		is.True(w.ledger.Len() <= maxRecords)
 	}
 	_, quarantined := w.Quarantined(poisonous.Digest(), testStart+time.Minute)
--- a/quota/allocator.go
+++ b/quota/allocator.go
@@ -9,8 +9,8 @@
 	"github.com/havenrudder/havenrudder/common/decay"
 )
 
-// Bank is a quota allocator, which grants credit to boxes. It is safe for concurrent use.
-type Bank struct {
+// Allocator grants boxes credit of the quotas. It is safe for concurrent use.
+type Allocator struct {
 	mu          sync.Mutex
 	lastRequest time.Duration
 	boxes       map[string]boxRecord
@@ -37,28 +37,28 @@
 	remaining    float64 // units that may be granted in that round
 }
 
-// NewBank returns an allocator without records of boxes.
-func NewBank() *Bank {
-	return &Bank{
+// NewAllocator returns an allocator without records of boxes.
+func NewAllocator() *Allocator {
+	return &Allocator{
 		boxes:    make(map[string]boxRecord),
 		balances: make(map[string]*balance),
 	}
 }
 
-// Round holds the parameters of a call of Grant.
-type Round struct {
-	Terms  func(organisation string) (Terms, bool) // false for an organisation without a quota
-	Shares *Shares
-	Known  int            // boxes of the region that may send requests to any allocator
-	Draw   func() float64 // returns a random number in [0, 1)
+// GrantParams holds the parameters of a call of Grant.
+type GrantParams struct {
+	Terms         func(organisation string) (Limit, bool) // false for an organisation without a quota
+	Shares        *RegionShares
+	BoxesInRegion int            // boxes of the region that may send requests to any allocator
+	Random        func() float64 // returns a random number in [0, 1)
 }
 
 // Grant responds to the requests of a box.
-func (b *Bank) Grant(from Asker, asks []Ask, r Round, now time.Duration) []Grant {
+func (b *Allocator) Grant(from Requester, asks []CreditRequest, r GrantParams, now time.Duration) []Grant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recordBox(from, now)
-	boxFraction := min(1, float64(len(b.boxes))/float64(max(r.Known, 1)))
+	boxFraction := min(1, float64(len(b.boxes))/float64(max(r.BoxesInRegion, 1)))
 	out := make([]Grant, 0, len(asks))
 	for _, a := range asks {
 		terms, ok := r.Terms(a.Organisation)
@@ -66,18 +66,18 @@
 			continue
 		}
 		bal := b.balance(a.Organisation, terms)
-		bal.demand.Add(a.Asked, now, demandHalfLife)
+		bal.demand.Add(a.Demand, now, demandHalfLife)
 		share := r.Shares.Of(a.Organisation, terms.PerSecond(), bal.reported(now), now)
 		bal.report(from.Box, a.Used, terms, now)
 		bal.startRound(terms, share, r.Shares, now)
 		free := min(bal.remaining, terms.Units*boxFraction*share.Of*b.reported(terms)-bal.used(now))
-		out = append(out, bal.grant(a, free, terms.PerSecond()*boxFraction*share.Of, len(b.boxes), r.Draw(), now))
+		out = append(out, bal.grant(a, free, terms.PerSecond()*boxFraction*share.Of, len(b.boxes), r.Random(), now))
 	}
 	return out
 }
 
 // reported returns the fraction of a window for which usage is reported, averaged over the boxes.
-func (b *Bank) reported(t Terms) float64 {
+func (b *Allocator) reported(t Limit) float64 {
 	sum := time.Duration(0)
 	for _, box := range b.boxes {
 		sum += min(box.uptime, t.Window)
@@ -87,14 +87,14 @@
 
 // recordBox records a request of a box. If none came for boxTimeout, other boxes were allocators
 // meanwhile and the balances are out of date.
-func (b *Bank) recordBox(from Asker, now time.Duration) {
+func (b *Allocator) recordBox(from Requester, now time.Duration) {
 	if now-b.lastRequest > boxTimeout {
 		clear(b.balances)
 	}
 	b.lastRequest = now
 	b.boxes[from.Box] = boxRecord{
 		lastSeen: now,
-		uptime:   from.Up,
+		uptime:   from.Uptime,
 	}
 	for name, box := range b.boxes {
 		if now-box.lastSeen > boxTimeout {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (b *Bank) balance(organisation string, t Terms) *balance {
+func (b *Allocator) balance(organisation string, t Limit) *balance {
 	bal, ok := b.balances[organisation]
 	if !ok {
 		bal = &balance{
@@ -117,18 +117,19 @@
 	return bal
 }
 
-// Uses returns the usage of each organisation's quota in this region, which other regions receive.
-func (b *Bank) Uses(now time.Duration) map[string]Use {
+// Usage returns the usage of each organisation's quota in this region, which other regions
+// receive.
+func (b *Allocator) Usage(now time.Duration) map[string]Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]Use, len(b.balances))
+	out := make(map[string]Usage, len(b.balances))
 	for name, bal := range b.balances {
 		bal.sharedDemand = math.Round(bal.perSecond(now))
-		u := Use{
+		u := Usage{
 			Demand:  bal.sharedDemand,
 			Granted: math.Round(bal.used(now)),
 		}
-		if u != (Use{}) {
+		if u != (Usage{}) {
 			out[name] = u
 		}
 	}
@@ -148,7 +149,7 @@
 }
 
 // report records a box's usage, which counts for a window even if the box sends no more requests.
-func (b *balance) report(box string, units float64, t Terms, now time.Duration) {
+func (b *balance) report(box string, units float64, t Limit, now time.Duration) {
 	b.reports[box] = report{
 		receivedAt: now,
 		units:      units,
@@ -175,32 +176,32 @@
 
 // startRound computes, once per round of reports between regions, the units that may be granted in
 // it: this region's share of what the reachable regions have left.
-func (b *balance) startRound(t Terms, share Share, shares *Shares, now time.Duration) {
+func (b *balance) startRound(t Limit, share Share, shares *RegionShares, now time.Duration) {
 	if round := shares.Round(); b.round != round {
 		b.round = round
 		b.remaining = math.Inf(1)
-		if share.Heard > 0 {
-			b.remaining = share.InRest * max(0, t.Units*share.Rest-b.used(now)-share.Granted)
+		if share.Reachable > 0 {
+			b.remaining = share.OfReachable * max(0, t.Units*share.ReachableFraction-b.used(now)-share.Granted)
 		}
 	}
 }
 
 // grant responds to an ask of one of the given number of boxes. Its need is met in full unless free,
 // the units that may be granted, is negative: a long request may need more than the allocation.
-func (b *balance) grant(ask Ask, free, perSecond float64, boxes int, draw float64, now time.Duration) Grant {
+func (b *balance) grant(ask CreditRequest, free, perSecond float64, boxes int, draw float64, now time.Duration) Grant {
 	out := Grant{
 		Organisation: ask.Organisation,
 	}
 	if free < 0 {
 		if ask.Need > 0 {
-			out.Wait = millis(b.callerWait(perSecond, draw, now))
-			out.Again = millis(retryInterval)
+			out.CallerRetryAfter = millis(b.callerWait(perSecond, draw, now))
+			out.RetryAfter = millis(retryInterval)
 		}
 		return out
 	}
 	out.Units = ask.Need
 	fair := maxPrefetchFactor * perSecond * prefetchWindow.Seconds() / float64(boxes)
-	if ahead := min(ask.Ahead, maxPrefetchFraction*(free-ask.Need), fair); ahead > 0 {
+	if ahead := min(ask.Prefetch, maxPrefetchFraction*(free-ask.Need), fair); ahead > 0 {
 		out.Units += ahead
 	}
 	b.granted.add(out.Units, now)
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -8,12 +8,12 @@
 	"github.com/havenrudder/havenrudder/common/decay"
 )
 
-// Purse is the credit pool of a box. It is safe for concurrent use.
-type Purse struct {
+// CreditPool holds a box's credit of each organisation. It is safe for concurrent use.
+type CreditPool struct {
 	mu      sync.Mutex
 	credits map[string]*credit
 	window  time.Duration
-	request func(ctx context.Context, a Ask) (Grant, bool) // sends a request to an allocator; false without a response
+	request func(ctx context.Context, a CreditRequest) (Grant, bool) // sends a request to an allocator; false without a response
 	now     func() time.Duration
 }
 
@@ -21,17 +21,17 @@
 	units            float64
 	used             window
 	lastGrant        time.Duration
-	unreportedDemand float64 // units that callers requested since the last Ask
+	unreportedDemand float64 // units that callers requested since the last CreditRequest
 	demand           decay.Count
 	pendingRequest   chan struct{} // closed when the request in flight completes; nil if there is none
 	refusedUntil     time.Duration
 	wait             time.Duration // for callers that are refused until then
 }
 
-// NewPurse returns an empty credit pool for quotas of the given window. It sends requests to
+// NewCreditPool returns an empty credit pool for quotas of the given window. It sends requests to
 // allocators by request and reads the clock by now.
-func NewPurse(window time.Duration, request func(ctx context.Context, a Ask) (Grant, bool), now func() time.Duration) *Purse {
-	return &Purse{
+func NewCreditPool(window time.Duration, request func(ctx context.Context, a CreditRequest) (Grant, bool), now func() time.Duration) *CreditPool {
+	return &CreditPool{
 		credits: make(map[string]*credit),
 		window:  window,
 		request: request,
@@ -41,7 +41,7 @@
 
 // Take takes the cost of a request from an organisation's credit, after a request to an allocator
 // if the credit does not suffice. If ok is false, the caller should retry after wait.
-func (p *Purse) Take(ctx context.Context, organisation string, cost float64) (wait time.Duration, ok bool) {
+func (p *CreditPool) Take(ctx context.Context, organisation string, cost float64) (wait time.Duration, ok bool) {
 	p.mu.Lock()
 	c := p.credit(organisation)
 	c.unreportedDemand += cost
@@ -73,7 +73,7 @@
 }
 
 // requestCredit requests the credit that a request lacks from an allocator. It unlocks mu meanwhile.
-func (p *Purse) requestCredit(ctx context.Context, c *credit, organisation string, cost float64) {
+func (p *CreditPool) requestCredit(ctx context.Context, c *credit, organisation string, cost float64) {
 	a := c.nextRequest(organisation, p.now())
 	a.Need = cost - max(c.units, 0)
 	pendingRequest := make(chan struct{})
@@ -85,15 +85,15 @@
 	close(pendingRequest)
 	if !ok {
 		g = Grant{
-			Wait:  millis(minWait),
-			Again: millis(retryInterval),
+			CallerRetryAfter: millis(minWait),
+			RetryAfter:       millis(retryInterval),
 		}
 	}
 	c.applyGrant(g, p.now())
 }
 
-// Return refunds the cost of a request that is known not to have run.
-func (p *Purse) Return(organisation string, cost float64) {
+// Refund refunds the cost of a request that is known not to have run.
+func (p *CreditPool) Refund(organisation string, cost float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.credit(organisation)
@@ -101,9 +101,9 @@
 	c.used.add(-cost, p.now())
 }
 
-// Due returns the requests for credit in advance that are due, for organisations that of accepts.
-// It removes the credits of organisations without callers.
-func (p *Purse) Due(of func(organisation string) bool) (out []Ask) {
+// DueRequests returns the requests for credit in advance that are due, for organisations that of
+// accepts. It removes the credits of organisations without callers.
+func (p *CreditPool) DueRequests(of func(organisation string) bool) (out []CreditRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -112,26 +112,26 @@
 			continue
 		}
 		a := c.nextRequest(name, now)
-		if a.Asked == 0 && a.Used == 0 && now-c.lastGrant > creditTTL && now > c.refusedUntil {
+		if a.Demand == 0 && a.Used == 0 && now-c.lastGrant > creditTTL && now > c.refusedUntil {
 			delete(p.credits, name)
 			continue
 		}
-		if a.Asked > 0 || a.Ahead > 0 || a.Used > 0 {
+		if a.Demand > 0 || a.Prefetch > 0 || a.Used > 0 {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// Granted adds the grant for an Ask that Due returned.
-func (p *Purse) Granted(g Grant) {
+// AddGrant adds the grant for a CreditRequest that DueRequests returned.
+func (p *CreditPool) AddGrant(g Grant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.credit(g.Organisation).applyGrant(g, p.now())
 }
 
-// Held returns the credit of each organisation.
-func (p *Purse) Held() map[string]float64 {
+// Balances returns the credit of each organisation.
+func (p *CreditPool) Balances() map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]float64, len(p.credits))
@@ -141,7 +141,7 @@
 	return out
 }
 
-func (p *Purse) credit(organisation string) *credit {
+func (p *CreditPool) credit(organisation string) *credit {
 	c, ok := p.credits[organisation]
 	if !ok {
 		c = &credit{
@@ -165,13 +165,14 @@
 	return true
 }
 
-// nextRequest returns an Ask that reports demand and usage and requests credit in advance.
-func (c *credit) nextRequest(organisation string, now time.Duration) Ask {
-	a := Ask{
+// nextRequest returns a CreditRequest that reports demand and usage and requests credit in
+// advance.
+func (c *credit) nextRequest(organisation string, now time.Duration) CreditRequest {
+	a := CreditRequest{
 		Organisation: organisation,
-		Asked:        c.unreportedDemand,
+		Demand:       c.unreportedDemand,
 		Used:         c.used.used(now),
-		Ahead:        max(0, perSecond(&c.demand, now)*prefetchWindow.Seconds()-c.units),
+		Prefetch:     max(0, perSecond(&c.demand, now)*prefetchWindow.Seconds()-c.units),
 	}
 	c.unreportedDemand = 0
 	return a
@@ -185,8 +186,8 @@
 		c.units += g.Units
 		c.lastGrant = now
 	}
-	if g.Wait > 0 {
-		c.refusedUntil = now + g.Again.Duration()
-		c.wait = g.Wait.Duration()
+	if g.CallerRetryAfter > 0 {
+		c.refusedUntil = now + g.RetryAfter.Duration()
+		c.wait = g.CallerRetryAfter.Duration()
 	}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -42,22 +42,22 @@
 	windowStep          = 250 * time.Millisecond // resolution of a window, which is longer by at most one step
 )
 
-// Terms is the quota of an organisation over all boxes.
-type Terms struct {
+// Limit is the quota of an organisation over all boxes.
+type Limit struct {
 	Units  float64 // admitted in a window
 	Window time.Duration
 }
 
 // PerSecond returns the sustained rate of the quota.
-func (t Terms) PerSecond() float64 {
+func (t Limit) PerSecond() float64 {
 	if t.Window <= 0 {
 		return 0
 	}
 	return t.Units / t.Window.Seconds()
 }
 
-// Use is the demand of a region's callers for an organisation's quota, and the units granted.
-type Use struct {
+// Usage is the demand of a region's callers for an organisation's quota, and the units granted.
+type Usage struct {
 	Demand  float64 `json:"demand"`  // units per second
 	Granted float64 `json:"granted"` // units in the last window
 }
@@ -70,28 +70,28 @@
 	case tokens > 0:
 		return float64(tokens)
 	}
-	return q.Plain
+	return q.DefaultTokens
 }
 
-// Ask is a box's request to an allocator for credit of an organisation.
-type Ask struct {
+// CreditRequest is a box's request to an allocator for credit of an organisation.
+type CreditRequest struct {
 	Organisation string  `json:"org"`
 	Need         float64 `json:"need,omitempty"`  // units that a waiting request lacks
-	Ahead        float64 `json:"ahead,omitempty"` // units that the box expects to need soon
-	Asked        float64 `json:"asked,omitempty"` // units that callers requested since the last Ask
+	Prefetch     float64 `json:"ahead,omitempty"` // units that the box expects to need soon
+	Demand       float64 `json:"asked,omitempty"` // units that callers requested since the last CreditRequest
 	Used         float64 `json:"used,omitempty"`  // units that the box admitted in the last window
 }
 
-// Asker is a box that sends requests to an allocator.
-type Asker struct {
-	Box string        `json:"box"`
-	Up  time.Duration `json:"up"` // time since its start, for which its usage is recorded
+// Requester is a box that sends requests to an allocator.
+type Requester struct {
+	Box    string        `json:"box"`
+	Uptime time.Duration `json:"up"` // time since its start, for which its usage is recorded
 }
 
-// Grant is an allocator's response to an Ask.
+// Grant is an allocator's response to a CreditRequest.
 type Grant struct {
-	Organisation string         `json:"org"`
-	Units        float64        `json:"units,omitempty"`
-	Wait         catalog.Millis `json:"wait_ms,omitempty"`  // until a refused caller should retry; 0 if the need is met
-	Again        catalog.Millis `json:"again_ms,omitempty"` // until the box may send another request
+	Organisation     string         `json:"org"`
+	Units            float64        `json:"units,omitempty"`
+	CallerRetryAfter catalog.Millis `json:"wait_ms,omitempty"`  // until a refused caller should retry; 0 if the need is met
+	RetryAfter       catalog.Millis `json:"again_ms,omitempty"` // until the box may send another request
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,8 +16,8 @@
 
 func ExampleCost() {
 	q := catalog.Quota{
-		Unit:  catalog.Tokens,
-		Plain: 200,
+		Unit:          catalog.Tokens,
+		DefaultTokens: 200,
 	}
 	requests := catalog.Quota{
 		Unit: catalog.Requests,
@@ -28,24 +28,24 @@
 
 const testWindow = 8 * time.Second
 
-func testRound(units float64, boxes int) Round {
-	return Round{
-		Terms: func(string) (Terms, bool) {
-			return Terms{
+func testRound(units float64, boxes int) GrantParams {
+	return GrantParams{
+		Terms: func(string) (Limit, bool) {
+			return Limit{
 				Units:  units,
 				Window: testWindow,
 			}, true
 		},
-		Shares: NewShares("a", []string{"a"}),
-		Known:  boxes,
-		Draw:   func() float64 { return 0 },
+		Shares:        NewRegionShares("a", []string{"a"}),
+		BoxesInRegion: boxes,
+		Random:        func() float64 { return 0 },
 	}
 }
 
-func longRunningBox(name string) Asker {
-	return Asker{
-		Box: name,
-		Up:  testWindow,
+func longRunningBox(name string) Requester {
+	return Requester{
+		Box:    name,
+		Uptime: testWindow,
 	}
 }
 
@@ -73,19 +73,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		units := rapid.Float64Range(1, 1000).Draw(t, "units")
 		r := testRound(units, 1)
-		b := NewBank()
+		b := NewAllocator()
 		var list []timedGrant
 		now, longest := time.Duration(0), 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "asks") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "pause"))
-			a := Ask{
+			a := CreditRequest{
 				Organisation: "org",
 				Need:         rapid.Float64Range(0, 500).Draw(t, "need"),
-				Ahead:        rapid.Float64Range(0, 500).Draw(t, "ahead"),
+				Prefetch:     rapid.Float64Range(0, 500).Draw(t, "ahead"),
 			}
-			a.Asked = a.Need
+			a.Demand = a.Need
 			longest = max(longest, a.Need)
-			for _, g := range b.Grant(longRunningBox("box"), []Ask{a}, r, now) {
+			for _, g := range b.Grant(longRunningBox("box"), []CreditRequest{a}, r, now) {
 				list = append(list, timedGrant{
 					at:    now,
 					units: g.Units,
@@ -103,17 +103,17 @@
 	is := is.New(t)
 	const units, boxes = 800, 10
 	r := testRound(units, boxes)
-	one := []Ask{{
+	one := []CreditRequest{{
 		Organisation: "org",
 		Need:         1,
-		Asked:        1,
+		Demand:       1,
 	}}
 	var list []timedGrant
-	var allocators [4]*Bank
+	var allocators [4]*Allocator
 	for at := time.Duration(0); at < 3*testWindow; at += 50 * time.Millisecond {
 		for n := range allocators { // of 4, 3, 2 and 1 boxes
 			if allocators[n] == nil {
-				allocators[n] = NewBank()
+				allocators[n] = NewAllocator()
 			}
 			for box := range len(allocators) - n {
 				for _, g := range allocators[n].Grant(longRunningBox(fmt.Sprint(box)), one, r, at) {
@@ -133,8 +133,8 @@
 func TestANewAllocatorAppliesTheUsageReportsOfBoxes(t *testing.T) {
 	is := is.New(t)
 	r := testRound(800, 1)
-	b := NewBank()
-	need := []Ask{{
+	b := NewAllocator()
+	need := []CreditRequest{{
 		Organisation: "org",
 		Need:         100,
 		Used:         790,
@@ -143,22 +143,22 @@
 	need[0].Used = 890
 	g := b.Grant(longRunningBox("box"), need, r, time.Minute+time.Second)[0]
 	is.Equal(g.Units, 0.0)
-	is.True(g.Wait > 0)
+	is.True(g.CallerRetryAfter > 0)
 }
 
 func TestAnAllocatorOfNewBoxesGrantsAsTheirWindowPasses(t *testing.T) {
 	is := is.New(t)
 	r := testRound(800, 1)
-	b := NewBank()
-	need := []Ask{{
+	b := NewAllocator()
+	need := []CreditRequest{{
 		Organisation: "org",
 		Need:         100,
 	}}
 	grants := 0
 	for at := time.Duration(0); at <= testWindow; at += 100 * time.Millisecond {
-		fresh := Asker{
-			Box: "box",
-			Up:  at,
+		fresh := Requester{
+			Box:    "box",
+			Uptime: at,
 		}
 		if b.Grant(fresh, need, r, time.Minute+at)[0].Units > 0 {
 			grants++
@@ -172,12 +172,12 @@
 	is := is.New(t)
 	const units = 8000
 	regions := []string{"a", "b", "c"}
-	allocators := make(map[string]*Bank)
-	rounds := make(map[string]Round)
+	allocators := make(map[string]*Allocator)
+	rounds := make(map[string]GrantParams)
 	for _, region := range regions {
-		allocators[region] = NewBank()
+		allocators[region] = NewAllocator()
 		r := testRound(units, 1)
-		r.Shares = NewShares(region, regions)
+		r.Shares = NewRegionShares(region, regions)
 		rounds[region] = r
 	}
 	var list []timedGrant
@@ -186,12 +186,12 @@
 			exchangeUsage(allocators, rounds, regions, at)
 		}
 		for i, region := range regions {
-			asks := []Ask{{
+			asks := []CreditRequest{{
 				Organisation: "org",
 			}}
 			if int(at/(3*time.Second))%3 == i { // the region of all callers
 				asks[0].Need = 80 // four times the quota
-				asks[0].Asked = 80
+				asks[0].Demand = 80
 			}
 			for _, g := range allocators[region].Grant(longRunningBox("box"), asks, rounds[region], at) {
 				list = append(list, timedGrant{
@@ -206,11 +206,11 @@
 	is.True(got < 1.2*units) // reports are one round old
 }
 
-func exchangeUsage(banks map[string]*Bank, rounds map[string]Round, regions []string, at time.Duration) {
+func exchangeUsage(banks map[string]*Allocator, rounds map[string]GrantParams, regions []string, at time.Duration) {
 	for _, region := range regions {
 		for _, other := range regions {
 			if other != region {
-				rounds[region].Shares.Hear(other, banks[other].Uses(at), at)
+				rounds[region].Shares.RecordReport(other, banks[other].Usage(at), at)
 			}
 		}
 		rounds[region].Shares.EndRound()
@@ -221,9 +221,9 @@
 	regions := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 3000).Draw(t, "rate")
-		demand := make(map[string]map[string]Use)
+		demand := make(map[string]map[string]Usage)
 		for _, r := range regions {
-			demand[r] = map[string]Use{
+			demand[r] = map[string]Usage{
 				"org": {
 					Demand: rapid.Float64Range(0, 1000).Draw(t, r),
 				},
@@ -232,15 +232,15 @@
 		cut := rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "cut off")
 		sum := 0.0
 		for _, self := range regions {
-			s := NewShares(self, regions)
+			s := NewRegionShares(self, regions)
 			for _, other := range regions {
-				s.Hear(other, demand[other], 0)
+				s.RecordReport(other, demand[other], 0)
 			}
-			s.Agree(demand[self], func(string) float64 { return rate })
+			s.RecordAgreedShares(demand[self], func(string) float64 { return rate })
 			now := 10 * time.Second
 			for _, other := range regions {
 				if other != self && self != cut && other != cut {
-					s.Hear(other, demand[other], now)
+					s.RecordReport(other, demand[other], now)
 				}
 			}
 			sum += s.Of("org", rate, demand[self]["org"].Demand, now).Of
@@ -255,12 +255,12 @@
 	is := is.New(t)
 	asked := 0
 	now := time.Second
-	p := NewPurse(testWindow, func(_ context.Context, a Ask) (Grant, bool) {
+	p := NewCreditPool(testWindow, func(_ context.Context, a CreditRequest) (Grant, bool) {
 		asked++
 		return Grant{
-			Organisation: a.Organisation,
-			Wait:         1000,
-			Again:        100,
+			Organisation:     a.Organisation,
+			CallerRetryAfter: 1000,
+			RetryAfter:       100,
 		}, true
 	}, func() time.Duration { return now })
 	for range 10 {
@@ -279,24 +279,24 @@
 	is := is.New(t)
 	now := time.Second
 	granted := 0.0
-	p := NewPurse(testWindow, func(_ context.Context, a Ask) (Grant, bool) {
+	p := NewCreditPool(testWindow, func(_ context.Context, a CreditRequest) (Grant, bool) {
 		return Grant{
-			Organisation: a.Organisation,
-			Units:        granted,
-			Wait:         100,
-			Again:        20,
+			Organisation:     a.Organisation,
+			Units:            granted,
+			CallerRetryAfter: 100,
+			RetryAfter:       20,
 		}, true
 	}, func() time.Duration { return now })
-	p.Granted(Grant{
+	p.AddGrant(Grant{
 		Organisation: "org",
 		Units:        10,
 	})
 	_, ok := p.Take(context.Background(), "org", 10)
 	is.True(ok)
-	p.Return("org", 10)
+	p.Refund("org", 10)
 	_, ok = p.Take(context.Background(), "org", 10)
 	is.True(ok)
-	p.Return("org", 10)
+	p.Refund("org", 10)
 	now += creditTTL + 1
 	_, ok = p.Take(context.Background(), "org", 10)
 	is.True(!ok)
--- a/quota/shares.go
+++ b/quota/shares.go
@@ -8,8 +8,9 @@
 	"github.com/havenrudder/havenrudder/common/decay"
 )
 
-// Shares divides quotas among regions by the demand of their callers. It is safe for concurrent use.
-type Shares struct {
+// RegionShares divides quotas among regions by the demand of their callers. It is safe for
+// concurrent use.
+type RegionShares struct {
 	mu           sync.Mutex
 	others       []string // regions except this one
 	reports      map[string]regionReport
@@ -19,21 +20,21 @@
 
 type regionReport struct {
 	requestedAt time.Duration
-	usage       map[string]Use // by organisation
+	usage       map[string]Usage // by organisation
 }
 
 // Share is a region's share of a quota.
 type Share struct {
-	Of      float64 // fraction of the quota
-	InRest  float64 // fraction of Rest
-	Rest    float64 // fraction of the quota that the reachable regions divide, including this one
-	Heard   int     // number of other regions that are reachable
-	Granted float64 // units that they granted in the last window
+	Of                float64 // fraction of the quota
+	OfReachable       float64 // fraction of ReachableFraction
+	ReachableFraction float64 // fraction of the quota that the reachable regions divide, including this one
+	Reachable         int     // number of other regions that are reachable
+	Granted           float64 // units that they granted in the last window
 }
 
-// NewShares returns the shares of region self among all, without reports of the others.
-func NewShares(self string, regions []string) *Shares {
-	s := &Shares{
+// NewRegionShares returns the shares of region self among all, without reports of the others.
+func NewRegionShares(self string, regions []string) *RegionShares {
+	s := &RegionShares{
 		reports:      make(map[string]regionReport),
 		agreedShares: make(map[string]map[string]float64),
 	}
@@ -46,11 +47,11 @@
 }
 
 // Others returns the number of other regions.
-func (s *Shares) Others() int { return len(s.others) }
+func (s *RegionShares) Others() int { return len(s.others) }
 
-// Hear records the usage report of another region, which was requested at requestSent. It takes
-// ownership of the map.
-func (s *Shares) Hear(region string, usage map[string]Use, requestSent time.Duration) {
+// RecordReport records the usage report of another region, which was requested at requestSent.
+// It takes ownership of the map.
+func (s *RegionShares) RecordReport(region string, usage map[string]Usage, requestSent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reports[region] = regionReport{
@@ -60,14 +61,14 @@
 }
 
 // EndRound records that reports were requested from all other regions.
-func (s *Shares) EndRound() {
+func (s *RegionShares) EndRound() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.round++
 }
 
 // Round returns the number of completed rounds.
-func (s *Shares) Round() int {
+func (s *RegionShares) Round() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.round
@@ -76,30 +77,30 @@
 // Of returns the share of this region in a quota of perSecond units, with a demand of own. An
 // unreachable region may be partitioned and still admit requests, so it keeps its share of the
 // last round in which all were reachable, or an equal one; the other regions divide the rest.
-func (s *Shares) Of(organisation string, perSecond, own float64, now time.Duration) Share {
+func (s *RegionShares) Of(organisation string, perSecond, own float64, now time.Duration) Share {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := Share{
-		Rest: 1,
+		ReachableFraction: 1,
 	}
 	sum := own
 	for _, region := range s.others {
 		if !s.reachable(region, now) {
-			out.Rest -= s.lastAgreedShare(organisation, region)
+			out.ReachableFraction -= s.lastAgreedShare(organisation, region)
 			continue
 		}
-		out.Heard++
+		out.Reachable++
 		use := s.reports[region].usage[organisation]
 		sum += use.Demand
 		out.Granted += use.Granted
 	}
-	out.Rest = max(out.Rest, 0)
-	out.InRest = demandShare(own, sum, out.Rest*perSecond, out.Heard+1)
-	out.Of = out.Rest * out.InRest
+	out.ReachableFraction = max(out.ReachableFraction, 0)
+	out.OfReachable = demandShare(own, sum, out.ReachableFraction*perSecond, out.Reachable+1)
+	out.Of = out.ReachableFraction * out.OfReachable
 	return out
 }
 
-func (s *Shares) reachable(region string, now time.Duration) bool {
+func (s *RegionShares) reachable(region string, now time.Duration) bool {
 	report, ok := s.reports[region]
 	return ok && now-report.requestedAt <= regionTimeout
 }
@@ -116,9 +117,10 @@
 	return spare*equal + (1-spare)*own/sum
 }
 
-// Agree records the shares after a round in which all regions received each other's reports; own
-// is the report of this one. All regions compute the same shares, up to changes within the round.
-func (s *Shares) Agree(own map[string]Use, perSecond func(organisation string) float64) {
+// RecordAgreedShares records the shares after a round in which all regions received each
+// other's reports; own is the report of this one. All regions compute the same shares, up to
+// changes within the round.
+func (s *RegionShares) RecordAgreedShares(own map[string]Usage, perSecond func(organisation string) float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sums := make(map[string]float64, len(own))
@@ -141,7 +143,7 @@
 }
 
 // lastAgreedShare returns the share that an unreachable region keeps.
-func (s *Shares) lastAgreedShare(organisation, region string) float64 {
+func (s *RegionShares) lastAgreedShare(organisation, region string) float64 {
 	if share, ok := s.agreedShares[organisation][region]; ok {
 		return share
 	}
--- a/roster/agreement.go
+++ b/roster/agreement.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// SharesFor is the time since its last heartbeat in which a box may still use its share
+	// ShareTTL is the time since its last heartbeat in which a box may still use its share
 	// of a quota: behind a network partition, which usually heals within this time, it goes
 	// on using it.
-	SharesFor = partitionWindow
+	ShareTTL = partitionWindow
 
 	checkInterval    = 500 * time.Millisecond // between two checks to a box; longer than a round trip between regions
 	maxChecksPerTick = 6
@@ -24,8 +24,8 @@
 	seedTimeout      = 10 * time.Second // after which the agreement of the region suffices if no seed answers
 )
 
-// Absence is a box that counts as dead but may still use its share of a quota.
-type Absence struct {
+// GoneBox is a box that counts as dead but may still use its share of a quota.
+type GoneBox struct {
 	Box string
 	Age time.Duration // since its last heartbeat; rounded up to 100 ms in datagrams
 }
@@ -71,11 +71,11 @@
 	return t.agreement.since, t.agreement.complete
 }
 
-// Sharers returns the other boxes of a region that may use a share of its quotas, by name:
-// those seen within SharesFor and, for the own region, those that others have reported as
+// QuotaUsers returns the other boxes of a region that may use a share of its quotas, by name:
+// those seen within ShareTTL and, for the own region, those that others have reported as
 // absent. An empty region stands for all.
-func (t *Table) Sharers(region string, now time.Duration) []string {
-	shares := func(r *record) bool { return inRegion(region, r.Status.Region) && now-r.Seen < SharesFor }
+func (t *Table) QuotaUsers(region string, now time.Duration) []string {
+	shares := func(r *record) bool { return inRegion(region, r.Status.Region) && now-r.LastAlive < ShareTTL }
 	out := make([]string, 0, len(t.order)+1) // callers append the own box
 	for _, r := range t.order {
 		if shares(r) {
@@ -87,7 +87,7 @@
 	}
 	recorded := len(out)
 	for name, seen := range t.agreement.absent {
-		if r, ok := t.records[name]; now-seen < SharesFor && !(ok && shares(r)) {
+		if r, ok := t.records[name]; now-seen < ShareTTL && !(ok && shares(r)) {
 			out = append(out, name)
 		}
 	}
@@ -147,7 +147,7 @@
 	list = list[:min(len(list), maxChecksPerTick)]
 	names := t.ownNameIDs(now)
 	b := t.header()
-	b.Sum = digestOf(names)
+	b.Digest = digestOf(names)
 	out := make([]Packet, 0, len(list))
 	for i, addr := range list {
 		t.agreement.lastAsked[addr] = now
@@ -201,7 +201,7 @@
 
 // ownNameIDs returns the recorded boxes of the region and the own one.
 func (t *Table) ownNameIDs(now time.Duration) []ID {
-	return nameIDs(append(t.Sharers(t.self.Region, now), t.self.Box))
+	return nameIDs(append(t.QuotaUsers(t.self.Region, now), t.self.Box))
 }
 
 func nameIDs(names []string) []ID {
@@ -217,16 +217,16 @@
 func (t *Table) answerCheck(out *outbox, b Compact, asker *record, from string, now time.Duration) {
 	known := t.namesInRegion(asker, now)
 	var alive []wire.BoxStatus
-	var gone []Absence
+	var gone []GoneBox
 	switch {
 	case len(b.Names) > 0:
 		alive, gone = t.missing(known, b.Names, now)
-	case b.Sum != digestOf(nameIDs(known)):
+	case b.Digest != digestOf(nameIDs(known)):
 		return
 	}
 	reply := t.header()
 	if len(alive)+len(gone) == 0 {
-		reply.Agreed = b.Check
+		reply.AgreedCheck = b.Check
 		out.packets = append(out.packets, Packet{ // outside the budget, as the check
 			Addr: from,
 			Buf:  reply.encode(),
@@ -238,14 +238,14 @@
 		out.send(from, t.encodeStatuses(alive[:min(len(alive), statusesPerReply)], false))
 	}
 	if len(gone) > 0 {
-		reply.Absent = gone[:min(len(gone), maxAbsent)]
+		reply.Gone = gone[:min(len(gone), maxAbsent)]
 		out.send(from, reply.encode())
 	}
 }
 
 // namesInRegion returns the recorded boxes of the asker's region, with the asker.
 func (t *Table) namesInRegion(asker *record, now time.Duration) []string {
-	out := t.Sharers(asker.Status.Region, now)
+	out := t.QuotaUsers(asker.Status.Region, now)
 	if !slices.Contains(out, asker.Status.Box) {
 		out = append(out, asker.Status.Box)
 	}
@@ -257,7 +257,7 @@
 
 // missing returns which of the boxes known are not among names: the statuses of those
 // alive, and those that are dead but may still use a quota.
-func (t *Table) missing(known []string, names []ID, now time.Duration) (alive []wire.BoxStatus, gone []Absence) {
+func (t *Table) missing(known []string, names []ID, now time.Duration) (alive []wire.BoxStatus, gone []GoneBox) {
 	for _, name := range known {
 		if slices.Contains(names, nameID(name)) {
 			continue
@@ -269,7 +269,7 @@
 		case ok && t.alive(r, now):
 			alive = append(alive, r.staticStatus())
 		default:
-			gone = append(gone, Absence{
+			gone = append(gone, GoneBox{
 				Box: name,
 				Age: now - t.lastSeen(name),
 			})
@@ -282,7 +282,7 @@
 func (t *Table) lastSeen(box string) time.Duration {
 	seen := never
 	if r, ok := t.records[box]; ok {
-		seen = r.Seen
+		seen = r.LastAlive
 	}
 	if remembered, ok := t.agreement.absent[box]; ok {
 		seen = max(seen, remembered)
@@ -292,26 +292,26 @@
 
 func (t *Table) recordAnswer(b Compact, r *record, now time.Duration) {
 	a := &t.agreement
-	for _, gone := range b.Absent {
+	for _, gone := range b.Gone {
 		seen := now - gone.Age // negative if the box died before this process started
 		if known, ok := a.absent[gone.Box]; gone.Box != t.self.Box && (!ok || seen > known) {
 			a.absent[gone.Box] = seen
 		}
 	}
-	if b.Agreed == 0 {
+	if b.AgreedCheck == 0 {
 		return
 	}
 	for _, seed := range t.seeds {
-		if b.Agreed == t.token(seed) {
+		if b.AgreedCheck == t.token(seed) {
 			a.seeds[seed] = true
 			a.agreed[r.Status.Box] = true
 		}
 	}
-	if b.Agreed == t.token(r.Status.Peers) {
+	if b.AgreedCheck == t.token(r.Status.Peers) {
 		a.agreed[r.Status.Box] = true
 	}
 }
 
 func (t *Table) expireAbsent(now time.Duration) {
-	maps.DeleteFunc(t.agreement.absent, func(_ string, seen time.Duration) bool { return now-seen >= SharesFor })
+	maps.DeleteFunc(t.agreement.absent, func(_ string, seen time.Duration) bool { return now-seen >= ShareTTL })
 }
--- a/roster/agreement_test.go
+++ b/roster/agreement_test.go
@@ -43,7 +43,7 @@
 		m.seqs[box]++
 		self := m.tables[box].self
 		self.Seq = m.seqs[box]
-		m.deliver(box, m.tables[box].Tell(self, now, pickFirst), now)
+		m.deliver(box, m.tables[box].Gossip(self, now, pickFirst), now)
 	}
 }
 
@@ -60,14 +60,14 @@
 			if b.Check != 0 {
 				m.checkBytes[from] += len(p.Buf) + packetHeaderBytes
 			}
-			m.deliver(to, tab.HearCompact(b, from+":1", now).Replies, now)
+			m.deliver(to, tab.ReceiveCompact(b, from+":1", now).Replies, now)
 			continue
 		}
 		g, err := Decode(p.Buf)
 		m.NoErr(err)
-		tab.Hear(g.From, true, now)
+		tab.Receive(g.From, true, now)
 		for _, o := range g.Others {
-			tab.Hear(o, false, now)
+			tab.Receive(o, false, now)
 		}
 	}
 }
@@ -99,14 +99,14 @@
 	}
 	m.True(m.complete("a", 10*Tick))
 	m.True(m.complete("b", 10*Tick))
-	m.Equal(m.tables["a"].Sharers("north", 10*Tick), []string{"b"})
+	m.Equal(m.tables["a"].QuotaUsers("north", 10*Tick), []string{"b"})
 }
 
 func TestABoxOfTheRegionThatDoesNotAnswerIsWaitedForWhileItCountsAsAlive(t *testing.T) {
 	m := newCluster(t)
 	m.join("seed", "south", "a")
 	m.join("a", "north", "seed")
-	m.tables["a"].Hear(status("mute", "north", 1, 1), true, 0)
+	m.tables["a"].Receive(status("mute", "north", 1, 1), true, 0)
 	now := time.Duration(0)
 	for ; now <= aliveTimeout; now += Tick {
 		m.tick(now, "a", "seed")
@@ -117,14 +117,14 @@
 		now += Tick
 	}
 	m.True(m.complete("a", now))
-	m.Equal(m.tables["a"].Sharers("north", now), []string{"mute"}) // it may still use its share
+	m.Equal(m.tables["a"].QuotaUsers("north", now), []string{"mute"}) // it may still use its share
 }
 
 func TestABoxReceivesTheNamesOfDeadBoxesThatMayUseTheirShare(t *testing.T) {
 	m := newCluster(t)
 	const gone = 20 * time.Second
 	m.join("seed", "south", "a")
-	m.tables["seed"].Hear(status("gone", "north", 1, 1), true, 0)
+	m.tables["seed"].Receive(status("gone", "north", 1, 1), true, 0)
 	m.join("a", "north", "seed")
 	now := gone
 	for ; now < gone+8*Tick; now += Tick {
@@ -132,8 +132,8 @@
 	}
 	m.True(m.complete("a", now))
 	m.True(!m.tables["a"].Alive("gone", now)) // it receives no work
-	m.Equal(m.tables["a"].Sharers("north", now), []string{"gone"})
-	m.Equal(len(m.tables["a"].Sharers("north", SharesFor)), 0)
+	m.Equal(m.tables["a"].QuotaUsers("north", now), []string{"gone"})
+	m.Equal(len(m.tables["a"].QuotaUsers("north", ShareTTL)), 0)
 }
 
 func TestWithoutASeedTheAgreementOfTheRegionSufficesAfterATimeout(t *testing.T) {
@@ -167,8 +167,8 @@
 	}
 	for _, from := range append(all, "seed") {
 		for _, to := range all {
-			m.tables[to].Hear(status(from, m.tables[from].self.Region, 1, 1), true, now)
-			m.tables["seed"].Hear(status(to, "north", 1, 1), true, now)
+			m.tables[to].Receive(status(from, m.tables[from].self.Region, 1, 1), true, now)
+			m.tables["seed"].Receive(status(to, "north", 1, 1), true, now)
 		}
 		m.seqs[from] = 1
 	}
@@ -181,7 +181,7 @@
 	t.Logf("complete after %v with %d bytes", took, m.checkBytes["a"])
 	m.True(took <= 10*time.Second)
 	m.True(m.checkBytes["a"] <= 20_000)
-	m.Equal(len(m.tables["a"].Sharers("north", now)), others)
+	m.Equal(len(m.tables["a"].QuotaUsers("north", now)), others)
 }
 
 func TestABoxAsksAgainAfterAPartition(t *testing.T) {
@@ -203,22 +203,22 @@
 	m.join("new", "north", "seed")
 	run(4*time.Second, "seed", "new", "a")
 	m.True(m.complete("a", now))
-	m.Equal(m.tables["a"].Sharers("north", now), []string{"new"})
+	m.Equal(m.tables["a"].QuotaUsers("north", now), []string{"new"})
 }
 
 func TestAnAnswerToAnEarlierProcessIsIgnored(t *testing.T) {
 	m := newCluster(t)
 	a := m.join("a", "north", "seed")
 	a.setSelf(status("a", "north", 2, 1))
-	a.Hear(status("seed", "south", 1, 1), true, 0)
+	a.Receive(status("seed", "south", 1, 1), true, 0)
 	b := heartbeat("seed", 2)
-	b.Agreed = IDOf("seed:1", 1) // to the check of the earlier process
-	a.HearCompact(b, "seed:1", 0)
-	a.Adapt(Tick)
+	b.AgreedCheck = IDOf("seed:1", 1) // to the check of the earlier process
+	a.ReceiveCompact(b, "seed:1", 0)
+	a.BeginTick(Tick)
 	m.True(!m.complete("a", Tick))
-	b.Agreed = IDOf("seed:1", 2)
-	a.HearCompact(b, "seed:1", Tick)
-	a.Adapt(2 * Tick)
+	b.AgreedCheck = IDOf("seed:1", 2)
+	a.ReceiveCompact(b, "seed:1", Tick)
+	a.BeginTick(2 * Tick)
 	m.True(m.complete("a", 2*Tick))
 }
 
@@ -233,9 +233,9 @@
 	is.True(len(question.encode()) <= datagramBytes)
 	answer := tab.header()
 	for n := range maxAbsent {
-		answer.Absent = append(answer.Absent, Absence{
+		answer.Gone = append(answer.Gone, GoneBox{
 			Box: fmt.Sprintf("%0*d", maxNameBytes, n),
-			Age: SharesFor,
+			Age: ShareTTL,
 		})
 	}
 	is.True(len(answer.encode()) <= datagramBytes)
--- a/roster/compact.go
+++ b/roster/compact.go
@@ -42,11 +42,11 @@
 // ReplicaIDOf returns the ID of a replica's incarnation.
 func ReplicaIDOf(start string) ReplicaID { return ReplicaID(short.Of(start)) }
 
-// Vital is a liveness entry: the last heartbeat received of a box, and its age.
-type Vital struct {
-	ID   ID
-	Beat uint16        // low bits of the sequence number
-	Age  time.Duration // rounded up to 100 ms, at most 25.5 s
+// LivenessEntry is the last heartbeat received of a box, and its age.
+type LivenessEntry struct {
+	ID  ID
+	Seq uint16        // low bits of the sequence number
+	Age time.Duration // rounded up to 100 ms, at most 25.5 s
 }
 
 // CompactLoad is the load that the sender has at a replica.
@@ -55,48 +55,48 @@
 	Load    wire.ReplicaLoad // without the ID
 }
 
-// CompactRooms is the capacity of a box's region, as that box reported it.
-type CompactRooms struct {
-	From  Vital
-	Rooms []wire.ServiceRoom
+// CompactCapacity is the capacity of a box's region, as that box reported it.
+type CompactCapacity struct {
+	From     LivenessEntry
+	Services []wire.ServiceRoom
 }
 
-// CompactWord is the load report of a replica to a box.
-type CompactWord struct {
-	Replica  ReplicaID
-	Age      time.Duration // rounded up to 20 ms, at most 5.1 s
-	Requests int
-	Waiting  int  // of Requests
-	Tokens   int  // of memory that the requests hold, rounded up to 16; 0 if not reported
-	Silent   bool // the replica didn't answer
+// CompactLoadReport is the load report of a replica to a box.
+type CompactLoadReport struct {
+	Replica     ReplicaID
+	Age         time.Duration // rounded up to 20 ms, at most 5.1 s
+	Requests    int
+	Waiting     int  // of Requests
+	Tokens      int  // of memory that the requests hold, rounded up to 16; 0 if not reported
+	Unreachable bool // the replica didn't answer
 }
 
 // Compact is a compact datagram, which boxes send where they are many. It refers to boxes
 // by ID; the fields of a box that never change are sent once, in a full status.
 type Compact struct {
-	From    Vital
-	State   wire.ServingState
-	Closed  bool // the sender accepts no requests of callers
-	Ping    bool // the sender requests a heartbeat at once
-	Loaded  bool // Loads has all significant loads of the sender
-	Catalog int64
-	Newest  int64 // newest catalog revision of which the sender has a record
-	Policy  int
-	ReadMs  int // milliseconds since the publisher was read with nothing newer than Catalog
-	UpMs    int
-	Lapses  int // replicas whose removal the sender considered unconfirmed
-	Vitals  []Vital
-	Silent  []Vital // boxes that the sender records as dead, with their last heartbeat
-	Leaving []ID
-	Unknown []ID
-	Loads   []CompactLoad
-	Rooms   []CompactRooms
-	Words   []CompactWord // latest load reports of the region's replicas
-	Check   ID            // token of the check whether Names are all boxes of the sender's region; 0 for none
-	Names   []ID          // boxes regardless of incarnation; empty where Sum suffices
-	Sum     ID            // digest of the names, also where Names is empty
-	Agreed  ID            // token of the check to which the sender agrees; 0 for none
-	Absent  []Absence     // dead boxes that the check lacked
+	From                LivenessEntry
+	State               wire.ServingState
+	NoCallers           bool // the sender accepts no requests of callers
+	Probe               bool // the sender requests a heartbeat at once
+	AllLoads            bool // Loads has all significant loads of the sender
+	Catalog             int64
+	NewestCatalog       int64 // newest catalog revision of which the sender has a record
+	Policy              int
+	CatalogReadMs       int // milliseconds since the publisher was read with nothing newer than Catalog
+	UpMs                int
+	UnconfirmedRemovals int // replicas whose removal the sender considered unconfirmed
+	Liveness            []LivenessEntry
+	Dead                []LivenessEntry // boxes that the sender records as dead, with their last heartbeat
+	Leaving             []ID
+	Requested           []ID
+	Loads               []CompactLoad
+	Capacity            []CompactCapacity
+	LoadReports         []CompactLoadReport // latest load reports of the region's replicas
+	Check               ID                  // token of the check whether Names are all boxes of the sender's region; 0 for none
+	Names               []ID                // boxes regardless of incarnation; empty where Digest suffices
+	Digest              ID                  // digest of the names, also where Names is empty
+	AgreedCheck         ID                  // token of the check to which the sender agrees; 0 for none
+	Gone                []GoneBox           // dead boxes that the check lacked
 }
 
 // states in the order of their numbers in a compact datagram.
@@ -120,25 +120,25 @@
 	out = appendLiveness(out, b.From)
 	out = append(out, b.flags())
 	out = binary.AppendUvarint(out, uint64(b.Catalog))
-	out = binary.AppendUvarint(out, uint64(b.Newest))
+	out = binary.AppendUvarint(out, uint64(b.NewestCatalog))
 	out = binary.AppendUvarint(out, uint64(b.Policy))
-	out = binary.AppendUvarint(out, uint64(b.ReadMs))
+	out = binary.AppendUvarint(out, uint64(b.CatalogReadMs))
 	out = binary.AppendUvarint(out, uint64(b.UpMs))
-	out = binary.AppendUvarint(out, uint64(b.Lapses))
-	out = appendLivenessList(out, b.Vitals)
-	out = appendLivenessList(out, b.Silent)
+	out = binary.AppendUvarint(out, uint64(b.UnconfirmedRemovals))
+	out = appendLivenessList(out, b.Liveness)
+	out = appendLivenessList(out, b.Dead)
 	out = appendIDs(out, b.Leaving)
-	out = appendIDs(out, b.Unknown)
+	out = appendIDs(out, b.Requested)
 	out = binary.AppendUvarint(out, uint64(len(b.Loads)))
 	for _, l := range b.Loads {
 		out = appendLoad(out, l)
 	}
-	out = binary.AppendUvarint(out, uint64(len(b.Rooms)))
-	for _, r := range b.Rooms {
+	out = binary.AppendUvarint(out, uint64(len(b.Capacity)))
+	for _, r := range b.Capacity {
 		out = appendCapacity(out, r)
 	}
-	out = binary.AppendUvarint(out, uint64(len(b.Words)))
-	for _, w := range b.Words {
+	out = binary.AppendUvarint(out, uint64(len(b.LoadReports)))
+	for _, w := range b.LoadReports {
 		out = appendLoadReport(out, w)
 	}
 	return b.appendAgreement(out)
@@ -148,17 +148,17 @@
 func (b Compact) appendAgreement(out []byte) []byte {
 	if b.Check != 0 {
 		out = binary.BigEndian.AppendUint32(out, uint32(b.Check))
-		out = binary.BigEndian.AppendUint32(out, uint32(b.Sum))
+		out = binary.BigEndian.AppendUint32(out, uint32(b.Digest))
 		out = appendIDs(out, b.Names)
 	}
-	if b.Agreed != 0 {
-		out = binary.BigEndian.AppendUint32(out, uint32(b.Agreed))
+	if b.AgreedCheck != 0 {
+		out = binary.BigEndian.AppendUint32(out, uint32(b.AgreedCheck))
 	}
-	if len(b.Absent) == 0 {
+	if len(b.Gone) == 0 {
 		return out
 	}
-	out = binary.AppendUvarint(out, uint64(len(b.Absent)))
-	for _, gone := range b.Absent {
+	out = binary.AppendUvarint(out, uint64(len(b.Gone)))
+	for _, gone := range b.Gone {
 		out = appendText(out, gone.Box)
 		out = binary.AppendUvarint(out, uint64(max(0, (gone.Age+ageUnit-1)/ageUnit)))
 	}
@@ -177,22 +177,22 @@
 			out = byte(i)
 		}
 	}
-	if b.Closed {
+	if b.NoCallers {
 		out |= bitNoCallers
 	}
-	if b.Loaded {
+	if b.AllLoads {
 		out |= bitAllLoads
 	}
-	if b.Ping {
+	if b.Probe {
 		out |= bitProbe
 	}
 	if b.Check != 0 {
 		out |= bitCheck
 	}
-	if b.Agreed != 0 {
+	if b.AgreedCheck != 0 {
 		out |= bitAgreed
 	}
-	if len(b.Absent) > 0 {
+	if len(b.Gone) > 0 {
 		out |= bitAbsent
 	}
 	return out
@@ -206,7 +206,7 @@
 	return out
 }
 
-func appendLivenessList(out []byte, list []Vital) []byte {
+func appendLivenessList(out []byte, list []LivenessEntry) []byte {
 	out = binary.AppendUvarint(out, uint64(len(list)))
 	for _, v := range list {
 		out = appendLiveness(out, v)
@@ -215,9 +215,9 @@
 }
 
 // appendLiveness appends a liveness entry, its age rounded up to ageUnit.
-func appendLiveness(out []byte, v Vital) []byte {
+func appendLiveness(out []byte, v LivenessEntry) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(v.ID))
-	out = binary.BigEndian.AppendUint16(out, v.Beat)
+	out = binary.BigEndian.AppendUint16(out, v.Seq)
 	return append(out, byte(min(max(0, (v.Age+ageUnit-1)/ageUnit), math.MaxUint8)))
 }
 
@@ -235,11 +235,11 @@
 	return out
 }
 
-func appendLoadReport(out []byte, w CompactWord) []byte {
+func appendLoadReport(out []byte, w CompactLoadReport) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(w.Replica))
 	out = append(out, byte(min(max(0, (w.Age+reportAgeUnit-1)/reportAgeUnit), math.MaxUint8)))
 	requests := uint64(max(0, w.Requests)) << 1
-	if w.Silent {
+	if w.Unreachable {
 		requests |= bitUnreachable
 	}
 	out = binary.AppendUvarint(out, requests)
@@ -247,10 +247,10 @@
 	return binary.AppendUvarint(out, uint64(max(0, w.Tokens+tokenUnit-1)/tokenUnit))
 }
 
-func appendCapacity(out []byte, r CompactRooms) []byte {
+func appendCapacity(out []byte, r CompactCapacity) []byte {
 	out = appendLiveness(out, r.From)
-	out = binary.AppendUvarint(out, uint64(len(r.Rooms)))
-	for _, s := range r.Rooms {
+	out = binary.AppendUvarint(out, uint64(len(r.Services)))
+	for _, s := range r.Services {
 		out = appendText(out, s.Service)
 		for _, n := range []int{s.Usable, s.WaitMs, s.Busy, s.Fewest} {
 			out = binary.AppendUvarint(out, uint64(max(0, n)))
--- a/roster/compact_test.go
+++ b/roster/compact_test.go
@@ -11,11 +11,11 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-func drawLiveness(t *rapid.T) Vital {
-	return Vital{
-		ID:   ID(rapid.Uint32().Draw(t, "id")),
-		Beat: rapid.Uint16().Draw(t, "beat"),
-		Age:  time.Duration(rapid.IntRange(0, 255).Draw(t, "age")) * ageUnit,
+func drawLiveness(t *rapid.T) LivenessEntry {
+	return LivenessEntry{
+		ID:  ID(rapid.Uint32().Draw(t, "id")),
+		Seq: rapid.Uint16().Draw(t, "beat"),
+		Age: time.Duration(rapid.IntRange(0, 255).Draw(t, "age")) * ageUnit,
 	}
 }
 
@@ -31,25 +31,25 @@
 func drawCompact(t *rapid.T) Compact {
 	number := func() int { return rapid.IntRange(0, 1<<20).Draw(t, "number") }
 	tokens := func() int { return number() * tokenUnit }
-	vital := func() Vital { return drawLiveness(t) }
+	vital := func() LivenessEntry { return drawLiveness(t) }
 	name := func() string { return rapid.StringMatching(`[a-z]{1,64}`).Draw(t, "box") }
 	id := func(label string) ID { return ID(rapid.Uint32Min(1).Draw(t, label)) }
 	out := Compact{
-		From:    vital(),
-		State:   rapid.SampledFrom(states).Draw(t, "state"),
-		Closed:  rapid.Bool().Draw(t, "closed"),
-		Loaded:  rapid.Bool().Draw(t, "loaded"),
-		Ping:    rapid.Bool().Draw(t, "ping"),
-		Catalog: rapid.Int64Min(0).Draw(t, "catalog"),
-		Newest:  rapid.Int64Min(0).Draw(t, "newest"),
-		Policy:  number(),
-		ReadMs:  number(),
-		UpMs:    number(),
-		Lapses:  number(),
-		Vitals:  drawList(t, 40, "vitals", vital),
-		Silent:  drawList(t, 4, "silent", vital),
-		Leaving: drawList(t, 4, "leaving", func() ID { return ID(rapid.Uint32().Draw(t, "leaves")) }),
-		Unknown: drawList(t, 4, "unknown", func() ID { return ID(rapid.Uint32().Draw(t, "asked")) }),
+		From:                vital(),
+		State:               rapid.SampledFrom(states).Draw(t, "state"),
+		NoCallers:           rapid.Bool().Draw(t, "closed"),
+		AllLoads:            rapid.Bool().Draw(t, "loaded"),
+		Probe:               rapid.Bool().Draw(t, "ping"),
+		Catalog:             rapid.Int64Min(0).Draw(t, "catalog"),
+		NewestCatalog:       rapid.Int64Min(0).Draw(t, "newest"),
+		Policy:              number(),
+		CatalogReadMs:       number(),
+		UpMs:                number(),
+		UnconfirmedRemovals: number(),
+		Liveness:            drawList(t, 40, "vitals", vital),
+		Dead:                drawList(t, 4, "silent", vital),
+		Leaving:             drawList(t, 4, "leaving", func() ID { return ID(rapid.Uint32().Draw(t, "leaves")) }),
+		Requested:           drawList(t, 4, "unknown", func() ID { return ID(rapid.Uint32().Draw(t, "asked")) }),
 		Loads: drawList(t, 9, "loads", func() CompactLoad {
 			return CompactLoad{
 				Replica: ReplicaID(rapid.Uint32().Draw(t, "replica")),
@@ -62,10 +62,10 @@
 				},
 			}
 		}),
-		Rooms: drawList(t, 2, "rooms", func() CompactRooms {
-			return CompactRooms{
+		Capacity: drawList(t, 2, "rooms", func() CompactCapacity {
+			return CompactCapacity{
 				From: vital(),
-				Rooms: drawList(t, 2, "services", func() wire.ServiceRoom {
+				Services: drawList(t, 2, "services", func() wire.ServiceRoom {
 					return wire.ServiceRoom{
 						Service: rapid.StringMatching(`[a-z]{1,20}`).Draw(t, "service"),
 						Usable:  number(),
@@ -76,27 +76,27 @@
 				}),
 			}
 		}),
-		Words: drawList(t, 9, "words", func() CompactWord {
-			return CompactWord{
-				Replica:  ReplicaID(rapid.Uint32().Draw(t, "replica")),
-				Age:      time.Duration(rapid.IntRange(0, 255).Draw(t, "age")) * reportAgeUnit,
-				Requests: number(),
-				Waiting:  number(),
-				Tokens:   tokens(),
-				Silent:   rapid.Bool().Draw(t, "silent"),
+		LoadReports: drawList(t, 9, "words", func() CompactLoadReport {
+			return CompactLoadReport{
+				Replica:     ReplicaID(rapid.Uint32().Draw(t, "replica")),
+				Age:         time.Duration(rapid.IntRange(0, 255).Draw(t, "age")) * reportAgeUnit,
+				Requests:    number(),
+				Waiting:     number(),
+				Tokens:      tokens(),
+				Unreachable: rapid.Bool().Draw(t, "silent"),
 			}
 		}),
 	}
 	if rapid.Bool().Draw(t, "question") {
 		out.Check = id("check")
-		out.Sum = id("sum")
+		out.Digest = id("sum")
 		out.Names = drawList(t, 40, "names", func() ID { return id("named") })
 	}
 	if rapid.Bool().Draw(t, "agrees") {
-		out.Agreed = id("agreed")
+		out.AgreedCheck = id("agreed")
 	}
-	out.Absent = drawList(t, maxAbsent, "absent", func() Absence {
-		return Absence{
+	out.Gone = drawList(t, maxAbsent, "absent", func() GoneBox {
+		return GoneBox{
 			Box: name(),
 			Age: time.Duration(rapid.IntRange(0, 600).Draw(t, "since")) * ageUnit,
 		}
@@ -135,11 +135,11 @@
 
 func TestALivenessEntryTakesTheBytesThatTheBudgetCounts(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(appendLiveness(nil, Vital{})), livenessBytes)
+	is.Equal(len(appendLiveness(nil, LivenessEntry{})), livenessBytes)
 	empty := Compact{
-		Catalog: 1 << 40,
-		Newest:  1 << 40,
-		Policy:  1 << 20,
+		Catalog:       1 << 40,
+		NewestCatalog: 1 << 40,
+		Policy:        1 << 20,
 	}
 	is.True(len(empty.encode()) <= emptyCompactBytes)
 }
--- a/roster/compactfuzz_test.go
+++ b/roster/compactfuzz_test.go
@@ -13,11 +13,11 @@
 	b := Compact{
 		State:   wire.ServingStateServing,
 		Catalog: 7,
-		Vitals: []Vital{{
+		Liveness: []LivenessEntry{{
 			ID:  1,
 			Age: time.Second,
 		}},
-		Words: []CompactWord{{
+		LoadReports: []CompactLoadReport{{
 			Replica:  ReplicaIDOf("i-1@mip8q2rf"),
 			Requests: 3,
 		}},
--- a/roster/compactstate.go
+++ b/roster/compactstate.go
@@ -45,7 +45,7 @@
 	changed        []string                  // boxes whose change is not relayed yet
 	near           []string                  // boxes of the own region left to send to in this cycle
 	farRegions     []string
-	rounds         int     // calls of Round
+	rounds         int     // calls of CompactRound
 	budget         float64 // bytes left to send
 	statusReplies  int     // datagrams of requested statuses in this tick
 	newestRevision int64
--- a/roster/compatibility_test.go
+++ b/roster/compatibility_test.go
@@ -19,7 +19,7 @@
 
 func lightDatagram() Compact {
 	return Compact{
-		From:  Vital{ID: 0x01020304, Beat: 0x0506, Age: 300 * time.Millisecond},
+		From:  LivenessEntry{ID: 0x01020304, Seq: 0x0506, Age: 300 * time.Millisecond},
 		State: wire.ServingStateServing,
 	}
 }
@@ -27,44 +27,44 @@
 // fullDatagram has different values in all fields, and two elements in most lists.
 func fullDatagram() Compact {
 	return Compact{
-		From:    Vital{ID: 0x11223344, Beat: 0xabcd, Age: 1500 * time.Millisecond},
-		State:   wire.ServingStateLeaving,
-		Closed:  true,
-		Ping:    true,
-		Loaded:  true,
-		Catalog: 1 << 40,
-		Newest:  1<<40 + 3,
-		Policy:  31,
-		ReadMs:  1234,
-		UpMs:    987654,
-		Lapses:  5,
-		Vitals: []Vital{
-			{ID: 0x21, Beat: 7, Age: 100 * time.Millisecond},
-			{ID: 0xfffffffe, Beat: 0xffff, Age: 25500 * time.Millisecond},
+		From:                LivenessEntry{ID: 0x11223344, Seq: 0xabcd, Age: 1500 * time.Millisecond},
+		State:               wire.ServingStateLeaving,
+		NoCallers:           true,
+		Probe:               true,
+		AllLoads:            true,
+		Catalog:             1 << 40,
+		NewestCatalog:       1<<40 + 3,
+		Policy:              31,
+		CatalogReadMs:       1234,
+		UpMs:                987654,
+		UnconfirmedRemovals: 5,
+		Liveness: []LivenessEntry{
+			{ID: 0x21, Seq: 7, Age: 100 * time.Millisecond},
+			{ID: 0xfffffffe, Seq: 0xffff, Age: 25500 * time.Millisecond},
 		},
-		Silent:  []Vital{{ID: 0x31, Beat: 8, Age: 200 * time.Millisecond}},
-		Leaving: []ID{0x41, 0x42},
-		Unknown: []ID{0x51},
+		Dead:      []LivenessEntry{{ID: 0x31, Seq: 8, Age: 200 * time.Millisecond}},
+		Leaving:   []ID{0x41, 0x42},
+		Requested: []ID{0x51},
 		Loads: []CompactLoad{
 			{Replica: 0x61, Load: wire.ReplicaLoad{InFlight: 12, Tokens: 16000, Prompt: 4800, Reads: 320, Kept: []int{0x71, 0xfffffffd}}},
 			{Replica: 0x62, Load: wire.ReplicaLoad{InFlight: 1}},
 		},
-		Rooms: []CompactRooms{{
-			From: Vital{ID: 0x81, Beat: 9, Age: 400 * time.Millisecond},
-			Rooms: []wire.ServiceRoom{
+		Capacity: []CompactCapacity{{
+			From: LivenessEntry{ID: 0x81, Seq: 9, Age: 400 * time.Millisecond},
+			Services: []wire.ServiceRoom{
 				{Service: "chat", Usable: 32, WaitMs: 1200, Busy: 17, Fewest: 2},
 				{Service: "embed", Usable: 300},
 			},
 		}},
-		Words: []CompactWord{
+		LoadReports: []CompactLoadReport{
 			{Replica: 0x91, Age: 60 * time.Millisecond, Requests: 70, Waiting: 3, Tokens: 64000},
-			{Replica: 0x92, Age: 5100 * time.Millisecond, Silent: true},
+			{Replica: 0x92, Age: 5100 * time.Millisecond, Unreachable: true},
 		},
-		Check:  0xa1,
-		Names:  []ID{0xb1, 0xb2},
-		Sum:    0xc1,
-		Agreed: 0xd1,
-		Absent: []Absence{{Box: "north-hall-2-front-12", Age: 30 * time.Second}},
+		Check:       0xa1,
+		Names:       []ID{0xb1, 0xb2},
+		Digest:      0xc1,
+		AgreedCheck: 0xd1,
+		Gone:        []GoneBox{{Box: "north-hall-2-front-12", Age: 30 * time.Second}},
 	}
 }
 
--- a/roster/converge_test.go
+++ b/roster/converge_test.go
@@ -170,9 +170,9 @@
 func (b *box) receive(g wire.Gossip, from net.Addr) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tab.Hear(g.From, true, b.now())
+	b.tab.Receive(g.From, true, b.now())
 	for _, s := range g.Others {
-		b.tab.Hear(s, false, b.now())
+		b.tab.Receive(s, false, b.now())
 	}
 	if g.Ask {
 		b.send(from.String(), b.gossip())
@@ -243,7 +243,7 @@
 		s := o.self
 		o.mu.Unlock()
 		b.mu.Lock()
-		b.tab.Hear(s, false, b.now())
+		b.tab.Receive(s, false, b.now())
 		b.mu.Unlock()
 	}
 }
--- a/roster/datagram.go
+++ b/roster/datagram.go
@@ -13,18 +13,18 @@
 func (t *Table) header() Compact {
 	s := t.compact.selfStatus
 	return Compact{
-		From: Vital{
-			ID:   t.compact.self,
-			Beat: uint16(s.Seq),
+		From: LivenessEntry{
+			ID:  t.compact.self,
+			Seq: uint16(s.Seq),
 		},
-		State:   stateOf(s),
-		Closed:  s.Callers == "",
-		Catalog: int64(s.Catalog),
-		Newest:  t.compact.newestRevision,
-		Policy:  s.Policy,
-		ReadMs:  s.ReadMs,
-		UpMs:    s.UpMs,
-		Lapses:  s.Lapses,
+		State:               stateOf(s),
+		NoCallers:           s.Callers == "",
+		Catalog:             int64(s.Catalog),
+		NewestCatalog:       t.compact.newestRevision,
+		Policy:              s.Policy,
+		CatalogReadMs:       s.ReadMs,
+		UpMs:                s.UpMs,
+		UnconfirmedRemovals: s.Lapses,
 	}
 }
 
@@ -33,31 +33,31 @@
 // region.
 func (t *Table) livenessDatagram(c recipients, now time.Duration, far bool) Compact {
 	b := t.header()
-	b.Vitals = t.livenessEntries(c, now, far)
-	b.Silent = t.deaths(now)
+	b.Liveness = t.livenessEntries(c, now, far)
+	b.Dead = t.deaths(now)
 	for _, r := range c.all {
 		if r.State() == wire.ServingStateLeaving && len(b.Leaving) < maxLeaving {
 			b.Leaving = append(b.Leaving, r.id)
 		}
 	}
 	if far {
-		b.Rooms = t.ownCapacity()
+		b.Capacity = t.ownCapacity()
 		return b
 	}
-	b.Rooms = t.nextCapacity(now)
-	b.Loads, b.Loaded = c.loads, c.allLoads
+	b.Capacity = t.nextCapacity(now)
+	b.Loads, b.AllLoads = c.loads, c.allLoads
 	// Only capacity with long service names takes so much; the other lists are limited.
 	for len(b.encode()) > datagramBytes {
-		b.Rooms = nil
+		b.Capacity = nil
 		b.Loads = b.Loads[:len(b.Loads)/2]
-		b.Loaded = false
+		b.AllLoads = false
 	}
 	return b
 }
 
 // livenessEntries returns the entries to relay. For the own region these include the latest
 // of each other region, which shows that the region is reachable, and some more.
-func (t *Table) livenessEntries(c recipients, now time.Duration, far bool) []Vital {
+func (t *Table) livenessEntries(c recipients, now time.Duration, far bool) []LivenessEntry {
 	var own, others []*record
 	for _, r := range c.near {
 		if t.compact.byID[r.id] == r {
@@ -70,7 +70,7 @@
 		return out
 	}
 	for _, region := range slices.Sorted(maps.Keys(c.far)) {
-		latest := slices.MaxFunc(c.far[region], func(a, b *record) int { return cmp.Compare(a.Heard, b.Heard) })
+		latest := slices.MaxFunc(c.far[region], func(a, b *record) int { return cmp.Compare(a.LastHeartbeat, b.LastHeartbeat) })
 		for _, r := range c.far[region] {
 			switch {
 			case t.compact.byID[r.id] != r:
@@ -86,7 +86,7 @@
 }
 
 // appendRelayed appends the entries of the first records and marks these as relayed.
-func (t *Table) appendRelayed(out []Vital, list []*record, limit int, now time.Duration) []Vital {
+func (t *Table) appendRelayed(out []LivenessEntry, list []*record, limit int, now time.Duration) []LivenessEntry {
 	for _, r := range list[:min(len(list), limit)] {
 		r.relayedRound = t.compact.rounds
 		r.fresh = false
@@ -95,19 +95,19 @@
 	return out
 }
 
-func (r *record) livenessEntry(now time.Duration) Vital {
-	return Vital{
-		ID:   r.id,
-		Beat: uint16(r.Status.Seq),
-		Age:  now - r.Heard,
+func (r *record) livenessEntry(now time.Duration) LivenessEntry {
+	return LivenessEntry{
+		ID:  r.id,
+		Seq: uint16(r.Status.Seq),
+		Age: now - r.LastHeartbeat,
 	}
 }
 
 // deaths returns the boxes to report as dead, the latest first: of the own region those that
 // time out or whose monitors declare them dead, unless this box is muted, and of other
 // regions those that their region declares dead.
-func (t *Table) deaths(now time.Duration) []Vital {
-	var list []Vital
+func (t *Table) deaths(now time.Duration) []LivenessEntry {
+	var list []LivenessEntry
 	for _, r := range t.records {
 		own := r.Status.Region == t.self.Region
 		v := r.livenessEntry(now)
@@ -123,7 +123,7 @@
 			list = append(list, v)
 		}
 	}
-	slices.SortFunc(list, func(a, b Vital) int {
+	slices.SortFunc(list, func(a, b LivenessEntry) int {
 		return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.ID, b.ID))
 	})
 	return list[:min(len(list), maxDeaths)]
@@ -162,41 +162,41 @@
 	return l.InFlight > 0 || l.Prompt > 0 || l.Reads >= minReads
 }
 
-func (t *Table) ownCapacity() []CompactRooms {
+func (t *Table) ownCapacity() []CompactCapacity {
 	if len(t.compact.selfStatus.Rooms) == 0 {
 		return nil
 	}
-	return []CompactRooms{{
-		From:  t.header().From,
-		Rooms: t.compact.selfStatus.Rooms,
+	return []CompactCapacity{{
+		From:     t.header().From,
+		Services: t.compact.selfStatus.Rooms,
 	}}
 }
 
 // nextCapacity returns the latest capacity of another region that isn't relayed yet.
-func (t *Table) nextCapacity(now time.Duration) []CompactRooms {
+func (t *Table) nextCapacity(now time.Duration) []CompactCapacity {
 	newest := make(map[string]*record)
 	for _, r := range t.records {
-		if r.Status.Region == t.self.Region || len(r.Status.Rooms) == 0 || now-r.Told > t.RoomsAge() {
+		if r.Status.Region == t.self.Region || len(r.Status.Rooms) == 0 || now-r.CapacityAt > t.CapacityTTL() {
 			continue
 		}
-		if n, ok := newest[r.Status.Region]; !ok || r.Told > n.Told || (r.Told == n.Told && r.id < n.id) {
+		if n, ok := newest[r.Status.Region]; !ok || r.CapacityAt > n.CapacityAt || (r.CapacityAt == n.CapacityAt && r.id < n.id) {
 			newest[r.Status.Region] = r
 		}
 	}
 	var next *record
 	for _, r := range newest {
-		if r.capacityRelayed < r.Told && (next == nil || r.Told > next.Told || (r.Told == next.Told && r.id < next.id)) {
+		if r.capacityRelayed < r.CapacityAt && (next == nil || r.CapacityAt > next.CapacityAt || (r.CapacityAt == next.CapacityAt && r.id < next.id)) {
 			next = r
 		}
 	}
 	if next == nil {
 		return nil
 	}
-	next.capacityRelayed = next.Told
+	next.capacityRelayed = next.CapacityAt
 	v := next.livenessEntry(now)
-	v.Age = now - next.Told
-	return []CompactRooms{{
-		From:  v,
-		Rooms: next.Status.Rooms,
+	v.Age = now - next.CapacityAt
+	return []CompactCapacity{{
+		From:     v,
+		Services: next.Status.Rooms,
 	}}
 }
--- a/roster/delay.go
+++ b/roster/delay.go
@@ -6,9 +6,9 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Waited returns the transit and queueing delay of a status beyond the smallest delay
+// QueueingDelay returns the transit and queueing delay of a status beyond the smallest delay
 // observed for the same process. It must be added to the ages in the status.
-func (t *Table) Waited(s wire.BoxStatus, now time.Duration) time.Duration {
+func (t *Table) QueueingDelay(s wire.BoxStatus, now time.Duration) time.Duration {
 	r, ok := t.records[s.Box]
 	if !ok || r.Status.Inc != s.Inc || s.UpMs == 0 {
 		return 0
--- a/roster/delay_test.go
+++ b/roster/delay_test.go
@@ -26,8 +26,8 @@
 			UpMs:   int(up.Milliseconds()),
 		}
 		now := up - offset + transit
-		table.Hear(s, true, now)
-		return table.Waited(s, now)
+		table.Receive(s, true, now)
+		return table.QueueingDelay(s, now)
 	}
 	is.Equal(waited(1, 1, 50*time.Second, 30*time.Millisecond), time.Duration(0))
 	is.Equal(waited(1, 2, 51*time.Second, 4*time.Second), 4*time.Second-30*time.Millisecond)
--- a/roster/digest.go
+++ b/roster/digest.go
@@ -76,7 +76,7 @@
 		return cmp.Or(
 			cmp.Compare(rank(a), rank(b)),
 			cmp.Compare(relayOrder(a), relayOrder(b)),
-			cmp.Compare(b.Heard, a.Heard),
+			cmp.Compare(b.LastHeartbeat, a.LastHeartbeat),
 			cmp.Compare(a.Status.Box, b.Status.Box),
 		)
 	})
--- a/roster/domain.go
+++ b/roster/domain.go
@@ -12,8 +12,8 @@
 	if r.Status.Region != t.self.Region {
 		return
 	}
-	if at, ok := t.domainLastSeen[r.Status.Domain]; !ok || r.Heard > at {
-		t.domainLastSeen[r.Status.Domain] = r.Heard
+	if at, ok := t.domainLastSeen[r.Status.Domain]; !ok || r.LastHeartbeat > at {
+		t.domainLastSeen[r.Status.Domain] = r.LastHeartbeat
 	}
 }
 
--- a/roster/gossip.go
+++ b/roster/gossip.go
@@ -12,12 +12,12 @@
 	maxDigest   = 8
 )
 
-// Tell returns the datagrams to send at this tick. It must be called once per tick. self is
+// Gossip returns the datagrams to send at this tick. It must be called once per tick. self is
 // the status of this box. rnd returns a random number from 0 to n-1.
-func (t *Table) Tell(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
-	t.Adapt(now)
+func (t *Table) Gossip(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
+	t.BeginTick(now)
 	if !t.params.fullStatus {
-		return t.Round(self, now, rnd)
+		return t.CompactRound(self, now, rnd)
 	}
 	t.setSelf(self)
 	var others []wire.BoxStatus
@@ -31,24 +31,24 @@
 	}), t.checkPackets(now)...)
 }
 
-// TellLoads returns datagrams that send the loads of this box to its region at once.
-func (t *Table) TellLoads(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
+// SendLoads returns datagrams that send the loads of this box to its region at once.
+func (t *Table) SendLoads(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	if !t.params.fullStatus {
-		return t.Loads(self, now, rnd)
+		return t.CompactLoads(self, now, rnd)
 	}
-	return gossipPackets(t.OwnRegion(now), wire.Gossip{
+	return gossipPackets(t.RegionTargets(now), wire.Gossip{
 		From: self,
 	})
 }
 
-// TellEveryone returns the datagrams of an urgent update. ask requests an immediate answer.
-func (t *Table) TellEveryone(self wire.BoxStatus, now time.Duration, ask bool) []Packet {
+// Broadcast returns the datagrams of an urgent update. ask requests an immediate answer.
+func (t *Table) Broadcast(self wire.BoxStatus, now time.Duration, ask bool) []Packet {
 	t.setSelf(self)
-	return gossipPackets(t.Everyone(now), t.fullGossip(self, now, ask))
+	return gossipPackets(t.BroadcastTargets(now), t.fullGossip(self, now, ask))
 }
 
-// Answer returns the answer to a box that asks for one.
-func (t *Table) Answer(self wire.BoxStatus, addr string, now time.Duration) []Packet {
+// Reply returns the answer to a box that asks for one.
+func (t *Table) Reply(self wire.BoxStatus, addr string, now time.Duration) []Packet {
 	t.setSelf(self)
 	return gossipPackets([]string{addr}, t.fullGossip(self, now, false))
 }
--- a/roster/gossip_test.go
+++ b/roster/gossip_test.go
@@ -22,7 +22,7 @@
 	table := New(self)
 	now := time.Second
 	receive := func(name, region string, direct bool) {
-		table.Hear(wire.BoxStatus{
+		table.Receive(wire.BoxStatus{
 			Box:    name,
 			Inc:    1,
 			Seq:    1,
@@ -34,7 +34,7 @@
 		receive(fmt.Sprint("known-", i), "c", false)
 	}
 	others := func() []wire.BoxStatus {
-		packets := table.Tell(self, now, func(int) int { return 0 })
+		packets := table.Gossip(self, now, func(int) int { return 0 })
 		is.True(len(packets) > 0)
 		g, err := Decode(packets[0].Buf)
 		is.NoErr(err)
--- a/roster/incarnation_test.go
+++ b/roster/incarnation_test.go
@@ -15,9 +15,9 @@
 	var out []string
 	for n := range 166 {
 		out = append(out, catalog.Replica{
-			ID:   fmt.Sprintf("i-%08x", n*0x9e3779b1&0xffffffff),
-			Born: born,
-		}.Start())
+			ID:        fmt.Sprintf("i-%08x", n*0x9e3779b1&0xffffffff),
+			StartedAt: born,
+		}.Incarnation())
 	}
 	return out
 }
@@ -33,7 +33,7 @@
 				Tokens:   9000,
 			},
 		})
-		b.Words = append(b.Words, CompactWord{
+		b.LoadReports = append(b.LoadReports, CompactLoadReport{
 			Replica:  ReplicaIDOf(name),
 			Requests: 12,
 		})
--- a/roster/link.go
+++ b/roster/link.go
@@ -43,9 +43,9 @@
 	return func(l *Link) { l.handleCompact = f }
 }
 
-// WithOther sets the handler of the datagrams of another package, which start with the byte
+// WithForeign sets the handler of the datagrams of another package, which start with the byte
 // magic. The handler must not keep the buffer.
-func WithOther(magic byte, f func(buf []byte, from net.Addr)) LinkOption {
+func WithForeign(magic byte, f func(buf []byte, from net.Addr)) LinkOption {
 	return func(l *Link) {
 		l.magic = magic
 		l.handleOther = f
@@ -125,14 +125,14 @@
 	if err != nil {
 		return err
 	}
-	return l.Post(Packet{
+	return l.SendPacket(Packet{
 		Addr: addr,
 		Buf:  buf,
 	})
 }
 
-// Post sends an encoded datagram.
-func (l *Link) Post(p Packet) error {
+// SendPacket sends an encoded datagram.
+func (l *Link) SendPacket(p Packet) error {
 	to, err := netip.ParseAddrPort(p.Addr)
 	if err != nil {
 		return errors.Wrap(err, "send gossip")
--- a/roster/liveness.go
+++ b/roster/liveness.go
@@ -20,16 +20,16 @@
 func (t *Table) alive(r *record, now time.Duration) bool {
 	switch {
 	case t.params.fullStatus:
-		return now-r.Heard <= aliveTimeout
+		return now-r.LastHeartbeat <= aliveTimeout
 	case r.declaredDead:
 		return false
 	case r.Status.Region == t.self.Region && t.monitoring.enabled:
-		return now-r.Heard <= farAliveTimeout // its monitors declare it dead
+		return now-r.LastHeartbeat <= farAliveTimeout // its monitors declare it dead
 	case r.Status.Region == t.self.Region:
-		return now-r.Heard <= t.params.nearTimeout
+		return now-r.LastHeartbeat <= t.params.nearTimeout
 	}
 	liveness, ok := t.compact.regions[r.Status.Region]
-	return ok && now-liveness.lastSeen <= t.params.regionTimeout && now-r.Heard <= t.params.farTimeout && r.Heard > liveness.staleUntil
+	return ok && now-liveness.lastSeen <= t.params.regionTimeout && now-r.LastHeartbeat <= t.params.farTimeout && r.LastHeartbeat > liveness.staleUntil
 }
 
 func (t *Table) recordRegionAlive(r *record, now time.Duration) {
@@ -40,11 +40,11 @@
 			staleUntil: never,
 		}
 	}
-	if r.Heard > liveness.lastSeen {
+	if r.LastHeartbeat > liveness.lastSeen {
 		if now-liveness.lastSeen > partitionThreshold {
 			liveness.staleUntil = liveness.lastSeen
 		}
-		liveness.lastSeen = r.Heard
+		liveness.lastSeen = r.LastHeartbeat
 	}
 	t.compact.regions[r.Status.Region] = liveness
 	t.recordDomainAlive(r)
@@ -96,7 +96,7 @@
 	t.checkMonitored(now)
 	for _, r := range t.records {
 		if t.alive(r, now) {
-			r.Seen = now
+			r.LastAlive = now
 			r.deathAnnounced = false
 			continue
 		}
@@ -108,7 +108,7 @@
 }
 
 // recordLiveness records that a box was alive. ok is false if its ID is unknown.
-func (t *Table) recordLiveness(v Vital, now time.Duration) (r *record, newer, ok bool) {
+func (t *Table) recordLiveness(v LivenessEntry, now time.Duration) (r *record, newer, ok bool) {
 	r, ok = t.compact.byID[v.ID]
 	if !ok {
 		_, retired := t.compact.retired[v.ID]
@@ -117,13 +117,13 @@
 	if r == nil {
 		return nil, false, true
 	}
-	seq := expandSeq(r.Status.Seq, v.Beat)
+	seq := expandSeq(r.Status.Seq, v.Seq)
 	newer = seq > r.Status.Seq
 	r.Status.Seq = max(r.Status.Seq, seq)
 	// The age of a relayed entry lacks its transit time, so a repeated heartbeat isn't later.
-	if lastSeen := now - v.Age; newer && lastSeen > r.Heard {
-		r.Heard = lastSeen
-		r.Seen = max(r.Seen, lastSeen)
+	if lastSeen := now - v.Age; newer && lastSeen > r.LastHeartbeat {
+		r.LastHeartbeat = lastSeen
+		r.LastAlive = max(r.LastAlive, lastSeen)
 		r.declaredDead = r.declaredDead && lastSeen <= r.deadSince+deathSlack
 		t.recordRegionAlive(r, now)
 	}
@@ -133,7 +133,7 @@
 // recordDeath records that the region or a monitor of a box has received no heartbeat of it
 // since a time. A later heartbeat and the result of this box's own monitoring take
 // precedence.
-func (t *Table) recordDeath(v Vital, now time.Duration) {
+func (t *Table) recordDeath(v LivenessEntry, now time.Duration) {
 	r := t.compact.byID[v.ID]
 	if r == nil || (r.Status.Region == t.self.Region && !t.monitoring.enabled) {
 		return
@@ -142,7 +142,7 @@
 		return
 	}
 	since := now - v.Age
-	if r.Heard > since+deathSlack {
+	if r.LastHeartbeat > since+deathSlack {
 		r.fresh = t.alive(r, now) // relays the refutation
 		return
 	}
--- a/roster/liveness_test.go
+++ b/roster/liveness_test.go
@@ -19,7 +19,7 @@
 		Region: "a",
 	})
 	receive := func(box string, seq int, now time.Duration) {
-		table.Hear(wire.BoxStatus{
+		table.Receive(wire.BoxStatus{
 			Box:    box,
 			Inc:    1,
 			Seq:    seq,
@@ -30,21 +30,21 @@
 	start := time.Minute
 	receive("dead", 7, start)
 	receive("near", 1, start)
-	relayed := Vital{
-		ID:   IDOf("dead", 1),
-		Beat: 7,
+	relayed := LivenessEntry{
+		ID:  IDOf("dead", 1),
+		Seq: 7,
 	}
 	for hop := range 100 { // two regions relay the entry to each other
 		now := start + time.Duration(hop)*crossing
 		r, _, known := table.recordLiveness(relayed, now)
 		is.True(known)
-		is.Equal(r.Heard, start)
-		relayed.Age = now - r.Heard
+		is.Equal(r.LastHeartbeat, start)
+		relayed.Age = now - r.LastHeartbeat
 	}
-	relayed.Beat = 8
+	relayed.Seq = 8
 	relayed.Age = crossing
 	later := start + time.Minute
 	r, newer, _ := table.recordLiveness(relayed, later)
 	is.True(newer)
-	is.Equal(r.Heard, later-crossing)
+	is.Equal(r.LastHeartbeat, later-crossing)
 }
--- a/roster/loadreports.go
+++ b/roster/loadreports.go
@@ -7,24 +7,24 @@
 	reportFanout = 2  // boxes that receive them in a tick
 )
 
-// TellsLoads reports whether boxes send each other their loads at the replicas. Where that
+// SharesLoads reports whether boxes send each other their loads at the replicas. Where that
 // takes too many bytes they relay the load reports of the replicas.
-func (t *Table) TellsLoads() bool { return t.params.fullStatus || t.params.loads > 0 }
+func (t *Table) SharesLoads() bool { return t.params.fullStatus || t.params.loads > 0 }
 
-// HeardWithin reports whether a datagram of another box was received within d.
-func (t *Table) HeardWithin(d, now time.Duration) bool { return now-t.agreement.lastContact <= d }
+// ReceivedWithin reports whether a datagram of another box was received within d.
+func (t *Table) ReceivedWithin(d, now time.Duration) bool { return now-t.agreement.lastContact <= d }
 
-// TellWords returns datagrams that send load reports to random ones of addrs, which it
+// SendLoadReports returns datagrams that send load reports to random ones of addrs, which it
 // reorders. They don't count against the budget, as their number doesn't grow with the number
 // of boxes.
-func (t *Table) TellWords(reports []CompactWord, addrs []string, rnd func(n int) int) []Packet {
+func (t *Table) SendLoadReports(reports []CompactLoadReport, addrs []string, rnd func(n int) int) []Packet {
 	if len(reports) == 0 {
 		return nil
 	}
 	b := t.header()
 	for _, report := range reports[:min(len(reports), maxReports)] {
 		report.Age += reportAgeUnit // makes up for the transit time, so that relayed reports don't get younger
-		b.Words = append(b.Words, report)
+		b.LoadReports = append(b.LoadReports, report)
 	}
 	buf := b.encode()
 	out := make([]Packet, 0, reportFanout)
--- a/roster/loadreports_test.go
+++ b/roster/loadreports_test.go
@@ -15,7 +15,7 @@
 	tab := New(status("a", "north", 1, 1))
 	age, actual := 30*time.Millisecond, 30*time.Millisecond
 	for range 100 {
-		packets := tab.TellWords([]CompactWord{{
+		packets := tab.SendLoadReports([]CompactLoadReport{{
 			Replica:  7,
 			Age:      age,
 			Requests: 3,
@@ -24,7 +24,7 @@
 		b, err := DecodeCompact(packets[0].Buf)
 		is.NoErr(err)
 		actual += transit
-		age = b.Words[0].Age
+		age = b.LoadReports[0].Age
 		is.True(age >= actual)
 	}
 }
@@ -32,10 +32,10 @@
 func TestLoadReportsAreLimitedToOneDatagram(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 1))
-	is.Equal(len(tab.TellWords(nil, []string{"10.0.0.2:7000"}, rand.IntN)), 0)
-	var list []CompactWord
+	is.Equal(len(tab.SendLoadReports(nil, []string{"10.0.0.2:7000"}, rand.IntN)), 0)
+	var list []CompactLoadReport
 	for n := range 1000 {
-		list = append(list, CompactWord{
+		list = append(list, CompactLoadReport{
 			Replica:  ReplicaID(n),
 			Age:      5 * time.Second,
 			Requests: 200,
@@ -43,7 +43,7 @@
 			Tokens:   1 << 20,
 		})
 	}
-	packets := tab.TellWords(list, []string{"10.0.0.2:7000", "10.0.0.3:7000"}, rand.IntN)
+	packets := tab.SendLoadReports(list, []string{"10.0.0.2:7000", "10.0.0.3:7000"}, rand.IntN)
 	is.Equal(len(packets), 2)
 	is.True(len(packets[0].Buf) <= datagramBytes)
 }
--- a/roster/monitor.go
+++ b/roster/monitor.go
@@ -76,7 +76,7 @@
 	if !ok || r.Status.Region != t.self.Region {
 		return 0, false
 	}
-	return now - max(since, r.Heard), true
+	return now - max(since, r.LastHeartbeat), true
 }
 
 // checkMonitored declares monitored boxes dead whose heartbeats have timed out, unless this
@@ -92,7 +92,7 @@
 		}
 		if silent, _ := t.monitoredSilence(r, now); silent > aliveTimeout {
 			r.declaredDead = true
-			r.deadSince = r.Heard
+			r.deadSince = r.LastHeartbeat
 			t.compact.newDeaths = true
 		}
 	}
--- a/roster/oracle_test.go
+++ b/roster/oracle_test.go
@@ -122,7 +122,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"hear": func(t *rapid.T) {
 				m := all.draw(t)
-				tab.Hear(m.status, m.direct, now)
+				tab.Receive(m.status, m.direct, now)
 				model.receive(m, now)
 			},
 			"wait": func(t *rapid.T) {
@@ -159,8 +159,8 @@
 		}
 	}
 	north, south := model.seenWithin("north", now, maxAliveWindow)+1, model.seenWithin("south", now, maxAliveWindow)
-	if tab.MostIn("north", now) < north || tab.MostIn("south", now) < south || tab.Most(now) < north+south {
-		t.Fatalf("%d and %d boxes may be alive; got %d, %d, %d", north, south, tab.MostIn("north", now), tab.MostIn("south", now), tab.Most(now))
+	if tab.MaxAliveIn("north", now) < north || tab.MaxAliveIn("south", now) < south || tab.MaxAlive(now) < north+south {
+		t.Fatalf("%d and %d boxes may be alive; got %d, %d, %d", north, south, tab.MaxAliveIn("north", now), tab.MaxAliveIn("south", now), tab.MaxAlive(now))
 	}
 }
 
@@ -174,10 +174,10 @@
 		}
 		one, two := New(status("a", "north", 2, 0)), New(status("a", "north", 2, 0))
 		for _, m := range list {
-			one.Hear(m.status, m.direct, 0)
+			one.Receive(m.status, m.direct, 0)
 		}
 		for _, m := range rapid.Permutation(list).Draw(t, "order") {
-			two.Hear(m.status, m.direct, 0)
+			two.Receive(m.status, m.direct, 0)
 		}
 		if !reflect.DeepEqual(one.Members(), two.Members()) {
 			t.Fatalf("%+v\ndiffers from\n%+v", one.Members(), two.Members())
--- a/roster/params.go
+++ b/roster/params.go
@@ -96,7 +96,7 @@
 	near, all := 0, 1
 	regions := make(map[string]bool)
 	for _, r := range t.records {
-		if now-r.Seen >= partitionWindow {
+		if now-r.LastAlive >= partitionWindow {
 			continue
 		}
 		all++
@@ -109,21 +109,21 @@
 	t.params = paramsFor(near, len(regions), all)
 }
 
-// LoadsAge returns how long loads received from another box are valid.
-func (t *Table) LoadsAge() time.Duration {
+// LoadsTTL returns how long loads received from another box are valid.
+func (t *Table) LoadsTTL() time.Duration {
 	if t.params.fullStatus {
 		return 0
 	}
 	return min(2*t.params.nearInterval+2*Tick, maxLoadsAge)
 }
 
-// RoomsAge returns how long capacity received from another region is valid.
-func (t *Table) RoomsAge() time.Duration {
+// CapacityTTL returns how long capacity received from another region is valid.
+func (t *Table) CapacityTTL() time.Duration {
 	if t.params.fullStatus {
 		return 0
 	}
 	return min(3*t.params.farInterval, maxCapacityAge)
 }
 
-// Plain reports whether there are so few boxes that they send full statuses.
-func (t *Table) Plain() bool { return t.params.fullStatus }
+// FullStatusMode reports whether there are so few boxes that they send full statuses.
+func (t *Table) FullStatusMode() bool { return t.params.fullStatus }
--- a/roster/params_test.go
+++ b/roster/params_test.go
@@ -59,11 +59,11 @@
 		now := time.Duration(i) * Tick
 		receiveHeartbeats(tab, "north", 60, now)
 		receiveHeartbeats(tab, "south", 60, now)
-		for _, p := range tab.Tell(fullStatus("a", 2, 40), now, pickFirst) {
+		for _, p := range tab.Gossip(fullStatus("a", 2, 40), now, pickFirst) {
 			spent += len(p.Buf) + packetHeaderBytes
 		}
 	}
-	is.True(!tab.Plain())
+	is.True(!tab.FullStatusMode())
 	is.True(spent > 0)
 	is.True(float64(spent) <= (seconds+1)*tab.params.bytesPerSecond)
 }
@@ -73,16 +73,16 @@
 	tab := New(status("a", "north", 1, 0))
 	receiveHeartbeats(tab, "north", 60, now)
 	receiveHeartbeats(tab, "south", 60, now)
-	tab.Adapt(now)
+	tab.BeginTick(now)
 	return tab
 }
 
 // heartbeat returns a compact datagram without lists.
 func heartbeat(box string, beat uint16) Compact {
 	return Compact{
-		From: Vital{
-			ID:   IDOf(box, 1),
-			Beat: beat,
+		From: LivenessEntry{
+			ID:  IDOf(box, 1),
+			Seq: beat,
 		},
 		State: wire.ServingStateServing,
 	}
@@ -92,41 +92,41 @@
 	is := is.New(t)
 	tab := largeTable(0)
 	const now = 7 * time.Second
-	dead := Vital{
-		ID:   IDOf("south-01", 1),
-		Beat: 1,
-		Age:  now,
+	dead := LivenessEntry{
+		ID:  IDOf("south-01", 1),
+		Seq: 1,
+		Age: now,
 	}
 	report := heartbeat("south-02", 9)
-	report.Silent = []Vital{dead}
-	tab.HearCompact(report, "south-02:1", now)
+	report.Dead = []LivenessEntry{dead}
+	tab.ReceiveCompact(report, "south-02:1", now)
 	is.True(!tab.Alive("south-01", now))
 	is.True(tab.Alive("south-02", now))
 	is.True(tab.Alive("south-03", now)) // its region is reachable and doesn't declare it dead
 
 	late := heartbeat("south-02", 10)
-	late.Vitals = []Vital{{ID: dead.ID, Beat: 2, Age: now - time.Second}} // received by few boxes, just before the death
-	tab.HearCompact(late, "south-02:1", now)
+	late.Liveness = []LivenessEntry{{ID: dead.ID, Seq: 2, Age: now - time.Second}} // received by few boxes, just before the death
+	tab.ReceiveCompact(late, "south-02:1", now)
 	is.True(!tab.Alive("south-01", now))
 
-	tab.HearCompact(heartbeat("south-01", 3), "south-01:1", now)
+	tab.ReceiveCompact(heartbeat("south-01", 3), "south-01:1", now)
 	is.True(tab.Alive("south-01", now))
-	report.From.Beat = 11
-	tab.HearCompact(report, "south-02:1", now) // from a box that missed the later heartbeat
+	report.From.Seq = 11
+	tab.ReceiveCompact(report, "south-02:1", now) // from a box that missed the later heartbeat
 	is.True(tab.Alive("south-01", now))
 }
 
 func TestASilentRegionIsDeadButStillCountsForQuotas(t *testing.T) {
 	is := is.New(t)
 	tab := largeTable(0)
-	tab.Adapt(maxAliveTimeout)
+	tab.BeginTick(maxAliveTimeout)
 	is.True(tab.Alive("south-01", maxAliveTimeout))
 	const now = maxAliveTimeout + Tick
-	tab.Adapt(now)
+	tab.BeginTick(now)
 	is.True(!tab.Alive("south-01", now))
 	is.Equal(len(tab.Serving("south", now)), 0)
 	for _, m := range tab.Members() {
-		is.True(now-m.Seen < partitionWindow)
+		is.True(now-m.LastAlive < partitionWindow)
 	}
 }
 
@@ -134,16 +134,16 @@
 	is := is.New(t)
 	asker, informed := largeTable(0), largeTable(0)
 	informed.setSelf(status("b", "south", 1, 1))
-	informed.Hear(status("new", "south", 1, 1), true, 0)
-	asker.Hear(status("b", "south", 1, 1), true, 0)
+	informed.Receive(status("new", "south", 1, 1), true, 0)
+	asker.Receive(status("b", "south", 1, 1), true, 0)
 	b := heartbeat("b", 2)
-	b.Vitals = []Vital{{ID: IDOf("new", 1), Beat: 1}}
-	h := asker.HearCompact(b, "b:1", 0)
+	b.Liveness = []LivenessEntry{{ID: IDOf("new", 1), Seq: 1}}
+	h := asker.ReceiveCompact(b, "b:1", 0)
 	is.Equal(len(h.Replies), 1)
 	is.Equal(h.Replies[0].Addr, "b:1")
 	q, err := DecodeCompact(h.Replies[0].Buf)
 	is.NoErr(err)
-	answers := informed.HearCompact(q, "c:1", 0).Replies
+	answers := informed.ReceiveCompact(q, "c:1", 0).Replies
 	found := false
 	for _, p := range answers {
 		if IsCompact(p.Buf) {
@@ -152,13 +152,13 @@
 		g, err := Decode(p.Buf)
 		is.NoErr(err)
 		for _, s := range g.Others {
-			asker.Hear(s, false, 0)
+			asker.Receive(s, false, 0)
 			found = found || s.Box == "new"
 		}
 	}
 	is.True(found)
 	is.True(asker.Alive("new", 0))
-	is.Equal(len(asker.HearCompact(b, "b:1", 0).Replies), 0) // nothing is left to request
+	is.Equal(len(asker.ReceiveCompact(b, "b:1", 0).Replies), 0) // nothing is left to request
 }
 
 func TestAProbeIsAnsweredAtOnce(t *testing.T) {
@@ -166,8 +166,8 @@
 	tab := largeTable(0)
 	tab.setSelf(status("a", "north", 1, 5))
 	b := heartbeat("north-01", 2)
-	b.Ping = true
-	h := tab.HearCompact(b, "north-01:1", Tick)
+	b.Probe = true
+	h := tab.ReceiveCompact(b, "north-01:1", Tick)
 	is.Equal(len(h.Replies), 1)
 	got, err := DecodeCompact(h.Replies[0].Buf)
 	is.NoErr(err)
--- a/roster/parse.go
+++ b/roster/parse.go
@@ -29,38 +29,38 @@
 		From: p.liveness(),
 	}
 	flags := p.byte()
-	b.Closed = flags&bitNoCallers != 0
-	b.Loaded = flags&bitAllLoads != 0
-	b.Ping = flags&bitProbe != 0
+	b.NoCallers = flags&bitNoCallers != 0
+	b.AllLoads = flags&bitAllLoads != 0
+	b.Probe = flags&bitProbe != 0
 	state := int(flags & maskState)
 	if state >= len(states) {
 		return Compact{}, ErrCompact
 	}
 	b.State = states[state]
 	b.Catalog = p.uvarint()
-	b.Newest = p.uvarint()
+	b.NewestCatalog = p.uvarint()
 	b.Policy = int(p.uvarint())
-	b.ReadMs = p.number()
+	b.CatalogReadMs = p.number()
 	b.UpMs = p.number()
-	b.Lapses = p.number()
-	b.Vitals = parseList(&p, livenessBytes, p.liveness)
-	b.Silent = parseList(&p, livenessBytes, p.liveness)
+	b.UnconfirmedRemovals = p.number()
+	b.Liveness = parseList(&p, livenessBytes, p.liveness)
+	b.Dead = parseList(&p, livenessBytes, p.liveness)
 	id := func() ID { return ID(p.fixed32()) }
 	b.Leaving = parseList(&p, 4, id)
-	b.Unknown = parseList(&p, 4, id)
+	b.Requested = parseList(&p, 4, id)
 	b.Loads = parseList(&p, 8, p.load)
-	b.Rooms = parseList(&p, livenessBytes+1, p.regionCapacity)
-	b.Words = parseList(&p, 8, p.loadReport)
+	b.Capacity = parseList(&p, livenessBytes+1, p.regionCapacity)
+	b.LoadReports = parseList(&p, 8, p.loadReport)
 	if flags&bitCheck != 0 {
 		b.Check = p.token()
-		b.Sum = id()
+		b.Digest = id()
 		b.Names = parseList(&p, 4, id)
 	}
 	if flags&bitAgreed != 0 {
-		b.Agreed = p.token()
+		b.AgreedCheck = p.token()
 	}
 	if flags&bitAbsent != 0 {
-		b.Absent = parseList(&p, 2, p.absent)
+		b.Gone = parseList(&p, 2, p.absent)
 	}
 	if p.failed || len(p.rest) > 0 {
 		return Compact{}, ErrCompact
@@ -109,11 +109,11 @@
 	return int(n)
 }
 
-func (p *parser) liveness() Vital {
-	return Vital{
-		ID:   ID(p.fixed32()),
-		Beat: binary.BigEndian.Uint16(p.next(2)),
-		Age:  time.Duration(p.byte()) * ageUnit,
+func (p *parser) liveness() LivenessEntry {
+	return LivenessEntry{
+		ID:  ID(p.fixed32()),
+		Seq: binary.BigEndian.Uint16(p.next(2)),
+		Age: time.Duration(p.byte()) * ageUnit,
 	}
 }
 
@@ -133,23 +133,23 @@
 	return out
 }
 
-func (p *parser) loadReport() CompactWord {
-	out := CompactWord{
+func (p *parser) loadReport() CompactLoadReport {
+	out := CompactLoadReport{
 		Replica: ReplicaID(p.fixed32()),
 		Age:     time.Duration(p.byte()) * reportAgeUnit,
 	}
 	requests := p.number()
-	out.Silent = requests&bitUnreachable != 0
+	out.Unreachable = requests&bitUnreachable != 0
 	out.Requests = requests >> 1
 	out.Waiting = p.number()
 	out.Tokens = p.number() * tokenUnit
 	return out
 }
 
-func (p *parser) regionCapacity() CompactRooms {
-	return CompactRooms{
-		From:  p.liveness(),
-		Rooms: parseList(p, 5, p.serviceCapacity),
+func (p *parser) regionCapacity() CompactCapacity {
+	return CompactCapacity{
+		From:     p.liveness(),
+		Services: parseList(p, 5, p.serviceCapacity),
 	}
 }
 
@@ -178,8 +178,8 @@
 	return id
 }
 
-func (p *parser) absent() Absence {
-	return Absence{
+func (p *parser) absent() GoneBox {
+	return GoneBox{
 		Box: p.text(),
 		Age: time.Duration(p.number()) * ageUnit,
 	}
--- a/roster/receive.go
+++ b/roster/receive.go
@@ -7,25 +7,25 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Heard is what a caller needs of a compact datagram, beside the updates of the table.
-type Heard struct {
-	Sender  string // empty if there is no record of the box
-	Status  wire.BoxStatus
-	Loads   []CompactLoad
-	All     bool // Loads has all significant loads
-	Newer   bool // false for a late or repeated datagram
-	Replies []Packet
+// Received is what a caller needs of a compact datagram, beside the updates of the table.
+type Received struct {
+	Sender   string // empty if there is no record of the box
+	Status   wire.BoxStatus
+	Loads    []CompactLoad
+	AllLoads bool // Loads has all significant loads
+	Newer    bool // false for a late or repeated datagram
+	Replies  []Packet
 }
 
-// HearCompact handles a compact datagram received from an address.
-func (t *Table) HearCompact(b Compact, from string, now time.Duration) Heard {
+// ReceiveCompact handles a compact datagram received from an address.
+func (t *Table) ReceiveCompact(b Compact, from string, now time.Duration) Received {
 	t.compact.lastReceived = now
 	t.recordContact(now)
 	out := &outbox{
 		compact:  &t.compact,
 		selfAddr: t.self.Peers,
 	}
-	var h Heard
+	var h Received
 	r, newer, known := t.recordLiveness(b.From, now)
 	switch {
 	case r != nil:
@@ -35,11 +35,11 @@
 	}
 	t.recordOthers(out, b, r, from, now)
 	t.recordCapacity(b, now)
-	t.compact.newestRevision = max(t.compact.newestRevision, b.Newest, b.Catalog)
-	if b.Ping {
+	t.compact.newestRevision = max(t.compact.newestRevision, b.NewestCatalog, b.Catalog)
+	if b.Probe {
 		out.send(from, t.header().encode())
 	}
-	t.sendStatuses(out, b.Unknown, from, now)
+	t.sendStatuses(out, b.Requested, from, now)
 	if r != nil {
 		t.recordAnswer(b, r, now)
 	}
@@ -50,18 +50,18 @@
 	return h
 }
 
-func (t *Table) recordSender(r *record, b Compact, newer bool) Heard {
+func (t *Table) recordSender(r *record, b Compact, newer bool) Received {
 	if newer {
 		s := r.Status
 		s.State = b.State
-		if b.Closed {
+		if b.NoCallers {
 			s.Callers = ""
 		}
 		s.Catalog = int(b.Catalog)
 		s.Policy = b.Policy
-		s.ReadMs = b.ReadMs
+		s.ReadMs = b.CatalogReadMs
 		s.UpMs = b.UpMs
-		s.Lapses = b.Lapses
+		s.Lapses = b.UnconfirmedRemovals
 		if r.State() == wire.ServingStateLeaving {
 			s.State = wire.ServingStateLeaving
 		}
@@ -73,12 +73,12 @@
 			r.fresh = true
 		}
 	}
-	return Heard{
-		Sender: r.Status.Box,
-		Status: r.Status,
-		Loads:  b.Loads,
-		All:    b.Loaded,
-		Newer:  newer,
+	return Received{
+		Sender:   r.Status.Box,
+		Status:   r.Status,
+		Loads:    b.Loads,
+		AllLoads: b.AllLoads,
+		Newer:    newer,
 	}
 }
 
@@ -86,7 +86,7 @@
 // status of unknown ones.
 func (t *Table) recordOthers(out *outbox, b Compact, sender *record, from string, now time.Duration) {
 	var unknown []ID
-	for _, v := range b.Vitals {
+	for _, v := range b.Liveness {
 		r, newer, known := t.recordLiveness(v, now)
 		if !known && len(unknown) < maxUnknown && t.compact.startRequest(v.ID, now) {
 			unknown = append(unknown, v.ID)
@@ -95,7 +95,7 @@
 			r.fresh = true
 		}
 	}
-	for _, v := range b.Silent {
+	for _, v := range b.Dead {
 		if v.ID == t.compact.self && t.monitoring.enabled {
 			t.refute(out, from)
 			continue
@@ -111,19 +111,19 @@
 		return
 	}
 	q := t.header()
-	q.Unknown = unknown
+	q.Requested = unknown
 	out.send(from, q.encode())
 }
 
 func (t *Table) recordCapacity(b Compact, now time.Duration) {
-	for _, capacity := range b.Rooms {
+	for _, capacity := range b.Capacity {
 		r := t.compact.byID[capacity.From.ID]
-		if r == nil || now-capacity.From.Age <= r.Told {
+		if r == nil || now-capacity.From.Age <= r.CapacityAt {
 			continue
 		}
-		r.Status.Rooms = slices.Clone(capacity.Rooms)
-		r.capacitySeq = max(r.capacitySeq, expandSeq(r.Status.Seq, capacity.From.Beat))
-		r.Told = now - capacity.From.Age
+		r.Status.Rooms = slices.Clone(capacity.Services)
+		r.capacitySeq = max(r.capacitySeq, expandSeq(r.Status.Seq, capacity.From.Seq))
+		r.CapacityAt = now - capacity.From.Age
 	}
 }
 
--- a/roster/round.go
+++ b/roster/round.go
@@ -8,9 +8,9 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Adapt starts a tick: it adapts the parameters to the number of boxes, expires members, and
+// BeginTick starts a tick: it adapts the parameters to the number of boxes, expires members, and
 // updates the liveness of the others.
-func (t *Table) Adapt(now time.Duration) {
+func (t *Table) BeginTick(now time.Duration) {
 	t.removeExpired(now)
 	t.updateParams(now)
 	t.chooseMonitors(now)
@@ -21,10 +21,10 @@
 	t.compact.statusReplies = 0
 }
 
-// Round returns the compact datagrams to send at this tick within the budget: changes, probes,
-// one liveness datagram, and loads to as many boxes as the budget allows. self is the status
-// of this box. Call Adapt first.
-func (t *Table) Round(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
+// CompactRound returns the compact datagrams to send at this tick within the budget: changes,
+// probes, one liveness datagram, and loads to as many boxes as the budget allows. self is the
+// status of this box. Call BeginTick first.
+func (t *Table) CompactRound(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	t.setSelf(self)
 	l := &t.compact
 	l.rounds++
@@ -85,9 +85,9 @@
 	t.compact.newestRevision = max(t.compact.newestRevision, int64(self.Catalog))
 }
 
-// Loads returns datagrams that send the loads to the next boxes of the region at once, as far
-// as the budget allows.
-func (t *Table) Loads(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
+// CompactLoads returns datagrams that send the loads to the next boxes of the region at once,
+// as far as the budget allows.
+func (t *Table) CompactLoads(self wire.BoxStatus, now time.Duration, rnd func(n int) int) []Packet {
 	t.setSelf(self)
 	out := &outbox{
 		compact:  &t.compact,
--- a/roster/send.go
+++ b/roster/send.go
@@ -67,8 +67,8 @@
 	}
 	t.compact.newDeaths = false
 	b := t.header()
-	b.Silent = t.deaths(now)
-	if len(b.Silent) == 0 {
+	b.Dead = t.deaths(now)
+	if len(b.Dead) == 0 {
 		return
 	}
 	buf := b.encode()
@@ -82,7 +82,7 @@
 func (t *Table) probeSilent(out *outbox, now time.Duration, rnd func(n int) int) {
 	buf := t.header().encode()
 	if t.compact.rounds%silentProbeEvery == 0 {
-		late := t.members(func(r *record) bool { return !t.alive(r, now) && now-r.Heard < partitionWindow })
+		late := t.members(func(r *record) bool { return !t.alive(r, now) && now-r.LastHeartbeat < partitionWindow })
 		for _, m := range pickRandom(late, 1, rnd) {
 			out.send(m.Status.Peers, buf)
 		}
@@ -102,7 +102,7 @@
 // near, so that a box isn't declared dead because its heartbeats reached few others.
 func (t *Table) sendProbes(out *outbox, c recipients, now time.Duration, rnd func(n int) int) {
 	b := t.header()
-	b.Ping = true
+	b.Probe = true
 	buf := b.encode()
 	var late []*record
 	for _, r := range c.all {
@@ -123,7 +123,7 @@
 // isSuspect reports whether the timeout of a box of the region is near.
 func (t *Table) isSuspect(r *record, now time.Duration) bool {
 	if !t.monitoring.enabled {
-		return now-r.Heard > t.params.nearTimeout*probePercent/percent
+		return now-r.LastHeartbeat > t.params.nearTimeout*probePercent/percent
 	}
 	silent, monitored := t.monitoredSilence(r, now)
 	return monitored && silent > monitorProbeDelay
@@ -146,7 +146,7 @@
 // sendLoads sends datagrams with the loads only to more boxes of the region, one to each.
 func (t *Table) sendLoads(out *outbox, c recipients, rnd func(n int) int) {
 	b := t.header()
-	b.Loads, b.Loaded = c.loads, c.allLoads
+	b.Loads, b.AllLoads = c.loads, c.allLoads
 	buf := b.encode()
 	for sent := 1; sent < len(c.near) && out.hasBudget(); sent++ { // the liveness datagram is the first
 		if m, ok := t.nextNear(c, rnd); ok {
--- a/roster/table.go
+++ b/roster/table.go
@@ -22,11 +22,11 @@
 
 // Member is the record of one box. Its status is shared and must not be modified.
 type Member struct {
-	Status wire.BoxStatus
-	Heard  time.Duration // local time of the last heartbeat, received directly or relayed
-	Seen   time.Duration // local time at which the box last counted as alive; quotas are divided by it
-	Told   time.Duration // local time of the reported capacity
-	Known  time.Duration // local time at which this incarnation was first received
+	Status        wire.BoxStatus
+	LastHeartbeat time.Duration // local time of the last heartbeat, received directly or relayed
+	LastAlive     time.Duration // local time at which the box last counted as alive; quotas are divided by it
+	CapacityAt    time.Duration // local time of the reported capacity
+	FirstSeen     time.Duration // local time at which this incarnation was first received
 }
 
 // State returns the state of the box, which is serving if its status has none.
@@ -100,10 +100,10 @@
 	return t
 }
 
-// Hear records a status of another box that was received at now, and reports whether it
+// Receive records a status of another box that was received at now, and reports whether it
 // changed anything. direct means that the box itself sent it. An older or repeated status
 // doesn't show that the box is alive, but the table keeps what only that status carries.
-func (t *Table) Hear(s wire.BoxStatus, direct bool, now time.Duration) bool {
+func (t *Table) Receive(s wire.BoxStatus, direct bool, now time.Duration) bool {
 	if s.Box == t.self.Box {
 		return false // from this box, or from an earlier process of the same name
 	}
@@ -121,7 +121,7 @@
 					Inc: s.Inc,
 					Seq: -1,
 				},
-				Known: now,
+				FirstSeen: now,
 			},
 			box:         s.Box,
 			loadsSeq:    -1,
@@ -157,10 +157,10 @@
 	newer := s.Seq > r.Status.Seq
 	if newer {
 		r.Status = s
-		r.Told = now
+		r.CapacityAt = now
 		if direct || !r.declaredDead { // a relayed heartbeat may predate the death
-			r.Heard = now
-			r.Seen = now
+			r.LastHeartbeat = now
+			r.LastAlive = now
 			r.declaredDead = false
 		}
 	}
@@ -254,31 +254,31 @@
 	return inRegion(region, r.Status.Region) && r.State() == wire.ServingStateServing && t.alive(r, now)
 }
 
-// MostIn returns an upper bound of the boxes of a region that were recently alive at the
+// MaxAliveIn returns an upper bound of the boxes of a region that were recently alive at the
 // same time, in any state and with the own box. A quota that each box divides by it isn't
 // exceeded while boxes come and go. An empty region stands for all.
-func (t *Table) MostIn(region string, now time.Duration) int {
+func (t *Table) MaxAliveIn(region string, now time.Duration) int {
 	n := 0
 	if inRegion(region, t.self.Region) {
 		n++
 	}
 	for _, r := range t.records {
-		if inRegion(region, r.Status.Region) && now-r.Seen <= maxAliveWindow {
+		if inRegion(region, r.Status.Region) && now-r.LastAlive <= maxAliveWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// Most is MostIn over all regions.
-func (t *Table) Most(now time.Duration) int { return t.MostIn("", now) }
+// MaxAlive is MaxAliveIn over all regions.
+func (t *Table) MaxAlive(now time.Duration) int { return t.MaxAliveIn("", now) }
 
 // inRegion reports whether the region of a box matches a filter; an empty one matches all.
 func inRegion(region, of string) bool { return region == "" || region == of }
 
 func (t *Table) removeExpired(now time.Duration) {
 	for name, r := range t.records {
-		if now-r.Heard > memberTTL {
+		if now-r.LastHeartbeat > memberTTL {
 			t.compact.retire(r, now)
 			t.remove(name)
 		}
--- a/roster/targets.go
+++ b/roster/targets.go
@@ -47,9 +47,9 @@
 	return out.list
 }
 
-// Everyone returns the addresses of live members, those of the own region first, and the
+// BroadcastTargets returns the addresses of live members, those of the own region first, and the
 // seeds, up to the limit for urgent updates.
-func (t *Table) Everyone(now time.Duration) []string {
+func (t *Table) BroadcastTargets(now time.Duration) []string {
 	alive := t.aliveMembers(now)
 	slices.SortStableFunc(alive, func(a, b Member) int {
 		return cmp.Compare(t.regionRank(a), t.regionRank(b))
@@ -62,9 +62,9 @@
 	return out.list[:min(len(out.list), maxUrgentTargets)]
 }
 
-// OwnRegion returns the addresses of live members of the own region, up to the limit of a
+// RegionTargets returns the addresses of live members of the own region, up to the limit of a
 // tick.
-func (t *Table) OwnRegion(now time.Duration) []string {
+func (t *Table) RegionTargets(now time.Duration) []string {
 	out := targets{
 		own: t.self.Peers,
 	}
@@ -105,7 +105,7 @@
 // recentlySilent returns dead members seen within partitionWindow, cycling if there are many.
 func (t *Table) recentlySilent(now time.Duration) []Member {
 	silent := t.members(func(r *record) bool {
-		return !t.alive(r, now) && now-r.Heard < partitionWindow
+		return !t.alive(r, now) && now-r.LastHeartbeat < partitionWindow
 	})
 	return rotate(silent, &t.silentCursor)
 }
@@ -113,7 +113,7 @@
 // longSilent returns a random member not seen within partitionWindow, so that parts of the
 // fleet meet again after a long partition even if no seed is up.
 func (t *Table) longSilent(now time.Duration, rnd func(n int) int) []Member {
-	silent := t.members(func(r *record) bool { return now-r.Heard >= partitionWindow })
+	silent := t.members(func(r *record) bool { return now-r.LastHeartbeat >= partitionWindow })
 	return pickRandom(silent, 1, rnd)
 }
 
--- a/roster/targets_test.go
+++ b/roster/targets_test.go
@@ -18,7 +18,7 @@
 // receiveHeartbeats lets a table receive heartbeats of n boxes of a region at now.
 func receiveHeartbeats(tab *Table, region string, n int, now time.Duration) {
 	for i := range n {
-		tab.Hear(status(fmt.Sprintf("%s-%02d", region, i), region, 1, int(now/Tick)+1), true, now)
+		tab.Receive(status(fmt.Sprintf("%s-%02d", region, i), region, 1, int(now/Tick)+1), true, now)
 	}
 }
 
@@ -85,7 +85,7 @@
 func TestSilentMembersAreProbedAtOneTickInFour(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	tab.Hear(status("b", "south", 1, 1), true, 0)
+	tab.Receive(status("b", "south", 1, 1), true, 0)
 	probed := func(now time.Duration) int {
 		n := 0
 		for range 2 * silentProbeEvery * seedProbeEvery {
@@ -102,7 +102,7 @@
 func TestADigestRelaysEachLiveBoxInTurn(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	tab.Hear(status("dead", "south", 1, 1), true, 0)
+	tab.Receive(status("dead", "south", 1, 1), true, 0)
 	receiveHeartbeats(tab, "south", 10, aliveTimeout+Tick)
 	now := aliveTimeout + Tick
 	var got []string
@@ -123,7 +123,7 @@
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	for i, name := range []string{"b", "d", "c"} {
-		tab.Hear(withLoad(status(name, "south", 1, 1), "r"), true, time.Duration(i)*Tick)
+		tab.Receive(withLoad(status(name, "south", 1, 1), "r"), true, time.Duration(i)*Tick)
 	}
 	var got []string
 	for _, s := range tab.Digest(time.Second, 9) {
@@ -138,9 +138,9 @@
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
 	for _, name := range []string{"b", "c"} {
-		tab.Hear(withCapacity(status(name, "south", 1, 1), 3), true, 0)
+		tab.Receive(withCapacity(status(name, "south", 1, 1), 3), true, 0)
 	}
-	tab.Hear(withCapacity(status("d", "west", 1, 1), 3), true, 0)
+	tab.Receive(withCapacity(status("d", "west", 1, 1), 3), true, 0)
 	var got []int
 	for _, s := range tab.Digest(0, 9) {
 		got = append(got, len(s.Rooms))
@@ -182,12 +182,12 @@
 func TestFreshStatusesOfOtherRegionsGoFirstButDoNotKeepOthersOut(t *testing.T) {
 	is := is.New(t)
 	tab := New(status("a", "north", 1, 0))
-	tab.Hear(status("told", "west", 1, 1), false, 0) // its region may already have it
+	tab.Receive(status("told", "west", 1, 1), false, 0) // its region may already have it
 	receiveHeartbeats(tab, "north", 1, 0)
 	count := make(map[string]int)
 	for i := range 4 * unprioritizedEvery {
 		now := time.Duration(i) * Tick / 2
-		tab.Hear(status("south-00", "south", 1, i+1), true, now) // a newer status each time
+		tab.Receive(status("south-00", "south", 1, i+1), true, now) // a newer status each time
 		for _, s := range tab.Digest(now, 1) {
 			count[s.Box]++
 		}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -14,35 +14,35 @@
 
 // Reasons for a rejection.
 const (
-	Leaving Reason = "leaving"
-	Out     Reason = "out"    // it is ejected after consecutive failures
-	Tried   Reason = "tried"  // an earlier attempt of this request used it
-	Full    Reason = "full"   // its running and waiting requests reach its limit
-	Late    Reason = "late"   // the expected time to first token exceeds the request's bound
-	Slower  Reason = "slower" // another has a lower cost
+	Leaving          Reason = "leaving"
+	Ejected          Reason = "out"    // it is ejected after consecutive failures
+	Attempted        Reason = "tried"  // an earlier attempt of this request used it
+	Full             Reason = "full"   // its running and waiting requests reach its limit
+	DeadlineExceeded Reason = "late"   // the expected time to first token exceeds the request's bound
+	Slower           Reason = "slower" // another has a lower cost
 )
 
 // Replica is the recorded state of a candidate.
 type Replica struct {
-	Name    string
-	Load    int           // running and waiting requests
-	Slots   int           // maximum of concurrently running requests
-	Pending time.Duration // prefill time of the requests ahead of a new one
-	Slow    float64       // observed latency over expected latency; 0 counts as 1
-	Hold    time.Duration // smoothed time that a request occupies a slot; 0 if unknown
-	Warm    bool          // the request's prefix is recorded as cached
-	Leaving bool
-	Out     bool
-	Tried   bool
+	Name           string
+	Load           int           // running and waiting requests
+	Slots          int           // maximum of concurrently running requests
+	PendingPrefill time.Duration // prefill time of the requests ahead of a new one
+	Slowdown       float64       // observed latency over expected latency; 0 counts as 1
+	ServiceTime    time.Duration // smoothed time that a request occupies a slot; 0 if unknown
+	Cached         bool          // the request's prefix is recorded as cached
+	Leaving        bool
+	Ejected        bool
+	Attempted      bool
 }
 
 // Request contains the properties of a request that a decision depends on.
 type Request struct {
-	Affinity string        // routing key of the prompt's prefix; empty for none
-	Spread   string        // routing key of the request itself, for candidates beyond those of Affinity
-	Prefill  time.Duration // expected prefill time without a cache
-	Bound    time.Duration // maximum expected time to first token; 0 for none
-	Queue    float64       // maximum of waiting requests at a replica, as a share of its slots
+	PrefixKey  string        // routing key of the prompt's prefix; empty for none
+	RequestKey string        // routing key of the request itself, for candidates beyond those of PrefixKey
+	Prefill    time.Duration // expected prefill time without a cache
+	MaxTTFT    time.Duration // maximum expected time to first token; 0 for none
+	QueueRatio float64       // maximum of waiting requests at a replica, as a share of its slots
 }
 
 // Rejected is a replica that was not chosen.
@@ -54,19 +54,19 @@
 // Choice is the outcome of a decision. If no replica is usable, Name is empty and Wait is
 // the expected time until one is.
 type Choice struct {
-	Name     string        `json:"name"`
-	Warm     bool          `json:"warm"`
-	Expect   time.Duration `json:"expect_ns"` // time to first token
-	Usual    time.Duration `json:"usual_ns"`  // the same without the factor Slow
-	Wait     time.Duration `json:"wait_ns"`
-	Rejected []Rejected    `json:"rejected,omitempty"`
+	Name         string        `json:"name"`
+	Cached       bool          `json:"warm"`
+	ExpectedTTFT time.Duration `json:"expect_ns"` // time to first token
+	TypicalTTFT  time.Duration `json:"usual_ns"`  // the same without the factor Slowdown
+	Wait         time.Duration `json:"wait_ns"`
+	Rejected     []Rejected    `json:"rejected,omitempty"`
 }
 
 const (
 	defaultHold         = 500 * time.Millisecond // if unknown for all replicas
 	baseLatency         = 20 * time.Millisecond  // time to first token without prefill and queueing
 	cachedPrefillShare  = 0.1                    // share of the prefill that remains if the prefix is cached
-	occupancyWeight     = 0.2                    // cost of joining a fully occupied replica, as a share of Hold
+	occupancyWeight     = 0.2                    // cost of joining a fully occupied replica, as a share of ServiceTime
 	batchingShare       = 0.25                   // slowdown by requests that run in the same batch, as a share of a slot's wait
 	uncachedCostShare   = 0.5                    // cost of an uncached prefill to other requests, as a share of it
 	preferredBonusShare = 0.3                    // bonus of the top-ranked replica, as a share of the prefill
@@ -78,9 +78,9 @@
 // token plus the interference cost to other requests. With explain it also returns why
 // each other replica was rejected.
 //
-// It evaluates the top-ranked replicas for Affinity and those that have the prefix cached; if
-// these are crowded, also those for Spread; if none is usable, all. Boxes with the same outdated
-// state would otherwise all choose the same replica.
+// It evaluates the top-ranked replicas for PrefixKey and those that have the prefix cached; if
+// these are crowded, also those for RequestKey; if none is usable, all. Boxes with the same
+// outdated state would otherwise all choose the same replica.
 func Decide(req Request, replicas []Replica, explain bool) Choice {
 	d := decision{
 		req:       req,
@@ -89,14 +89,14 @@
 		evaluated: make([]bool, len(replicas)),
 	}
 	d.computeMeanHold(replicas)
-	d.evaluateTopRanked(req.Affinity, true, replicas)
+	d.evaluateTopRanked(req.PrefixKey, true, replicas)
 	for i := range replicas {
-		if replicas[i].Warm {
+		if replicas[i].Cached {
 			d.evaluate(i, -1, &replicas[i])
 		}
 	}
 	if d.crowded() {
-		d.evaluateTopRanked(req.Spread, false, replicas)
+		d.evaluateTopRanked(req.RequestKey, false, replicas)
 	}
 	if d.best < 0 {
 		for i := range replicas {
@@ -108,7 +108,7 @@
 		return d.choice
 	}
 	d.choice.Name = replicas[d.best].Name
-	d.choice.Warm = replicas[d.best].Warm
+	d.choice.Cached = replicas[d.best].Cached
 	d.explainSlower(replicas)
 	return d.choice
 }
@@ -132,7 +132,7 @@
 type decision struct {
 	req       Request
 	evaluated []bool
-	hold      time.Duration // mean of the known values of Replica.Hold
+	hold      time.Duration // mean of the known values of Replica.ServiceTime
 	best      int
 	cost      time.Duration
 	occupancy float64       // load over slots of the best replica
@@ -167,12 +167,12 @@
 	return order, n
 }
 
-// computeMeanHold sets the default for replicas whose Hold is unknown.
+// computeMeanHold sets the default for replicas whose ServiceTime is unknown.
 func (d *decision) computeMeanHold(replicas []Replica) {
 	var sum time.Duration
 	n := 0
 	for i := range replicas {
-		if hold := replicas[i].Hold; hold > 0 {
+		if hold := replicas[i].ServiceTime; hold > 0 {
 			sum += hold
 			n++
 		}
@@ -189,15 +189,15 @@
 		d.reject(r, reason)
 		return
 	}
-	queueing := Queueing(r, cmp.Or(r.Hold, d.hold))
-	typical := baseLatency + queueing + r.Pending + d.prefill(r)
-	expect := time.Duration(cmp.Or(r.Slow, 1) * float64(typical))
-	if r.Load >= Limit(r.Slots, d.req.Queue) {
+	queueing := QueueWait(r, cmp.Or(r.ServiceTime, d.hold))
+	typical := baseLatency + queueing + r.PendingPrefill + d.prefill(r)
+	expect := time.Duration(cmp.Or(r.Slowdown, 1) * float64(typical))
+	if r.Load >= MaxLoad(r.Slots, d.req.QueueRatio) {
 		d.rejectWithWait(r, Full, queueing)
 		return
 	}
-	if d.req.Bound > 0 && expect > d.req.Bound {
-		d.rejectWithWait(r, Late, expect-d.req.Bound)
+	if d.req.MaxTTFT > 0 && expect > d.req.MaxTTFT {
+		d.rejectWithWait(r, DeadlineExceeded, expect-d.req.MaxTTFT)
 		return
 	}
 	cost := expect + d.interferenceCost(rank, r)
@@ -205,8 +205,8 @@
 		d.best = i
 		d.cost = cost
 		d.occupancy = occupancy(r)
-		d.choice.Expect = expect
-		d.choice.Usual = typical
+		d.choice.ExpectedTTFT = expect
+		d.choice.TypicalTTFT = typical
 	}
 }
 
@@ -215,22 +215,22 @@
 // prefer it. Near full occupancy the cost rises steeply, to limit tail latency.
 func (d *decision) interferenceCost(rank int, r *Replica) time.Duration {
 	share := 0.0
-	if !r.Warm {
+	if !r.Cached {
 		share += uncachedCostShare
 	}
 	if rank == 0 {
 		share -= preferredBonusShare
 	}
-	prompt := share * cmp.Or(r.Slow, 1) * float64(d.req.Prefill)
+	prompt := share * cmp.Or(r.Slowdown, 1) * float64(d.req.Prefill)
 	f := occupancy(r)
-	crowd := occupancyWeight * f * f * f * f * f * float64(cmp.Or(r.Hold, d.hold))
+	crowd := occupancyWeight * f * f * f * f * f * float64(cmp.Or(r.ServiceTime, d.hold))
 	return time.Duration(prompt + crowd)
 }
 
 func occupancy(r *Replica) float64 { return float64(r.Load) / float64(max(r.Slots, 1)) }
 
 func (d *decision) prefill(r *Replica) time.Duration {
-	if r.Warm {
+	if r.Cached {
 		return time.Duration(cachedPrefillShare * float64(d.req.Prefill))
 	}
 	return d.req.Prefill
@@ -240,10 +240,10 @@
 	switch {
 	case r.Leaving:
 		return Leaving
-	case r.Tried:
-		return Tried
-	case r.Out:
-		return Out
+	case r.Attempted:
+		return Attempted
+	case r.Ejected:
+		return Ejected
 	}
 	return ""
 }
@@ -280,14 +280,14 @@
 	}
 }
 
-// Limit returns the maximum of running and waiting requests at a replica.
-func Limit(slots int, queue float64) int {
+// MaxLoad returns the maximum of running and waiting requests at a replica.
+func MaxLoad(slots int, queue float64) int {
 	return slots + int(queue*float64(slots))
 }
 
-// Queueing returns the expected wait for a slot at r if each request occupies one for hold. It
+// QueueWait returns the expected wait for a slot at r if each request occupies one for hold. It
 // is positive also while slots are free, since requests in one batch slow each other down.
-func Queueing(r *Replica, hold time.Duration) time.Duration {
+func QueueWait(r *Replica, hold time.Duration) time.Duration {
 	slots := max(r.Slots, 1)
 	if r.Load < slots {
 		share := float64(r.Load) / float64(slots)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -13,11 +13,11 @@
 
 func ExampleDecide() {
 	choice := Decide(Request{
-		Prefill: time.Second,
-		Queue:   0.5,
+		Prefill:    time.Second,
+		QueueRatio: 0.5,
 	}, []Replica{
 		{Name: "cold", Slots: 4},
-		{Name: "warm", Slots: 4, Warm: true},
+		{Name: "warm", Slots: 4, Cached: true},
 		{Name: "leaving", Slots: 4, Leaving: true},
 	}, true)
 	fmt.Println(choice.Name, choice.Rejected)
@@ -29,16 +29,16 @@
 	out := make([]Replica, n)
 	for i := range out {
 		out[i] = Replica{
-			Name:    fmt.Sprintf("r%d", i),
-			Load:    rapid.IntRange(-2, 40).Draw(t, "load"),
-			Slots:   rapid.IntRange(0, 24).Draw(t, "slots"),
-			Pending: time.Duration(rapid.IntRange(0, 5000).Draw(t, "pending")) * time.Millisecond,
-			Slow:    rapid.Float64Range(0, 20).Draw(t, "slow"),
-			Hold:    time.Duration(rapid.IntRange(0, 9000).Draw(t, "hold")) * time.Millisecond,
-			Warm:    rapid.Bool().Draw(t, "warm"),
-			Leaving: rapid.Bool().Draw(t, "leaving"),
-			Out:     rapid.Bool().Draw(t, "out"),
-			Tried:   rapid.Bool().Draw(t, "tried"),
+			Name:           fmt.Sprintf("r%d", i),
+			Load:           rapid.IntRange(-2, 40).Draw(t, "load"),
+			Slots:          rapid.IntRange(0, 24).Draw(t, "slots"),
+			PendingPrefill: time.Duration(rapid.IntRange(0, 5000).Draw(t, "pending")) * time.Millisecond,
+			Slowdown:       rapid.Float64Range(0, 20).Draw(t, "slow"),
+			ServiceTime:    time.Duration(rapid.IntRange(0, 9000).Draw(t, "hold")) * time.Millisecond,
+			Cached:         rapid.Bool().Draw(t, "warm"),
+			Leaving:        rapid.Bool().Draw(t, "leaving"),
+			Ejected:        rapid.Bool().Draw(t, "out"),
+			Attempted:      rapid.Bool().Draw(t, "tried"),
 		}
 	}
 	return out
@@ -49,15 +49,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := drawReplicas(t)
 		req := Request{
-			Affinity: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "affinity"),
-			Spread:   rapid.SampledFrom([]string{"", "x"}).Draw(t, "spread"),
-			Prefill:  time.Duration(rapid.IntRange(0, 3000).Draw(t, "prefill")) * time.Millisecond,
-			Bound:    time.Duration(rapid.IntRange(0, 3000).Draw(t, "bound")) * time.Millisecond,
-			Queue:    0.5,
+			PrefixKey:  rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "affinity"),
+			RequestKey: rapid.SampledFrom([]string{"", "x"}).Draw(t, "spread"),
+			Prefill:    time.Duration(rapid.IntRange(0, 3000).Draw(t, "prefill")) * time.Millisecond,
+			MaxTTFT:    time.Duration(rapid.IntRange(0, 3000).Draw(t, "bound")) * time.Millisecond,
+			QueueRatio: 0.5,
 		}
 		c := Decide(req, replicas, true)
 		again := Decide(req, replicas, true)
-		if c.Name != again.Name || c.Expect != again.Expect {
+		if c.Name != again.Name || c.ExpectedTTFT != again.ExpectedTTFT {
 			t.Fatalf("nondeterministic choice: %v, then %v", c, again)
 		}
 		reasons := make(map[string]Reason)
@@ -68,14 +68,14 @@
 			reasons[r.Name] = r.Reason
 		}
 		for _, r := range replicas {
-			usable := !r.Leaving && !r.Out && !r.Tried && r.Load < Limit(r.Slots, req.Queue)
-			if r.Name == c.Name && (!usable || (req.Bound > 0 && c.Expect > req.Bound)) {
-				t.Fatalf("%+v was chosen with an expected time to first token of %s", r, c.Expect)
+			usable := !r.Leaving && !r.Ejected && !r.Attempted && r.Load < MaxLoad(r.Slots, req.QueueRatio)
+			if r.Name == c.Name && (!usable || (req.MaxTTFT > 0 && c.ExpectedTTFT > req.MaxTTFT)) {
+				t.Fatalf("%+v was chosen with an expected time to first token of %s", r, c.ExpectedTTFT)
 			}
 			if r.Name != c.Name && reasons[r.Name] == "" {
 				t.Fatalf("%s was rejected without a reason", r.Name)
 			}
-			if c.Name == "" && usable && reasons[r.Name] != Late {
+			if c.Name == "" && usable && reasons[r.Name] != DeadlineExceeded {
 				t.Fatalf("%+v was not chosen: %s", r, reasons[r.Name])
 			}
 		}
@@ -87,15 +87,15 @@
 	replicas := make([]Replica, 10)
 	for i := range replicas {
 		replicas[i] = Replica{
-			Name:  fmt.Sprintf("r%d", i),
-			Slots: 10,
-			Hold:  4 * time.Second,
+			Name:        fmt.Sprintf("r%d", i),
+			Slots:       10,
+			ServiceTime: 4 * time.Second,
 		}
 	}
 	req := Request{
-		Affinity: "prefix",
-		Prefill:  300 * time.Millisecond,
-		Queue:    0.5,
+		PrefixKey:  "prefix",
+		Prefill:    300 * time.Millisecond,
+		QueueRatio: 0.5,
 	}
 	home := Decide(req, replicas, false).Name
 	var at int
@@ -104,7 +104,7 @@
 			at = i
 		}
 	}
-	replicas[at].Warm = true
+	replicas[at].Cached = true
 	replicas[at].Load = 6
 	is.Equal(Decide(req, replicas, false).Name, home)
 	replicas[at].Load = 10
@@ -121,10 +121,10 @@
 		}
 	}
 	req := Request{
-		Affinity: "org/prefix",
-		Spread:   "id",
-		Prefill:  300 * time.Millisecond,
-		Queue:    0.5,
+		PrefixKey:  "org/prefix",
+		RequestKey: "id",
+		Prefill:    300 * time.Millisecond,
+		QueueRatio: 0.5,
 	}
 	b.ReportAllocs()
 	for b.Loop() {
