--- a/budget/budget.go
+++ b/budget/budget.go
@@ -48,7 +48,7 @@
 
 const (
 	ratioFraction      = 0.85 // of the ratio that a box uses; the rest covers requests that leave the window while a retry is sent
-	extraFraction      = 0.5  // of Allowance that all running processes hold; the rest is for those that restart in the window
+	allowanceFraction  = 0.5  // of Allowance that all running processes hold; the rest is for those that restart in the window
 	windowSlackDivisor = 10   // lengthens the window by a tenth for clock drift and delays
 	minBoxesForMargin  = 2    // from which one more is assumed, as a new box may not be listed yet
 	sweepThreshold     = 1024 // services from which idle ones are removed
@@ -109,21 +109,21 @@
 // the fraction of a further one. It takes the same number of boxes as Take.
 func (b *Budget) Remaining(service string, boxes int, now time.Duration) float64 {
 	now = b.advance(now)
-	extra := b.extra(boxes, now)
+	allowance := b.allowance(boxes, now)
 	c := b.services[service]
 	if c == nil {
-		return extra
+		return allowance
 	}
-	return max(0, c.remaining(ratioFraction*b.terms.Ratio, extra, bucketOf(now)))
+	return max(0, c.remaining(ratioFraction*b.terms.Ratio, allowance, bucketOf(now)))
 }
 
-// extra returns this box's allocation of Allowance at the age now.
-func (b *Budget) extra(boxes int, now time.Duration) float64 {
+// allowance returns this box's allocation of Allowance at the age now.
+func (b *Budget) allowance(boxes int, now time.Duration) float64 {
 	divisor := max(boxes, 1)
 	if divisor >= minBoxesForMargin {
 		divisor++
 	}
-	allocation := extraFraction * float64(b.terms.Allowance) / float64(divisor)
+	allocation := allowanceFraction * float64(b.terms.Allowance) / float64(divisor)
 	span := b.terms.span()
 	if now >= span {
 		return allocation
--- a/budget/counts.go
+++ b/budget/counts.go
@@ -49,12 +49,12 @@
 	return b
 }
 
-// remaining returns the minimum of extra + ratio x requests - retries over all spans
+// remaining returns the minimum of allowance + ratio x requests - retries over all spans
 // that end now and begin in a bucket of the ring. Of the bucket in which a span begins
 // only the retries count.
-func (c *counts) remaining(ratio, extra float64, current int64) float64 {
-	lowest := extra
-	balance := extra
+func (c *counts) remaining(ratio, allowance float64, current int64) float64 {
+	lowest := allowance
+	balance := allowance
 	oldest := max(0, current-int64(len(c.ring))+1)
 	for index := current; index >= oldest; index-- {
 		b := c.slot(index)
--- a/catalog/news_fuzz_test.go
+++ b/catalog/changeset_fuzz_test.go
@@ -7,9 +7,9 @@
 	"github.com/havenrudder/havenrudder/catalog"
 )
 
-// FuzzNews looks for updates that crash the receiving box, or make its copy hold a replica
+// FuzzChangeSet looks for updates that crash the receiving box, or make its copy hold a replica
 // that can't be sent on.
-func FuzzNews(f *testing.F) {
+func FuzzChangeSet(f *testing.F) {
 	for _, data := range []string{
 		`{"changes":[{"revision":3,"replica":{"id":"a","born":100,"service":"s","addr":"x:1"}}],"revision":3}`,
 		`{"changes":[{"revision":3,"gone":"a"},{"revision":4}],"doubts":[{"replica":"a","born":1,"revision":2,"left_ms":5}],"revision":3}`,
--- a/exchange/answer.go
+++ b/exchange/answer.go
@@ -17,7 +17,7 @@
 
 var errReadClosed = errors.New("exchange: read from a closed response")
 
-// Response is a response whose header has been read. It is not safe for concurrent use.
+// Response is the response of a server, whose header has been read. It is not safe for concurrent use.
 type Response struct {
 	ctx            context.Context
 	stop           func() bool // stops watching ctx; returns false if ctx has ended
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -88,7 +88,7 @@
 	ExcludedRegions []string // regions that refused the request or were unreachable
 }
 
-// Hooks holds the functions that connect the request path to the rest of the box.
+// Hooks holds the functions by which the request path queries and reports to the rest of the box.
 type Hooks struct {
 	Table           func() *catalog.Table    // nil until a policy is known
 	CatalogFresh    func() bool              // the published catalog was read recently
--- a/node/crossregion.go
+++ b/node/crossregion.go
@@ -198,11 +198,11 @@
 		reported := m.Status.Rooms[at]
 		newest = m.CapacityAt
 		out = placement.Estimate{
-			Expect:       time.Duration(reported.WaitMs) * time.Millisecond,
-			PrefillShare: float64(reported.Busy) / percent,
-			Usable:       reported.Usable,
-			MinRequests:  reported.Fewest,
-			AgeMs:        (now - m.CapacityAt).Milliseconds(),
+			Expect:      time.Duration(reported.WaitMs) * time.Millisecond,
+			Utilization: float64(reported.Busy) / percent,
+			Usable:      reported.Usable,
+			MinRequests: reported.Fewest,
+			AgeMs:       (now - m.CapacityAt).Milliseconds(),
 		}
 		ok = reported.Usable > 0 && out.Expect < noCapacityWait
 	}
--- a/node/incarnation_test.go
+++ b/node/incarnation_test.go
@@ -125,11 +125,11 @@
 	leaving := first
 	leaving.Leaving = true
 	svc := b.table.Service(first.Service)
-	news := b.applyUpdate(replacementUpdate(leaving, svc, Identity{
+	changes := b.applyUpdate(replacementUpdate(leaving, svc, Identity{
 		ID:        first.ID,
 		StartedAt: secondStartMs,
 	}), start)
-	is.True(slices.ContainsFunc(news, func(n placement.Change) bool {
+	is.True(slices.ContainsFunc(changes, func(n placement.Change) bool {
 		return n.Reason == "replica started again" && n.Addr == first.Addr
 	}))
 	got := b.content.Replicas()
@@ -153,9 +153,9 @@
 	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
 	publishRestart(b, firstStartMs, 102) // a newer entry
 	is.Equal(listedIncarnations(b, first.ID), []string{first.Incarnation()})
-	of, news := b.reportingIncarnation(first.Incarnation(), secondStartMs, start+time.Second)
+	of, changes := b.reportingIncarnation(first.Incarnation(), secondStartMs, start+time.Second)
 	is.Equal(of, first.Incarnation()) // it is not recorded again, which would rate-limit the replica forever
-	is.Equal(len(news), 0)
+	is.Equal(len(changes), 0)
 	publishRestart(b, secondStartMs, 103)
 	is.Equal(listedIncarnations(b, first.ID), []string{second.Incarnation()})
 	third := second
--- a/node/poison.go
+++ b/node/poison.go
@@ -126,9 +126,9 @@
 
 // clear records that a request was completed.
 func (n *Node) clear(d poison.Digest, now time.Duration) {
-	news := false
-	_ = n.state.Do(func(s *state) { news = s.poison.Clear(d, now) }) // it fails only after the box has stopped
-	if news {
+	changed := false
+	_ = n.state.Do(func(s *state) { changed = s.poison.Clear(d, now) }) // it fails only after the box has stopped
+	if changed {
 		n.meter.Cleared()
 		n.gossipPoison()
 	}
--- a/node/poisongossip.go
+++ b/node/poisongossip.go
@@ -64,10 +64,10 @@
 // receivePoison applies a datagram of another box.
 func (n *Node) receivePoison(buf []byte, from string) {
 	var answers []poison.Packet
-	news := false
-	_ = n.state.Do(func(s *state) { answers, news = s.poison.Receive(buf, from, n.now()) }) // it fails only after the box has stopped
+	changed := false
+	_ = n.state.Do(func(s *state) { answers, changed = s.poison.Receive(buf, from, n.now()) }) // it fails only after the box has stopped
 	n.sendPackets(rosterPackets(answers))
-	if news {
+	if changed {
 		n.gossipPoison()
 	}
 }
--- a/node/policies.go
+++ b/node/policies.go
@@ -49,11 +49,11 @@
 
 // callPolicy requests the newest policy from the box at an address. It uses the bulk connection, so that
 // other calls do not queue behind the response.
-func (n *Node) callPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyResponse, err error) {
+func (n *Node) callPolicy(ctx context.Context, addr string, have int) (response catalog.PolicyResponse, err error) {
 	err = n.bulkPeers.Call(ctx, addr, peer.Policy, policyRequest{
 		Have: have,
-	}, &news)
-	return news, err
+	}, &response)
+	return response, err
 }
 
 // missingPolicy is a published policy that this box lacks.
@@ -155,14 +155,14 @@
 	have := versionOf(known)
 	limit, cancel := context.WithTimeout(ctx, policyTimeout)
 	defer cancel()
-	news, err := n.fetchPolicy(limit, from.Peers, have)
-	if err == nil && len(news.Compressed) == 0 {
+	response, err := n.fetchPolicy(limit, from.Peers, have)
+	if err == nil && len(response.Compressed) == 0 {
 		n.policySources.busy = from.Box
-		return min(news.RetryAfter.Duration(), maxPolicyWait)
+		return min(response.RetryAfter.Duration(), maxPolicyWait)
 	}
 	var p *catalog.Policy
 	if err == nil {
-		p, err = applyPolicyDelta(news, known)
+		p, err = applyPolicyDelta(response, known)
 	}
 	if err != nil {
 		n.policySources.failed = append(n.policySources.failed, from.Box)
@@ -179,8 +179,8 @@
 	return 0
 }
 
-func applyPolicyDelta(news catalog.PolicyResponse, known *catalog.Policy) (*catalog.Policy, error) {
-	a, err := news.Delta()
+func applyPolicyDelta(response catalog.PolicyResponse, known *catalog.Policy) (*catalog.Policy, error) {
+	a, err := response.Delta()
 	if err != nil {
 		return nil, err
 	}
--- a/node/pull.go
+++ b/node/pull.go
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	sentAt := n.now()
-	news, err := n.fetchChanges(ctx, from.Peers, after)
+	changes, err := n.fetchChanges(ctx, from.Peers, after)
 	if err != nil {
 		n.record(decision.Event{
 			Kind:     decision.Belief,
@@ -104,30 +104,30 @@
 		n.feed.NotifyRevision(int64(from.Catalog))
 		return false
 	}
-	if news.RetryAfter > 0 {
+	if changes.RetryAfter > 0 {
 		return true
 	}
-	n.applyUpdate(news.Update())
+	n.applyUpdate(changes.Update())
 	n.fetchMissingPolicy(ctx)
 	replicas := 0
 	_ = n.state.Do(func(s *state) { // it fails only after the box has stopped
 		s.recordReportedRemovals(from)
 		replicas = s.content.Len()
 	})
-	n.feed.RecordRevision(news.Revision, replicas)
-	if news.ReadAge > 0 {
-		n.confirmAt(sentAt - news.ReadAge.Duration()) // the response was made later
+	n.feed.RecordRevision(changes.Revision, replicas)
+	if changes.ReadAge > 0 {
+		n.confirmAt(sentAt - changes.ReadAge.Duration()) // the response was made later
 	}
 	return false
 }
 
-func (n *Node) callCatalog(ctx context.Context, addr string, after int64) (news catalog.ChangeSet, err error) {
+func (n *Node) callCatalog(ctx context.Context, addr string, after int64) (changes catalog.ChangeSet, err error) {
 	var out catalog.EncodedChangeSet
 	err = n.peers.Call(ctx, addr, peer.Catalog, catalogRequest{
 		After: after,
 	}, &out)
 	if err != nil {
-		return news, err
+		return changes, err
 	}
 	return out.Decode()
 }
--- a/node/snapshot.go
+++ b/node/snapshot.go
@@ -31,12 +31,12 @@
 }
 
 func (n *Node) serveCatalog(after int64) (catalog.EncodedChangeSet, error) {
-	var news catalog.ChangeSet
+	var changes catalog.ChangeSet
 	all := false
 	read := n.lastRead.Load() // before the changes are collected, so that they are at least as new
 	err := n.state.Do(func(s *state) {
 		if all = s.content.NeedsSnapshot(after); !all {
-			news = s.content.ChangesSince(after)
+			changes = s.content.ChangesSince(after)
 		}
 	})
 	switch {
@@ -45,7 +45,7 @@
 	case all:
 		return n.serveSnapshot(after)
 	}
-	out, err := news.Encode()
+	out, err := changes.Encode()
 	out.ReadAge = n.sharedReadAge(read)
 	return out, err
 }
@@ -81,13 +81,13 @@
 // encodeSnapshot encodes a catalog snapshot, unless the cached one is fresh and no removal has been
 // unconfirmed, or confirmed, since.
 func (n *Node) encodeSnapshot(w *snapshotCache, after int64) error {
-	var news catalog.ChangeSet
+	var changes catalog.ChangeSet
 	again := false
 	err := n.state.Do(func(s *state) {
 		again = w.at > 0 && n.now()-w.at < snapshotTTL && w.confirmedRemovals == s.content.ConfirmedRemovals() && !s.content.HasUnconfirmedRemovals()
 		if !again {
 			w.read = n.lastRead.Load()
-			news = s.content.ChangesSince(after)
+			changes = s.content.ChangesSince(after)
 			w.confirmedRemovals = s.content.ConfirmedRemovals()
 		}
 	})
@@ -95,7 +95,7 @@
 		return err
 	}
 	w.at = 0
-	if w.encoded, err = news.Encode(); err == nil && len(news.UnconfirmedRemovals) == 0 {
+	if w.encoded, err = changes.Encode(); err == nil && len(changes.UnconfirmedRemovals) == 0 {
 		w.at = n.now()
 	}
 	return err
--- a/node/state.go
+++ b/node/state.go
@@ -288,7 +288,7 @@
 			Service: svc.Name,
 			Usable:  o.Usable,
 			WaitMs:  int(o.Expect.Milliseconds()),
-			Busy:    int(percent * o.PrefillShare),
+			Busy:    int(percent * o.Utilization),
 			Fewest:  o.MinRequests,
 		})
 	}
--- a/node/state_test.go
+++ b/node/state_test.go
@@ -84,8 +84,8 @@
 	return u, version
 }
 
-func policiesInForce(news []placement.Change) (out []string) {
-	for _, b := range news {
+func policiesInForce(changes []placement.Change) (out []string) {
+	for _, b := range changes {
 		if b.Reason == "policy in force" {
 			out = append(out, b.Subject)
 		}
@@ -120,14 +120,14 @@
 func TestChangesOfReplicasAreReturned(t *testing.T) {
 	is := is.New(t)
 	b := newBox("self", "a", 0)
-	news := b.publish(2, policy(2), append(replicas("a", 1), replicas("b", 1)...))
-	is.Equal(news, []placement.Change{
+	changes := b.publish(2, policy(2), append(replicas("a", 1), replicas("b", 1)...))
+	is.Equal(changes, []placement.Change{
 		{Reason: "policy in force", Subject: "2"},
 		{Reason: "replica listed", Subject: "a-0", Rev: 1},
 	})
 	is.Equal(len(b.publish(2, policy(2), replicas("a", 1))), 0) // no changes
-	news = b.publish(3, policy(2), nil)
-	is.Equal(news, []placement.Change{{Reason: "replica no longer listed", Subject: "a-0", Rev: 3}})
+	changes = b.publish(3, policy(2), nil)
+	is.Equal(changes, []placement.Change{{Reason: "replica no longer listed", Subject: "a-0", Rev: 3}})
 	is.Equal(len(b.publish(1, policy(1), replicas("a", 1))), 0) // it is older
 	is.Equal(b.message(start).From.Catalog, 3)
 }
@@ -136,8 +136,8 @@
 	is := is.New(t)
 	b := newBox("self", "a", 1)
 	b.publish(5, nil, replicas("a", 2))
-	news := b.publish(4, policy(7), nil)
-	is.Equal(policiesInForce(news), []string{"7"})
+	changes := b.publish(4, policy(7), nil)
+	is.Equal(policiesInForce(changes), []string{"7"})
 	is.Equal(b.table.Version(), 7)
 	is.Equal(len(b.view.Replicas()), 2) // the replicas are those of the newer one
 }
--- a/node/usagereport.go
+++ b/node/usagereport.go
@@ -71,8 +71,8 @@
 	got, err := n.adapter.RequestUsageReport(ctx, n.replicaPool, a.addr)
 	n.meter.UsageReport(err == nil)
 	n.state.Post(func(s *state) {
-		start, news := s.reportingIncarnation(a.start, got.StartedAt, n.now())
-		n.recordStateChanges(news)
+		start, changes := s.reportingIncarnation(a.start, got.StartedAt, n.now())
+		n.recordStateChanges(changes)
 		s.recordUsageReport(start, got, err == nil, at, n.now())
 	})
 }
--- a/placement/address_test.go
+++ b/placement/address_test.go
@@ -23,11 +23,11 @@
 func TestAnIdWhoseAddressAnotherHasGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall", at("old", "127.0.0.1:1", 1))
-	news := b.publish(start, nil, at("old", "127.0.0.1:1", 1), at("new", "127.0.0.1:1", 2))
-	is.Equal(len(news), 2)
-	is.Equal(news[0].Reason, "replica listed")
-	is.Equal(news[1].Subject, "old")
-	is.Equal(news[1].Reason, "replica's address has another")
+	changes := b.publish(start, nil, at("old", "127.0.0.1:1", 1), at("new", "127.0.0.1:1", 2))
+	is.Equal(len(changes), 2)
+	is.Equal(changes[0].Reason, "replica listed")
+	is.Equal(changes[1].Subject, "old")
+	is.Equal(changes[1].Reason, "replica's address has another")
 	for i := range 10 {
 		c := b.Pick(newRequest("engine", fmt.Sprint(i)), alone, start)
 		is.Equal(c.ID, "new")
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -4,15 +4,15 @@
 
 // Estimate is what a request is expected to meet in a region.
 type Estimate struct {
-	Expect       time.Duration // until the first byte
-	Missing      int           // shared tokens to prefill
-	Uncached     int           // shared tokens that no box is recorded to have sent to the replica
-	Failing      float64       // recent share of failures at the replica that would receive it
-	PrefillShare float64       // share of the engines' time spent on prefill
-	Usable       int           // number of replicas that could receive it
-	MinRequests  int           // fewest requests in flight at one of them
-	Reason       Reason        // why none can receive it now
-	AgeMs        int64         // age of the report of another region
+	Expect      time.Duration // until the first byte
+	Missing     int           // shared tokens to prefill
+	Uncached    int           // shared tokens that no box is recorded to have sent to the replica
+	Failing     float64       // recent share of failures at the replica that would receive it
+	Utilization float64       // maximum of the share of time spent on prefill and the share of slots in use
+	Usable      int           // number of replicas that could receive it
+	MinRequests int           // fewest requests in flight at one of them
+	Reason      Reason        // why none can receive it now
+	AgeMs       int64         // age of the report of another region
 }
 
 // Estimate estimates what a request would meet in this region, without reserving capacity.
@@ -42,10 +42,10 @@
 		reads *= v.boxes // boxes don't report their prefill rates to each other then
 	}
 	if out.Usable > 0 {
-		out.PrefillShare = float64(reads) / (float64(out.Usable) * prefillSpeed * 1000)
+		out.Utilization = float64(reads) / (float64(out.Usable) * prefillSpeed * 1000)
 	}
 	if v.byReports && out.Usable > 0 {
-		out.PrefillShare = max(out.PrefillShare, v.usedSlotShare(req.Service, now))
+		out.Utilization = max(out.Utilization, v.usedSlotShare(req.Service, now))
 	}
 	return out
 }
--- a/placement/incarnation_test.go
+++ b/placement/incarnation_test.go
@@ -90,11 +90,11 @@
 			now := start + time.Second
 			teach(b, old, now)
 			next := started("engine", secondBorn)
-			news := b.publish(now, nil, next)
-			is.Equal(news[0].Subject, next.Incarnation())
-			is.Equal(news[0].Reason, "replica started again")
-			is.Equal(news[1].Subject, old)
-			is.Equal(news[1].Reason, "replica replaced by a later start")
+			changes := b.publish(now, nil, next)
+			is.Equal(changes[0].Subject, next.Incarnation())
+			is.Equal(changes[0].Reason, "replica started again")
+			is.Equal(changes[1].Subject, old)
+			is.Equal(changes[1].Reason, "replica replaced by a later start")
 
 			got, want := b.Get(next.Incarnation()), fresh.Get(next.Incarnation())
 			is.True(got.Listed())
--- a/placement/loss.go
+++ b/placement/loss.go
@@ -32,7 +32,7 @@
 		loss = quadraticRamp(float64(o.Expect)/float64(g.FirstByte), waitLossStart, waitLossFull)
 	}
 	if g.Gap > 0 {
-		loss = max(loss, quadraticRamp(o.PrefillShare, prefillLossStart, prefillLossFull))
+		loss = max(loss, quadraticRamp(o.Utilization, prefillLossStart, prefillLossFull))
 	}
 	loss = max(loss, quadraticRamp(o.Failing, failureLossStart, failureLossFull))
 	if g.Deadline > 0 && o.Expect > g.Deadline {
--- a/placement/loss_test.go
+++ b/placement/loss_test.go
@@ -21,12 +21,12 @@
 			Deadline:  time.Duration(anyTime.Draw(t, "left")),
 		}
 		low := placement.Estimate{
-			Expect:       time.Duration(anyTime.Draw(t, "expect")),
-			PrefillShare: rapid.Float64Range(0, 5).Draw(t, "busy"),
+			Expect:      time.Duration(anyTime.Draw(t, "expect")),
+			Utilization: rapid.Float64Range(0, 5).Draw(t, "busy"),
 		}
 		high := placement.Estimate{
-			Expect:       low.Expect + time.Duration(anyTime.Draw(t, "more wait")),
-			PrefillShare: low.PrefillShare + rapid.Float64Range(0, 5).Draw(t, "more work"),
+			Expect:      low.Expect + time.Duration(anyTime.Draw(t, "more wait")),
+			Utilization: low.Utilization + rapid.Float64Range(0, 5).Draw(t, "more work"),
 		}
 		a, b := low.ExpectedLoss(g), high.ExpectedLoss(g)
 		if !(a >= 0 && a <= b && b <= maxLoss) {
@@ -49,8 +49,8 @@
 	}
 	loss := func(expect time.Duration, busy float64) float64 {
 		return placement.Estimate{
-			Expect:       expect,
-			PrefillShare: busy,
+			Expect:      expect,
+			Utilization: busy,
 		}.ExpectedLoss(g)
 	}
 	is.Equal(loss(0, 0), 0.0)
@@ -59,7 +59,7 @@
 	is.True(loss(0, 3) >= 500)
 	is.True(loss(6*time.Second, 0) > loss(4*time.Second, 0)) // a useless answer is worse than a late one
 	is.Equal(placement.Estimate{
-		Expect:       time.Hour,
-		PrefillShare: 9,
+		Expect:      time.Hour,
+		Utilization: 9,
 	}.ExpectedLoss(placement.Targets{}), 0.0) // no targets
 }
--- a/placement/pick_test.go
+++ b/placement/pick_test.go
@@ -141,8 +141,8 @@
 func TestTakeReturnsWhatChanged(t *testing.T) {
 	is := is.New(t)
 	b := newBox("a", "hall")
-	abouts := func(news []placement.Change) (out []string) {
-		for _, n := range news {
+	abouts := func(changes []placement.Change) (out []string) {
+		for _, n := range changes {
 			is.True(n.Reason != "")
 			out = append(out, n.Subject)
 		}
@@ -319,7 +319,7 @@
 		is.Equal(r.Own(), placement.Load{})
 	}
 	is.Equal(b.Pick(req, alone, start).Expect, out.Expect)
-	is.True(b.Estimate(req, alone, start).PrefillShare > out.PrefillShare)
+	is.True(b.Estimate(req, alone, start).Utilization > out.Utilization)
 	none := b.Estimate(newRequest("unknown", "k"), alone, start)
 	is.Equal(none.Reason, placement.NoReplica)
 	is.Equal(none.Usable, 0)
--- a/placement/report_test.go
+++ b/placement/report_test.go
@@ -96,8 +96,8 @@
 	for n := range 4 {
 		b.recordReport(fmt.Sprint("engine-", n), 6, 0, start)
 	}
-	is.Equal(b.Estimate(newRequest("engine", "k"), alone, start+time.Millisecond).PrefillShare, 0.75) // of eight slots
-	is.Equal(b.Estimate(newRequest("plain", "k"), alone, start+time.Millisecond).PrefillShare, 0.0)
+	is.Equal(b.Estimate(newRequest("engine", "k"), alone, start+time.Millisecond).Utilization, 0.75) // of eight slots
+	is.Equal(b.Estimate(newRequest("plain", "k"), alone, start+time.Millisecond).Utilization, 0.0)
 }
 
 func TestAnEngineUnresponsiveToAnotherBoxIsEjectedUnlessItRespondsHere(t *testing.T) {
--- a/poison/ledger_test.go
+++ b/poison/ledger_test.go
@@ -139,7 +139,7 @@
 			return
 		}
 		w := NewDetector("box")
-		w.spread.Receive(d, "other", testStart)
+		w.gossip.Receive(d, "other", testStart)
 		w.Expire(testStart)
 	})
 }
--- a/poison/spread.go
+++ b/poison/spread.go
@@ -32,7 +32,7 @@
 	toAll     bool // send once to all boxes, if this box is an announcer
 }
 
-// Gossip gossips the records of a ledger. A crash interrupts many requests, most of them only
+// Gossip sends the records of a ledger to the other boxes. A crash interrupts many requests, most of them only
 // once. To limit the traffic, the first crash of a request goes to its owners, a few boxes
 // selected by its digest; from the second on the record goes to all boxes.
 type Gossip struct {
--- a/poison/trial.go
+++ b/poison/trial.go
@@ -65,7 +65,7 @@
 		q.ownerCursor++ // the owner may be gone
 	}
 	q.lastSent = now
-	rank, owners := newGroup(w.spread.self, others()).ownersOf(d)
+	rank, owners := newGroup(w.gossip.self, others()).ownersOf(d)
 	if rank == 0 {
 		q.replied = true
 		return w.grantTrial(d, now), nil
--- a/poison/watch.go
+++ b/poison/watch.go
@@ -16,28 +16,28 @@
 // Detector is the state of a box on requests that crash their replicas. It belongs to one actor,
 // except for Served.
 type Detector struct {
-	ledger      *Ledger
-	cuts        *Interruptions
-	spread      *Gossip
-	served      *Served
-	trials      trials
-	lastDial    map[string]time.Duration
-	lastRetry   map[Digest]time.Duration // when this box last retried a quarantined request
-	quarantined map[Digest]bool          // as last returned by Changes
+	ledger        *Ledger
+	interruptions *Interruptions
+	gossip        *Gossip
+	served        *Served
+	trials        trials
+	lastDial      map[string]time.Duration
+	lastRetry     map[Digest]time.Duration // when this box last retried a quarantined request
+	quarantined   map[Digest]bool          // as last returned by Changes
 }
 
 // NewDetector returns a Detector without records for a box.
 func NewDetector(box string) *Detector {
 	ledger := NewLedger()
 	return &Detector{
-		ledger:      ledger,
-		cuts:        NewInterruptions(),
-		spread:      NewGossip(box, ledger),
-		served:      NewServed(),
-		trials:      newTrials(),
-		lastDial:    make(map[string]time.Duration),
-		lastRetry:   make(map[Digest]time.Duration),
-		quarantined: make(map[Digest]bool),
+		ledger:        ledger,
+		interruptions: NewInterruptions(),
+		gossip:        NewGossip(box, ledger),
+		served:        NewServed(),
+		trials:        newTrials(),
+		lastDial:      make(map[string]time.Duration),
+		lastRetry:     make(map[Digest]time.Duration),
+		quarantined:   make(map[Digest]bool),
 	}
 }
 
@@ -76,7 +76,7 @@
 	if r == nil || len(r.Crashes) < quarantineThreshold {
 		return false
 	}
-	if rank, _ := newGroup(w.spread.self, others).ownersOf(d); rank > 0 {
+	if rank, _ := newGroup(w.gossip.self, others).ownersOf(d); rank > 0 {
 		return false
 	}
 	wait := retryDelay
@@ -92,26 +92,26 @@
 
 // Clear records that a replica survived a request, and reports whether to notify other boxes.
 func (w *Detector) Clear(d Digest, now time.Duration) bool {
-	waited := w.cuts.Clear(d)
+	waited := w.interruptions.Clear(d)
 	if waited {
 		w.ledger.RecordSurvival(d, now) // others may have recorded crashes of it
 	} else if !w.ledger.Clear(d, now) {
 		return false
 	}
-	w.spread.Updated(d, now)
+	w.gossip.Updated(d, now)
 	return true
 }
 
 // Survived records that an incarnation survived a request sent at a time.
 func (w *Detector) Survived(incarnation string, sent time.Duration) {
-	w.cuts.Survived(incarnation, sent)
+	w.interruptions.Survived(incarnation, sent)
 }
 
 // Interrupted records that an incarnation gave no complete response to a request, and reports
 // whether that counts as a crash because the incarnation is known to have crashed.
 func (w *Detector) Interrupted(incarnation string, d Digest, sent, now time.Duration) bool {
 	_, alone := w.trials.runs[incarnation][d]
-	if !w.cuts.Add(incarnation, d, alone, sent, now) {
+	if !w.interruptions.Add(incarnation, d, alone, sent, now) {
 		return false
 	}
 	w.addCrash(d, Crash{
@@ -133,7 +133,7 @@
 
 // Unconfirmed returns the incarnations that interrupted requests and aren't known to have
 // crashed.
-func (w *Detector) Unconfirmed() []string { return w.cuts.Unconfirmed() }
+func (w *Detector) Unconfirmed() []string { return w.interruptions.Unconfirmed() }
 
 // IsPublished reports whether the record of a request is published.
 func (w *Detector) IsPublished(d Digest) bool {
@@ -144,7 +144,7 @@
 // Crashed records that an incarnation has crashed, and returns for how many requests that counts.
 // It is called after JointCrashDelay.
 func (w *Detector) Crashed(incarnation string, now time.Duration) int {
-	list := w.cuts.Crashed(incarnation)
+	list := w.interruptions.Crashed(incarnation)
 	for _, e := range list {
 		w.addCrash(e.Digest, e.Crash, now)
 	}
@@ -153,18 +153,18 @@
 
 // InterruptedBy returns up to maxLoggedDigests requests that an incarnation interrupted.
 func (w *Detector) InterruptedBy(incarnation string) []Digest {
-	return w.cuts.InterruptedBy(incarnation)
+	return w.interruptions.InterruptedBy(incarnation)
 }
 
 func (w *Detector) addCrash(d Digest, e Crash, now time.Duration) {
 	if w.ledger.addCrash(d, e) {
-		w.spread.Updated(d, now)
+		w.gossip.Updated(d, now)
 	}
 }
 
 // Due returns the datagrams to send at now. rnd returns a random number from 0 to n-1.
 func (w *Detector) Due(others []Box, now time.Duration, rnd func(n int) int) []Packet {
-	return w.spread.Due(others, now, rnd)
+	return w.gossip.Due(others, now, rnd)
 }
 
 // Receive processes the records and the trial message of a datagram. It drops malformed ones.
@@ -173,7 +173,7 @@
 	if err != nil {
 		return nil, false
 	}
-	replies, changed = w.spread.Receive(d, from, now)
+	replies, changed = w.gossip.Receive(d, from, now)
 	if d.TrialMessage != noTrialMessage {
 		replies = append(replies, w.receiveTrialMessage(d, from, now)...)
 	}
@@ -214,7 +214,7 @@
 // Expire drops expired state.
 func (w *Detector) Expire(now time.Duration) {
 	w.ledger.Expire(now)
-	w.cuts.Expire(now)
+	w.interruptions.Expire(now)
 	w.trials.forget(w.ledger, now)
 	maps.DeleteFunc(w.lastDial, func(_ string, at time.Duration) bool { return now-at > dialInterval })
 	maps.DeleteFunc(w.lastRetry, func(d Digest, _ time.Duration) bool { return w.ledger.Get(d) == nil })
--- a/roster/receive.go
+++ b/roster/receive.go
@@ -7,7 +7,7 @@
 	"github.com/havenrudder/havenrudder/wire"
 )
 
-// Received is what a caller needs of a compact datagram, beside the updates of the table.
+// Received is the result of receiving a compact datagram, beside the updates of the table.
 type Received struct {
 	Sender   string // empty if there is no record of the box
 	Status   wire.BoxStatus
