--- a/node/links_test.go
+++ b/node/links_test.go
@@ -101,22 +101,22 @@
 var sizes sync.Map // of policies as JSON, by pointer
 
 // sizeOf returns the size of a catalog update as JSON.
-func sizeOf(news catalog.ChangeSet) int {
+func sizeOf(changes catalog.ChangeSet) int {
 	out := 0
-	for i := range news.Changes {
-		if p := news.Changes[i].Policy; p != nil {
-			news.Changes[i].Policy = nil
+	for i := range changes.Changes {
+		if p := changes.Changes[i].Policy; p != nil {
+			changes.Changes[i].Policy = nil
 			out += sizeOfPolicy(p)
-			defer func() { news.Changes[i].Policy = p }()
+			defer func() { changes.Changes[i].Policy = p }()
 		}
 	}
-	if s := news.Snapshot; s != nil && s.Policy != nil {
+	if s := changes.Snapshot; s != nil && s.Policy != nil {
 		p := s.Policy
 		s.Policy = nil
 		out += sizeOfPolicy(p)
 		defer func() { s.Policy = p }()
 	}
-	data, err := json.Marshal(news)
+	data, err := json.Marshal(changes)
 	if err != nil {
 		panic(err)
 	}
@@ -251,12 +251,12 @@
 }
 
 // fetchPolicy fetches the policy of a box, as over a connection.
-func (f *simulation) fetchPolicy(ctx context.Context, addr string, have int) (news catalog.PolicyResponse, err error) {
+func (f *simulation) fetchPolicy(ctx context.Context, addr string, have int) (response catalog.PolicyResponse, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay)
 	if err != nil {
-		return news, err
+		return response, err
 	}
-	news, err = n.servePolicy(have)
-	f.links.Load().answer(ctx, b, len(news.Compressed)*4/3)
-	return news, errors.CombineErrors(err, ctx.Err())
+	response, err = n.servePolicy(have)
+	f.links.Load().answer(ctx, b, len(response.Compressed)*4/3)
+	return response, errors.CombineErrors(err, ctx.Err())
 }
--- a/node/simulation_test.go
+++ b/node/simulation_test.go
@@ -151,9 +151,9 @@
 	n.state = cell.New(context.WithoutCancel(f.ctx), f.system, "state", newState(n.settings, n.status(), n.now()))
 	n.feed = n.newFeed(f.tracedSource(b.settings.Box, f.listing.source(b.settings.Box)))
 	n.fetchChanges = func(ctx context.Context, addr string, after int64) (catalog.ChangeSet, error) {
-		news, err := f.fetchChanges(ctx, addr, after)
-		f.printTraced(b.settings.Box, "asked", addr, "after", after, "received up to", news.Revision, news.Snapshot != nil, changesOfTraced(news.Changes, news.UnconfirmedRemovals), err)
-		return news, err
+		changes, err := f.fetchChanges(ctx, addr, after)
+		f.printTraced(b.settings.Box, "asked", addr, "after", after, "received up to", changes.Revision, changes.Snapshot != nil, changesOfTraced(changes.Changes, changes.UnconfirmedRemovals), err)
+		return changes, err
 	}
 	n.fetchPolicy = f.fetchPolicy
 	n.fetchProof = func(ctx context.Context, addr string) (proofResponse, error) { return f.fetchProof(ctx, b, addr) }
--- a/node/simulationcalls_test.go
+++ b/node/simulationcalls_test.go
@@ -101,39 +101,39 @@
 	return nil, nil, errors.Wrap(ctx.Err(), "box gone")
 }
 
-func (f *simulation) fetchChanges(ctx context.Context, addr string, after int64) (news catalog.ChangeSet, err error) {
+func (f *simulation) fetchChanges(ctx context.Context, addr string, after int64) (changes catalog.ChangeSet, err error) {
 	b, n, err := f.reach(ctx, addr, nearDelay+f.jitter(maxJitter, "asked", addr, after))
 	if err != nil {
-		return news, err
+		return changes, err
 	}
 	encoded, err := n.serveCatalog(after)
 	if err == nil {
-		news, err = f.decode(ctx, encoded)
+		changes, err = f.decode(ctx, encoded)
 	}
 	f.links.Load().answer(ctx, b, sizeOfEncoded(encoded))
-	f.addToTrace("told", addr, after, news.Revision, len(news.Changes), news.UnconfirmedRemovals)
-	return news, errors.CombineErrors(err, ctx.Err())
+	f.addToTrace("told", addr, after, changes.Revision, len(changes.Changes), changes.UnconfirmedRemovals)
+	return changes, errors.CombineErrors(err, ctx.Err())
 }
 
 const applyCost = 50 * time.Microsecond // per replica of a snapshot, to decode and apply it on a fifth of a core
 
 // decode decodes catalog changes as the receiving box does.
-func (f *simulation) decode(ctx context.Context, encoded catalog.EncodedChangeSet) (news catalog.ChangeSet, err error) {
+func (f *simulation) decode(ctx context.Context, encoded catalog.EncodedChangeSet) (changes catalog.ChangeSet, err error) {
 	if len(encoded.Compressed) == 0 {
 		return encoded.Decode()
 	}
 	if known, ok := f.decoded.Load(&encoded.Compressed[0]); ok {
-		news = known.(catalog.ChangeSet)
+		changes = known.(catalog.ChangeSet)
 	} else {
-		if news, err = encoded.Decode(); err != nil {
-			return news, err
+		if changes, err = encoded.Decode(); err != nil {
+			return changes, err
 		}
-		f.decoded.Store(&encoded.Compressed[0], news)
+		f.decoded.Store(&encoded.Compressed[0], changes)
 	}
-	if news.Snapshot != nil {
-		sleep.For(ctx, time.Duration(len(news.Snapshot.Replicas))*applyCost)
+	if changes.Snapshot != nil {
+		sleep.For(ctx, time.Duration(len(changes.Snapshot.Replicas))*applyCost)
 	}
-	return news, nil
+	return changes, nil
 }
 
 // sizeOfEncoded returns the size of encoded changes on the wire.
