--- a/node/pull.go
+++ b/node/pull.go
@@ -157,7 +157,7 @@
 	case peer.Demand:
 		return n.demand(), nil
 	}
-	return nil, errors.Newf("unknown method %q", string(m))
+	return nil, errors.Newf("unknown message %q", string(m))
 }
 
 func (n *Node) applyUpdate(u catalog.Update) {
